--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -19,8 +19,8 @@
 from tillerlane.faults import kinds
 from tillerlane.keeper import client as clients
 from tillerlane.keeper import disk as disks
-from tillerlane.keeper import machine as machines
 from tillerlane.keeper import replica, server
+from tillerlane.keeper import state_machine as state_machines
 from tillerlane.keeper import storage as storages
 from tillerlane.members import exchange, platform
 from tillerlane.members import view as views
@@ -177,7 +177,7 @@
         own = self.settings
         assert own.data_folder is not None
         storage = storages.Storage(self._around.open_disk(own.data_folder), own.daemon)
-        state = machines.Machine()
+        state = state_machines.StateMachine()
         self.store = state.store
         part = replica.Replica(
             own.daemon,
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -26,7 +26,7 @@
 from tillerlane.gateway import directory as directories
 from tillerlane.keeper import commands, formation, freshness, proposals, replica, server
 from tillerlane.keeper import disk as disks
-from tillerlane.keeper import machine as machines
+from tillerlane.keeper import state_machine as state_machines
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
@@ -151,7 +151,7 @@
             own.plan, own.name, own.peer_address, self.node, self.timeline
         )
         storage = storages.Storage(self._around.open_disk(own.data_folder), own.name)
-        state = machines.Machine()
+        state = state_machines.StateMachine()
         self.replica = replica.Replica(
             own.name,
             {own.name: own.peer_address},
@@ -201,7 +201,7 @@
             address=self._own.peer_address,
             incarnation=int(self._around.now() * 1000),
             clock=clock,
-            get_config_version=lambda: max(0, self.replica.machine.published.version),
+            get_config_version=lambda: max(0, self.replica.state_machine.published.version),
             on_peer_version=lambda link, version: None,
             serve=self._serve_peer,
             notify=self._take_message,
@@ -243,7 +243,7 @@
             seeds=list(self._own.plan.seeds),
             may_found=self._own.plan.may_found,
             last_index=self.replica.storage.last_index,
-            version=self.replica.machine.published.version,
+            version=self.replica.state_machine.published.version,
         )
 
     def _set_gauges(self) -> None:
@@ -251,7 +251,7 @@
         own = self.replica
         self.meters.is_leader.set_function(lambda: own.is_leading)
         self.meters.term.set_function(lambda: own.storage.term)
-        self.meters.version.set_function(lambda: own.machine.published.version)
+        self.meters.version.set_function(lambda: own.state_machine.published.version)
         self.meters.fresh_age.set_function(lambda: self.freshness.read_age() or 0.0)
         self.meters.entries.set_function(lambda: len(self._entries))
         self.meters.targets.set_function(lambda: len(self.directory.targets))
@@ -326,7 +326,7 @@
             case messages.Subscribe():
                 self._subscribe(link, body)
             case messages.ConfigPull():
-                links.try_send(link, self.replica.machine.store.build_delta(body.have))
+                links.try_send(link, self.replica.state_machine.store.build_delta(body.have))
             case messages.PublicationPull():
                 self._send_publication(link)
             case messages.TargetStates():
@@ -368,7 +368,7 @@
             return
         self.timeline.record("entry.subscribed", entry=body.entry, version=body.have)
         # Orders go first: an entry may send requests as soon as it has a publication.
-        links.try_send(link, self.replica.machine.store.build_delta(0))
+        links.try_send(link, self.replica.state_machine.store.build_delta(0))
         links.try_send(link, self.verdicts.write_for_entry())
         links.try_send(link, self.limits.write_all())
         self._send_publication(link)
@@ -386,7 +386,7 @@
             links.try_send(link, directories.write_states(self._changed_since_whole.values()))
 
     def _send_publication(self, link: links.Link) -> None:
-        current = self.replica.machine.published.current
+        current = self.replica.state_machine.published.current
         if current is not None:
             links.try_send(link, current)
 
@@ -536,7 +536,7 @@
         faults.FaultError
             ``no_quorum`` if it may or may not be committed later.
         """
-        held = self.replica.machine.published.version
+        held = self.replica.state_machine.published.version
         if version <= held:
             return {"taken": False, "version": held}
         content = zlib.compress(document, 6)
@@ -548,7 +548,7 @@
 
     def list_evacuated(self) -> frozenset[str]:
         """Data halls whose targets get nothing new, by what is committed here."""
-        return self.replica.machine.store.list_names(stores.EVACUATIONS)
+        return self.replica.state_machine.store.list_names(stores.EVACUATIONS)
 
     async def evacuate(self, data_hall: str, evacuated: bool) -> dict[str, Any]:
         """Close a data hall to new work, or open it again; returns once that is committed.
@@ -563,7 +563,7 @@
             committed later.
         """
         self._check_hall(data_hall)
-        against = self.replica.machine.store.version
+        against = self.replica.state_machine.store.version
         while True:
             at_ms = int(self._around.now() * 1000)
             command = commands.Evacuate(data_hall, evacuated, against, "platform", at_ms)
@@ -599,7 +599,7 @@
         age = self.freshness.read_age()
         if age is None or age > self._own.read_seconds:
             raise proposals.build_no_quorum(f"got word of age {age} s from the leader")
-        current = self.replica.machine.published.current
+        current = self.replica.state_machine.published.current
         if current is None:
             message = "nothing was published yet"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NOT_FOUND, message))
--- a/tillerlane/gateway/tests/test_evacuation.py
+++ b/tillerlane/gateway/tests/test_evacuation.py
@@ -9,7 +9,7 @@
 from tillerlane.faults import core as faults
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import http_client, http_head
-from tillerlane.keeper import commands, machine
+from tillerlane.keeper import commands, state_machine
 from tillerlane.platform import control_api
 from tillerlane.testing import gateway_lab, gateway_scenes
 
@@ -28,7 +28,7 @@
 
     def setUp(self) -> None:
         """An empty state."""
-        self.state = machine.Machine()
+        self.state = state_machine.StateMachine()
         self.index = 0
 
     def apply(self, evacuated: bool, against: int) -> bool:
@@ -54,7 +54,7 @@
 
     def test_snapshot_keeps_it(self) -> None:
         self.apply(True, 0)
-        restored = machine.Machine()
+        restored = state_machine.StateMachine()
         restored.load(self.state.dump())
         self.assertEqual(set(restored.store.list_names(stores.EVACUATIONS)), {HALL})
 
--- a/tillerlane/gateway/tests/test_quarantine.py
+++ b/tillerlane/gateway/tests/test_quarantine.py
@@ -187,7 +187,7 @@
             await stage.lose_power([])
             await asyncio.sleep(5.0)
             for keeper in stage.keepers.values():
-                held = keeper.replica.machine.store.list_names(stores.QUARANTINE)
+                held = keeper.replica.state_machine.store.list_names(stores.QUARANTINE)
                 self.assertEqual(held, {caller.compute_fingerprint("price", DEADLY)})
 
         self.play_after(restart, settle=0.0)
@@ -371,7 +371,7 @@
             end_targets(stage, runners[:3], "app")
             await asyncio.sleep(1.0)
             self.assertEqual((await stage.call("entry-1", "order", "now")).status, 503)
-            store = stage.keepers["keeper-1"].replica.machine.store
+            store = stage.keepers["keeper-1"].replica.state_machine.store
             self.assertTrue(store.list_names(stores.QUARANTINE))
             answers = await asyncio.gather(*calls)
             self.assertIn(200, [answer.status for answer in answers])
--- a/tillerlane/gateway/tests/test_quarantine_stateful.py
+++ b/tillerlane/gateway/tests/test_quarantine_stateful.py
@@ -189,7 +189,7 @@
             assert self.run(self.call(name, body)) == 503
         assert len(self.pool.list_ends(body)) == ends
         for keeper in self.stage.keepers.values():
-            assert fingerprint in keeper.replica.machine.store.list_names(stores.QUARANTINE)
+            assert fingerprint in keeper.replica.state_machine.store.list_names(stores.QUARANTINE)
 
     def teardown(self) -> None:
         """Close the loop."""
--- a/tillerlane/gateway/tests/test_suspects.py
+++ b/tillerlane/gateway/tests/test_suspects.py
@@ -7,35 +7,35 @@
 
 from tillerlane.config import store as stores
 from tillerlane.gateway import suspects
-from tillerlane.keeper import commands, machine
+from tillerlane.keeper import commands, state_machine
 from tillerlane.testing import profiles
 
 
 class MachineTest(unittest.TestCase):
     """The replicated state alone."""
 
-    def apply(self, state: machine.Machine, fingerprint: str, held: bool) -> bool:
+    def apply(self, state: state_machine.StateMachine, fingerprint: str, held: bool) -> bool:
         """Apply a verdict; whether it was accepted."""
         command = commands.Quarantine(fingerprint, held, "keepers", 0, ["t1"])
         return state.apply(1, 1, command)["accepted"]
 
     def test_told_again_it_changes_nothing(self) -> None:
-        state = machine.Machine()
+        state = state_machine.StateMachine()
         for held in (True, True, False, False):
             self.assertTrue(self.apply(state, "f", held))
         self.assertEqual(state.store.version, 2)
 
     def test_snapshot_keeps_it_and_documents_have_none(self) -> None:
-        state = machine.Machine()
+        state = state_machine.StateMachine()
         self.apply(state, "f", True)
-        restored = machine.Machine()
+        restored = state_machine.StateMachine()
         restored.load(state.dump())
         self.assertEqual(restored.store.list_names(stores.QUARANTINE), {"f"})
         self.assertEqual(stores.build_document(restored.store.get_bodies()), {})
 
     def test_bounded(self) -> None:
-        state = machine.Machine()
-        for number in range(machine.MAX_QUARANTINED):
+        state = state_machine.StateMachine()
+        for number in range(state_machine.MAX_QUARANTINED):
             self.assertTrue(self.apply(state, f"f{number}", True))
         self.assertFalse(self.apply(state, "one more", True))
         self.assertTrue(self.apply(state, "f0", False))
--- a/tillerlane/gateway/verdicts.py
+++ b/tillerlane/gateway/verdicts.py
@@ -15,7 +15,7 @@
 from tillerlane.faults import core as faults
 from tillerlane.gateway import suspects
 from tillerlane.keeper import commands
-from tillerlane.keeper import machine as machines
+from tillerlane.keeper import state_machine as state_machines
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
@@ -112,7 +112,7 @@
 
     async def _settle(self) -> None:
         held = self._store.list_names(stores.QUARANTINE)
-        has_room = len(held) < machines.MAX_QUARANTINED
+        has_room = len(held) < state_machines.MAX_QUARANTINED
         for fingerprint in self.suspects.list_repeated():
             is_deadly = quarantine.is_deadly(self.suspects.count(fingerprint))
             if is_deadly and fingerprint not in held and has_room:
--- a/tillerlane/keeper/freshness.py
+++ b/tillerlane/keeper/freshness.py
@@ -143,7 +143,9 @@
     def _is_known(self) -> bool:
         age = self.read_age()
         return (
-            age is not None and age < HOLD_SECONDS and self._replica.machine.published.version >= 0
+            age is not None
+            and age < HOLD_SECONDS
+            and self._replica.state_machine.published.version >= 0
         )
 
     def build_reply(self) -> messages.FreshnessReply:
@@ -151,13 +153,13 @@
         own = self._replica
         age = self.read_age()
         return messages.FreshnessReply(
-            version=max(0, own.machine.published.version),
+            version=max(0, own.state_machine.published.version),
             age_ms=0 if age is None else min(int(age * 1000) + 1, 2**31),
-            known=age is not None and own.machine.published.version >= 0,
+            known=age is not None and own.state_machine.published.version >= 0,
             keepers=self._list_keepers(),
             entries=self._count_entries(),
             applied_index=own.applied,
-            orders_version=own.machine.store.version,
+            orders_version=own.state_machine.store.version,
         )
 
     async def run(self) -> None:
@@ -180,12 +182,12 @@
         if link is None:
             return
         asked_at = self._now()
-        reply = await ask(link, max(0, own.machine.published.version))
+        reply = await ask(link, max(0, own.state_machine.published.version))
         if reply is None or own.leader == own.name:
             return
         # The leader's index counts, since the log carries more than the publication.
         self._is_behind = reply.known and own.applied < reply.applied_index
         if reply.known and not self._is_behind:
-            held = own.machine
+            held = own.state_machine
             self._clock.observe(asked_at, reply, held.published.version, held.store.version)
             self._note_known()
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -27,11 +27,11 @@
     commands,
     elections,
     followers,
-    machine,
     pending,
     proposals,
     replication,
     snapshots,
+    state_machine,
 )
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
@@ -79,7 +79,7 @@
         Keepers of the settings: daemon id to peer address.
     storage : storages.Storage
         Its durable state.
-    state : machine.Machine
+    state : state_machine.StateMachine
         The replicated state.
     timeline : timelines.Timeline
         Takes the events.
@@ -99,7 +99,7 @@
         name: str,
         configured: dict[str, str],
         storage: storages.Storage,
-        state: machine.Machine,
+        state: state_machine.StateMachine,
         timeline: timelines.Timeline,
         get_link: Callable[[str], links.Link | None],
         run_blocking: Run,
@@ -107,7 +107,7 @@
         list_founders: Callable[[], dict[str, str]] | None = None,
     ) -> None:
         self.name = name
-        self.machine = state
+        self.state_machine = state
         self.storage = storage
         self._configured = configured
         self._timeline = timeline
@@ -184,7 +184,7 @@
         return self._voters
 
     def _read_voters(self) -> dict[str, commands.Voter]:
-        voters = dict(self.machine.voters)
+        voters = dict(self.state_machine.voters)
         ahead = self.storage.last_index - self.applied
         for entry in self.storage.entries[len(self.storage.entries) - ahead :]:
             if not any(mark in entry.command for mark in _VOTER_MARKS):
@@ -397,13 +397,13 @@
         return self._after_apply()
 
     def _apply_entry(self, entry: messages.LogEntry) -> None:
-        answer = self.machine.apply(entry.term, entry.index, commands.decode(entry.command))
+        answer = self.state_machine.apply(entry.term, entry.index, commands.decode(entry.command))
         self.applied = entry.index
         self._bytes_behind_snapshot += len(entry.command)
         self._pending.answer(entry.index, {**answer, "index": entry.index, "term": entry.term})
 
     def _after_apply(self) -> None:
-        if self.voters == self.machine.voters:
+        if self.voters == self.state_machine.voters:
             self._adding_voter = False
         if self.is_leading:
             if self.name not in self.voters:
@@ -421,7 +421,7 @@
             return
         index = self.applied
         term = self.storage.get_term(index)
-        snapshot = storages.Snapshot(index, term or 0, self.machine.dump())
+        snapshot = storages.Snapshot(index, term or 0, self.state_machine.dump())
         self._bytes_behind_snapshot = 0
         self._run_beside("snapshot", self._save_snapshot(snapshot))
 
@@ -495,7 +495,7 @@
         try:
             return await self.propose(commands.encode(command))
         finally:
-            self._adding_voter = self.voters != self.machine.voters
+            self._adding_voter = self.voters != self.state_machine.voters
 
     # The follower's side of replication
 
@@ -552,7 +552,7 @@
             return
         async with self.write_lock:
             await self.write(self.storage.save_snapshot, snapshot)
-        self.machine.load(snapshot.data)
+        self.state_machine.load(snapshot.data)
         self.commit = max(self.commit, snapshot.last_index)
         self.applied = snapshot.last_index
         self._timeline.record("keeper.install", index=snapshot.last_index)
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -46,7 +46,7 @@
         self._now_ms = now_ms
         self._began_ms = 0.0
         """Wall time less the event loop's time, in milliseconds, when the keeper began."""
-        node_replica.machine.store.listen(self._push)
+        node_replica.state_machine.store.listen(self._push)
 
     def begin(self) -> None:
         """Start the keeper."""
@@ -128,7 +128,7 @@
             "voters": {name: voter.address for name, voter in own.voters.items()},
             "learners": dict(own.replication.learners),
             "disk_failed": own.failed.message if own.failed else None,
-            "claims": len(own.machine.claims),
+            "claims": len(own.state_machine.claims),
         }
 
 
--- a/tillerlane/keeper/machine.py
+++ b/tillerlane/keeper/state_machine.py
@@ -13,7 +13,7 @@
 from tillerlane.keeper import claims, commands, publications
 from tillerlane.peers import messages
 
-__all__ = ["Machine"]
+__all__ = ["StateMachine"]
 
 MAX_REMEMBERED_CHANGES = 20_000
 """Change ids whose first answer is remembered: over a week at 2,300 changes a day."""
@@ -39,7 +39,7 @@
     outcome: str = ""
 
 
-class Machine:
+class StateMachine:
     """State of the replicated log.
 
     Attributes
--- a/tillerlane/keeper/tests/test_exchange.py
+++ b/tillerlane/keeper/tests/test_exchange.py
@@ -52,13 +52,15 @@
         self, stage: gateway_lab.GatewayLab, wiped: list[str]
     ) -> None:
         """Acknowledge a change, lose two disks and all power, and read the change back."""
-        version = max(item.replica.machine.published.version for item in stage.keepers.values())
+        version = max(
+            item.replica.state_machine.published.version for item in stage.keepers.values()
+        )
         await stage.publish(stage.find_leader(), gateway_lab.build_document(version + 1))
         await stage.lose_power(wiped)
         await asyncio.sleep(RECOVERY_SECONDS)
         leader = stage.find_leader()
         self.assertNotEqual(leader, "", f"nobody leads without the disks of {wiped}")
-        self.assertEqual(stage.keepers[leader].replica.machine.published.version, version + 1)
+        self.assertEqual(stage.keepers[leader].replica.state_machine.published.version, version + 1)
 
 
 class HearsayTest(ExchangeCase):
@@ -256,7 +258,7 @@
                 await stage.start_keeper(name)
             await asyncio.sleep(RECOVERY_SECONDS)
             self.assertNotEqual(stage.find_leader(), "")
-            self.assertEqual(stage.keepers[behind].replica.machine.published.version, 2)
+            self.assertEqual(stage.keepers[behind].replica.state_machine.published.version, 2)
 
         self.play(scene)
 
--- a/tillerlane/keeper/tests/test_log_stateful.py
+++ b/tillerlane/keeper/tests/test_log_stateful.py
@@ -243,7 +243,7 @@
             for name in KEEPERS:
                 history = {
                     item["change_id"]: item["version"]
-                    for item in self.stage.daemons[name].keeper.replica.machine.history
+                    for item in self.stage.daemons[name].keeper.replica.state_machine.history
                 }
                 for change_id, version in self.accepted.items():
                     assert history.get(change_id) == version, (name, change_id, version)
--- a/tillerlane/keeper/tests/test_publications.py
+++ b/tillerlane/keeper/tests/test_publications.py
@@ -6,7 +6,7 @@
 from hypothesis import given, strategies
 
 from tillerlane.faults import core as faults
-from tillerlane.keeper import commands, machine, publications
+from tillerlane.keeper import commands, publications, state_machine
 from tillerlane.testing import gateway_lab, gateway_scenes, profiles
 
 
@@ -37,10 +37,10 @@
         self.assertEqual(publisher.current.content, b"first")
 
     def test_snapshot_keeps_it_and_an_older_one_takes_nothing_back(self) -> None:
-        old, new = machine.Machine(), machine.Machine()
+        old, new = state_machine.StateMachine(), state_machine.StateMachine()
         old.apply(1, 1, build_command(3))
         new.apply(1, 1, build_command(9))
-        restored = machine.Machine()
+        restored = state_machine.StateMachine()
         restored.load(new.dump())
         self.assertEqual(restored.published.version, 9)
         restored.load(old.dump())
@@ -56,7 +56,7 @@
 
     def read_versions(self, stage: gateway_lab.GatewayLab) -> set[int]:
         """Versions that the live keepers hold."""
-        return {item.replica.machine.published.version for item in stage.keepers.values()}
+        return {item.replica.state_machine.published.version for item in stage.keepers.values()}
 
     def test_acknowledged_outlives_power_off_for_all(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -194,7 +194,7 @@
             self.assertTrue(taken)
             healed.set()
             await asyncio.sleep(2)
-            self.assertEqual(leader.replica.machine.published.version, 5)
+            self.assertEqual(leader.replica.state_machine.published.version, 5)
 
         self.play(scene)
 
--- a/tillerlane/keeper/tests/test_turnover_stateful.py
+++ b/tillerlane/keeper/tests/test_turnover_stateful.py
@@ -205,9 +205,9 @@
         leader = self.find_leader()
         assert leader, "nobody leads"
         replica = self.stage.keepers[leader].replica
-        assert replica.machine.published.version >= self.accepted, "an accepted version is gone"
+        assert replica.state_machine.published.version >= self.accepted, "accepted version lost"
         disks = {name: item.replica.storage.disk_id for name, item in self.stage.keepers.items()}
-        on_record = {name: voter.disk_id for name, voter in replica.machine.voters.items()}
+        on_record = {name: voter.disk_id for name, voter in replica.state_machine.voters.items()}
         assert on_record == {name: disks.get(name) for name in on_record}, (on_record, disks)
         assert len(on_record) == VOTERS, on_record
         self.lost_disks = 0
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -64,7 +64,7 @@
 
 
 def _read_history(daemon: daemons.Daemon) -> list[dict[str, Any]]:
-    return list(daemon.keeper.replica.machine.history) if daemon.keeper else []
+    return list(daemon.keeper.replica.state_machine.history) if daemon.keeper else []
 
 
 def _cancel(daemon: daemons.Daemon, arguments: dict[str, Any]) -> dict[str, bool]:
--- a/tillerlane/placement/leader.py
+++ b/tillerlane/placement/leader.py
@@ -11,7 +11,7 @@
 
 from tillerlane.config import store as stores
 from tillerlane.faults import core as faults
-from tillerlane.keeper import commands, machine, replica
+from tillerlane.keeper import commands, replica, state_machine
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 from tillerlane.placement import planner
@@ -69,8 +69,8 @@
             self._task.cancel()
 
     @property
-    def _machine(self) -> machine.Machine:
-        return self._replica.machine
+    def _machine(self) -> state_machine.StateMachine:
+        return self._replica.state_machine
 
     async def _run(self) -> None:
         while True:
@@ -186,7 +186,7 @@
         await self._replica.propose(commands.encode(command))
         await self._give(self._machine.orders[command.order_id])
 
-    async def _give(self, record: machine.OrderRecord) -> None:
+    async def _give(self, record: state_machine.OrderRecord) -> None:
         """Give an order to the target's agent; no answer leaves it open, to be given again."""
         for member in self._read_members():
             if record.target in member.targets:
--- a/tillerlane/platform/tests/test_imports.py
+++ b/tillerlane/platform/tests/test_imports.py
@@ -25,8 +25,8 @@
 print("done")
 """
 KEEPER_WORK = """
-from tillerlane.keeper import machine
-state = machine.Machine()
+from tillerlane.keeper import state_machine
+state = state_machine.StateMachine()
 state.store.listen(lambda configuration: None)
 state.load(state.dump())
 """
