--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -189,7 +189,7 @@
             self._around.run_blocking,
             self._around.rng,
         )
-        part.on_standing = self._note_standing
+        part.on_role_change = self._note_standing
         self.keeper = server.Keeper(
             part, self._get_keeper_link, self._get_subscribers, self._read_ms
         )
--- a/tillerlane/gateway/tests/test_evacuation.py
+++ b/tillerlane/gateway/tests/test_evacuation.py
@@ -317,7 +317,7 @@
     def test_leader_that_dies_between_commit_and_push(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             leader = next(
-                name for name, item in stage.keepers.items() if item.replica.standing == "leader"
+                name for name, item in stage.keepers.items() if item.replica.role == "leader"
             )
             stage.keepers[leader]._subscribers.clear()  # its push reaches nobody
             await stage.keepers[leader].evacuate(HALL, True)
--- a/tillerlane/keeper/freshness.py
+++ b/tillerlane/keeper/freshness.py
@@ -101,7 +101,7 @@
         """Set when the leader is to be asked before the next pause ends."""
         self._is_behind = False
         """Whether the leader's last answer was ahead of what is held here."""
-        replica.on_standing = self._is_due.set
+        replica.on_role_change = self._is_due.set
         replica.on_commit = self._note_known
 
     def _now(self) -> float:
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -38,7 +38,7 @@
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Replica", "Standing"]
+__all__ = ["Replica", "Role"]
 
 COMMIT_SECONDS = 3.0
 """How long a proposal waits to be committed."""
@@ -60,7 +60,7 @@
 Run = Callable[..., Awaitable[Any]]
 
 
-class Standing(enum.StrEnum):
+class Role(enum.StrEnum):
     """What a keeper is at the moment."""
 
     FOLLOWER = "follower"
@@ -112,7 +112,7 @@
         self._configured = configured
         self._timeline = timeline
         self._run_blocking = run_blocking
-        self.standing = Standing.FOLLOWER
+        self.role = Role.FOLLOWER
         self.leader = ""
         self.commit = storage.snapshot.last_index
         self.applied = storage.snapshot.last_index
@@ -136,7 +136,7 @@
         self._writing_since: float | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self.failed: faults.Fault | None = None
-        self.on_standing: Callable[[], None] = lambda: None
+        self.on_role_change: Callable[[], None] = lambda: None
         self.on_commit: Callable[[], None] = lambda: None
         if storage.snapshot.data:
             state.load(storage.snapshot.data)
@@ -281,12 +281,12 @@
 
     def become_candidate(self) -> None:
         """Stand for election in the term that the disk names."""
-        self.standing = Standing.CANDIDATE
+        self.role = Role.CANDIDATE
         self.leader = ""
 
     def become_leader(self) -> None:
         """Lead the term that the disk names; an entry of the term is the first to be committed."""
-        self.standing = Standing.LEADER
+        self.role = Role.LEADER
         self.leader = self.name
         self.elections.heard_at = self._now()
         self._adding_voter = False
@@ -295,19 +295,19 @@
         self._pending.add(commands.encode(commands.Noop()), first=True)
         self._noop_index = self.storage.last_index + 1
         self.replication.begin(self.voters)
-        self.on_standing()
+        self.on_role_change()
 
     def become_follower(self, term: int, leader: str) -> None:
         """Lead no more, or follow another leader."""
-        was = (self.standing, self.leader)
-        self.standing = Standing.FOLLOWER
+        was = (self.role, self.leader)
+        self.role = Role.FOLLOWER
         self.leader = leader
-        if was[0] is Standing.LEADER:
+        if was[0] is Role.LEADER:
             self._timeline.record("keeper.follow", term=term, leader=leader)
             self.replication.end()
             self._pending.fail_all("another keeper leads")
-        if was != (self.standing, self.leader):
-            self.on_standing()
+        if was != (self.role, self.leader):
+            self.on_role_change()
 
     async def follow_term(self, term: int, leader: str = "") -> None:
         """Enter a later term, or take its leader's name to the disk.
@@ -336,7 +336,7 @@
         """
         self._check_disk()
         if not self.has_lease:
-            message = f"{self.name} is {self.standing} without a lease"
+            message = f"{self.name} is {self.role} without a lease"
             detail = {"leader": self.leader}
             raise proposals.build_no_quorum(message, detail=detail)
         proposal = self._pending.add(command)
@@ -440,7 +440,7 @@
     @property
     def is_leading(self) -> bool:
         """Whether this keeper leads; it may have lost its lease."""
-        return self.standing is Standing.LEADER
+        return self.role is Role.LEADER
 
     def add_learner(self, name: str, address: str) -> None:
         """Bring a keeper up to date and then make it a voter."""
@@ -532,7 +532,7 @@
         if term > self.storage.term or self.storage.voted_for != leader:
             await self.follow_term(term, leader)
         self.elections.note_leader()
-        if self.leader != leader or self.standing is not Standing.FOLLOWER:
+        if self.leader != leader or self.role is not Role.FOLLOWER:
             self.become_follower(term, leader)
         return True
 
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -117,7 +117,7 @@
         """State of this keeper, for operators."""
         own = self.replica
         return {
-            "standing": own.standing.value,
+            "standing": own.role.value,
             "leader": own.leader,
             "term": own.storage.term,
             "last_index": own.storage.last_index,
