--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -276,7 +276,7 @@
     @property
     def has_failed(self) -> bool:
         """Whether the disk refused a write; what it holds must be read anew."""
-        return self.replica.failed is not None
+        return self.replica.disk_fault is not None
 
     async def leave(self) -> None:
         """Hand the vote over before a planned stop, if another keeper stands by for it."""
--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -42,7 +42,7 @@
     storage: storages.Storage
     leader: str
     write_lock: asyncio.Lock
-    failed: faults.Fault | None
+    disk_fault: faults.Fault | None
 
     @property
     def is_leading(self) -> bool:
@@ -170,7 +170,7 @@
         while True:
             await asyncio.sleep(self._read_pause())
             own = self._member
-            if own.failed is not None:
+            if own.disk_fault is not None:
                 continue
             if own.is_stalled:
                 if own.is_leading:
--- a/tillerlane/keeper/freshness.py
+++ b/tillerlane/keeper/freshness.py
@@ -158,7 +158,7 @@
             known=age is not None and own.state_machine.published.version >= 0,
             keepers=self._list_keepers(),
             entries=self._count_entries(),
-            applied_index=own.applied,
+            applied_index=own.applied_index,
             orders_version=own.state_machine.store.version,
         )
 
@@ -186,7 +186,7 @@
         if reply is None or own.leader == own.name:
             return
         # The leader's index counts, since the log carries more than the publication.
-        self._is_behind = reply.known and own.applied < reply.applied_index
+        self._is_behind = reply.known and own.applied_index < reply.applied_index
         if reply.known and not self._is_behind:
             held = own.state_machine
             self._clock.observe(asked_at, reply, held.published.version, held.store.version)
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -114,8 +114,8 @@
         self._run_blocking = run_blocking
         self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit = storage.snapshot.last_index
-        self.applied = storage.snapshot.last_index
+        self.commit_index = storage.snapshot.last_index
+        self.applied_index = storage.snapshot.last_index
         self.elections = elections.Elections(
             self,
             len(configured),
@@ -135,7 +135,7 @@
         self._bytes_behind_snapshot = 0
         self._writing_since: float | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self.failed: faults.Fault | None = None
+        self.disk_fault: faults.Fault | None = None
         self.on_role_change: Callable[[], None] = lambda: None
         self.on_commit: Callable[[], None] = lambda: None
         if storage.snapshot.data:
@@ -177,7 +177,7 @@
     @property
     def voters(self) -> dict[str, commands.Voter]:
         """Voters by the latest entry of the log, committed or not; empty before it is founded."""
-        mark = (self.applied, self.storage.last_index, self.storage.last_term)
+        mark = (self.applied_index, self.storage.last_index, self.storage.last_term)
         if mark != self._voters_mark:
             self._voters_mark = mark
             self._voters = self._read_voters()
@@ -185,7 +185,7 @@
 
     def _read_voters(self) -> dict[str, commands.Voter]:
         voters = dict(self.state_machine.voters)
-        ahead = self.storage.last_index - self.applied
+        ahead = self.storage.last_index - self.applied_index
         for entry in self.storage.entries[len(self.storage.entries) - ahead :]:
             if not any(mark in entry.command for mark in _VOTER_MARKS):
                 continue
@@ -214,7 +214,7 @@
     @property
     def has_lease(self) -> bool:
         """Whether no other keeper can be leader yet: a quorum answered lately."""
-        if not self.is_leading or self.failed is not None:
+        if not self.is_leading or self.disk_fault is not None:
             return False
         confirmed_at = self._read_quorum_time()
         return confirmed_at is not None and self._now() - confirmed_at < elections.LEASE_SECONDS
@@ -229,7 +229,7 @@
         What is committed here now includes all that was committed anywhere by then.  None if this
         keeper does not lead, or has not yet committed an entry of its own term.
         """
-        if not self.has_lease or self.commit < self._noop_index:
+        if not self.has_lease or self.commit_index < self._noop_index:
             return None
         return self._read_quorum_time()
 
@@ -242,14 +242,14 @@
 
     def _stand_down(self, fault: faults.Fault) -> None:
         """The disk failed: answer nothing more that depends on it."""
-        if self.failed is None:
-            self.failed = fault
+        if self.disk_fault is None:
+            self.disk_fault = fault
             self._timeline.record("keeper.disk_failed", message=fault.message)
             self.become_follower(self.storage.term, "")
 
     def _check_disk(self) -> None:
-        if self.failed is not None:
-            raise faults.FaultError(self.failed)
+        if self.disk_fault is not None:
+            raise faults.FaultError(self.disk_fault)
 
     async def write(self, work: Callable[..., None], *arguments: Any) -> None:
         """Run a blocking write of the storage; one at a time is the callers' lock."""
@@ -380,25 +380,25 @@
         index = self.replication.find_quorum_index(self.voters)
         if index is None:
             return
-        if index > self.commit and self.storage.get_term(index) == self.storage.term:
-            self.commit = index
+        if index > self.commit_index and self.storage.get_term(index) == self.storage.term:
+            self.commit_index = index
             self._apply_committed()
             self.replication.wake_all()
 
     def _apply_committed(self) -> None:
-        while self.applied < self.commit:
-            entries = self.storage.get_entries(self.applied + 1, 1_000, 1 << 30)
+        while self.applied_index < self.commit_index:
+            entries = self.storage.get_entries(self.applied_index + 1, 1_000, 1 << 30)
             if not entries:
                 return
             for entry in entries:
-                if entry.index > self.commit:
+                if entry.index > self.commit_index:
                     return self._after_apply()
                 self._apply_entry(entry)
         return self._after_apply()
 
     def _apply_entry(self, entry: messages.LogEntry) -> None:
         answer = self.state_machine.apply(entry.term, entry.index, commands.decode(entry.command))
-        self.applied = entry.index
+        self.applied_index = entry.index
         self._bytes_behind_snapshot += len(entry.command)
         self._pending.answer(entry.index, {**answer, "index": entry.index, "term": entry.term})
 
@@ -411,7 +411,7 @@
                 return
             self.replication.follow(self.voters)
         self.on_commit()
-        behind = self.applied - self.storage.snapshot.last_index
+        behind = self.applied_index - self.storage.snapshot.last_index
         if behind >= SNAPSHOT_ENTRIES or self._bytes_behind_snapshot >= SNAPSHOT_BYTES:
             self._start_snapshot()
 
@@ -419,7 +419,7 @@
         """Write a snapshot in the background; a few entries in front of it are kept."""
         if self._is_running("snapshot"):
             return
-        index = self.applied
+        index = self.applied_index
         term = self.storage.get_term(index)
         snapshot = storages.Snapshot(index, term or 0, self.state_machine.dump())
         self._bytes_behind_snapshot = 0
@@ -465,7 +465,7 @@
             return
         if voter is None and name not in self.replication.learners:
             return  # a standby; `keeper.turnover` decides
-        is_ready = progress.disk_id and progress.match_index >= max(self.commit, 1)
+        is_ready = progress.disk_id and progress.match_index >= max(self.commit_index, 1)
         is_changing = self._adding_voter or self._is_running("promote")
         if not is_ready or is_changing or not self.has_lease:
             return
@@ -489,7 +489,7 @@
         faults.FaultError
             ``no_quorum`` if another change is still on its way.
         """
-        if self._adding_voter or self.commit < self._noop_index:
+        if self._adding_voter or self.commit_index < self._noop_index:
             raise proposals.build_no_quorum("another change of voters is on its way")
         self._adding_voter = True
         try:
@@ -517,7 +517,7 @@
             if request.entries:
                 await self.write(storage.append, request.entries)
         known = request.prev_index + len(request.entries)
-        self.commit = max(self.commit, min(request.commit, known))
+        self.commit_index = max(self.commit_index, min(request.commit, known))
         self._apply_committed()
         return self._reply_append(True, known)
 
@@ -548,11 +548,11 @@
         return messages.SnapshotReply(storage.term, received, storage.disk_id)
 
     async def _install(self, snapshot: storages.Snapshot) -> None:
-        if snapshot.last_index <= self.applied:
+        if snapshot.last_index <= self.applied_index:
             return
         async with self.write_lock:
             await self.write(self.storage.save_snapshot, snapshot)
         self.state_machine.load(snapshot.data)
-        self.commit = max(self.commit, snapshot.last_index)
-        self.applied = snapshot.last_index
+        self.commit_index = max(self.commit_index, snapshot.last_index)
+        self.applied_index = snapshot.last_index
         self._timeline.record("keeper.install", index=snapshot.last_index)
--- a/tillerlane/keeper/replication.py
+++ b/tillerlane/keeper/replication.py
@@ -23,7 +23,7 @@
 
     name: str
     storage: storages.Storage
-    commit: int
+    commit_index: int
 
     @property
     def is_leading(self) -> bool:
@@ -143,7 +143,7 @@
         entries = storage.get_entries(progress.next_index, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
         term = storage.term
         request = messages.AppendRequest(
-            term, self._leader.name, prev_index, prev_term, self._leader.commit, entries
+            term, self._leader.name, prev_index, prev_term, self._leader.commit_index, entries
         )
         sent_at = _now()
         reply = await link.call(request, ballots.CALL_SECONDS)
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -121,13 +121,13 @@
             "leader": own.leader,
             "term": own.storage.term,
             "last_index": own.storage.last_index,
-            "commit": own.commit,
+            "commit": own.commit_index,
             "snapshot": own.storage.snapshot.last_index,
             "has_lease": own.has_lease,
             "is_voter": own.is_voter,
             "voters": {name: voter.address for name, voter in own.voters.items()},
             "learners": dict(own.replication.learners),
-            "disk_failed": own.failed.message if own.failed else None,
+            "disk_failed": own.disk_fault.message if own.disk_fault else None,
             "claims": len(own.state_machine.claims),
         }
 
--- a/tillerlane/keeper/storage.py
+++ b/tillerlane/keeper/storage.py
@@ -139,8 +139,8 @@
         self.voted_for = ""
         self.entries: list[messages.LogEntry] = []
         self.snapshot = Snapshot(0, 0, b"")
-        self.failed = False
-        self.torn_bytes = 0
+        self.is_failed = False
+        self.truncated_bytes = 0
         """Bytes of a torn tail that were cut at the start."""
         try:
             self.disk_id = self._load_identity(keeper)
@@ -214,7 +214,7 @@
             if record is None:
                 if not is_last or _has_good_record_after(data, position):
                     raise _damaged(name, f"bad record at byte {position}")
-                self.torn_bytes = len(data) - position
+                self.truncated_bytes = len(data) - position
                 self._disk.truncate(name, position)
                 return
             self._take_record(name, record)
@@ -342,12 +342,12 @@
 
     def _write(self, work: Callable[[], None]) -> None:
         """Do a write; after one has failed, what the files hold is unknown and none is tried."""
-        if self.failed:
+        if self.is_failed:
             raise _failed("cannot be written", OSError(0, "an earlier write failed"))
         try:
             work()
         except OSError as error:
-            self.failed = True
+            self.is_failed = True
             raise _failed("cannot be written", error) from error
 
 
--- a/tillerlane/keeper/tests/test_log_stateful.py
+++ b/tillerlane/keeper/tests/test_log_stateful.py
@@ -214,7 +214,7 @@
             await asyncio.sleep(0.5)
             replicas = [self.stage.daemons[name].keeper.replica for name in KEEPERS]
             is_well = all(item.is_voter and item.has_leader for item in replicas)
-            if is_well and len({item.applied for item in replicas}) == 1:
+            if is_well and len({item.applied_index for item in replicas}) == 1:
                 return True
         return False
 
--- a/tillerlane/keeper/turnover.py
+++ b/tillerlane/keeper/turnover.py
@@ -112,7 +112,7 @@
         return (
             progress is not None
             and bool(progress.disk_id)
-            and progress.match_index >= max(own.commit, 1)
+            and progress.match_index >= max(own.commit_index, 1)
             and self._now() - progress.acked_at < READY_SECONDS
         )
 
