--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -161,7 +161,7 @@
             self._get_link,
             self._around.run_blocking,
             self._around.rng,
-            self.formation.list_founders,
+            self.formation.list_bootstrap_peers,
         )
         self.formation.attach(self.replica)
         self.keeper = server.Keeper(
--- a/tillerlane/keeper/commands.py
+++ b/tillerlane/keeper/commands.py
@@ -130,7 +130,7 @@
     disk_id: str
 
 
-class Found(msgspec.Struct, frozen=True, tag="found"):
+class Bootstrap(msgspec.Struct, frozen=True, tag="found"):
     """First entry of a fleet's log: the voters with their disks."""
 
     voters: dict[str, Voter]
@@ -195,7 +195,7 @@
     | ClaimMove
     | ClaimSettle
     | ClaimRelease
-    | Found
+    | Bootstrap
     | VoterAdd
     | VoterRemove
     | Order
--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -95,7 +95,7 @@
         Takes the events.
     rng : random.Random
         Draws election timeouts.
-    list_founders : callable
+    list_bootstrap_peers : callable
         Gives the first voters, name to address, if this keeper may found the log now.
 
     Attributes
@@ -113,14 +113,14 @@
         get_link: Callable[[str], links.Link | None],
         timeline: timelines.Timeline,
         rng: random.Random,
-        list_founders: Callable[[], dict[str, str]],
+        list_bootstrap_peers: Callable[[], dict[str, str]],
     ) -> None:
         self._member = member
         self._configured = configured
         self._get_link = get_link
         self._timeline = timeline
         self._rng = rng
-        self._list_founders = list_founders
+        self._list_bootstrap_peers = list_bootstrap_peers
         self.heard_at = -1e9
         self._election_at = 0.0
         self._began_at = math.inf
@@ -200,7 +200,7 @@
     async def _stand(self) -> None:
         own = self._member
         if not own.voters:
-            await self._try_founding()
+            await self._try_bootstrap()
             return
         if not own.is_voter or self._may_support_leader(own.name):
             return
@@ -254,15 +254,15 @@
             verdicts=ballot.verdicts,
         )
 
-    async def _try_founding(self) -> None:
+    async def _try_bootstrap(self) -> None:
         """Found the log, if every founder is there with a fresh disk."""
         own = self._member
-        founders = self._list_founders() if own.storage.is_fresh else {}
-        if own.name not in founders:
+        bootstrap_peers = self._list_bootstrap_peers() if own.storage.is_fresh else {}
+        if own.name not in bootstrap_peers:
             return
         request = self._build_vote_request(1, pre=True)
-        voters = {own.name: commands.Voter(founders[own.name], own.storage.disk_id)}
-        for name, address in founders.items():
+        voters = {own.name: commands.Voter(bootstrap_peers[own.name], own.storage.disk_id)}
+        for name, address in bootstrap_peers.items():
             if name == own.name:
                 continue
             reply = await ballots.ask(self._get_link, address, request)
@@ -271,7 +271,7 @@
             voters[name] = commands.Voter(address, reply.disk_id)
         async with own.write_lock:
             await own.write(own.storage.save_vote, 1, own.name)
-            found = messages.LogEntry(1, 1, commands.encode(commands.Found(voters)))
+            found = messages.LogEntry(1, 1, commands.encode(commands.Bootstrap(voters)))
             await own.write(own.storage.append, [found])
         self._timeline.record("keeper.found", voters=sorted(voters))
         own.become_leader()
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -24,9 +24,9 @@
 GREET_SECONDS = 0.1
 """Pause between two announcements to a keeper that has not told of itself yet: three of them, by
 way of a keeper that both know, bring a newcomer and the leader together."""
-FOUNDING_PATIENCE_SECONDS = 5.0
+BOOTSTRAP_TIMEOUT_SECONDS = 5.0
 """How long the founder waits for the wished number before it begins with fewer."""
-LEAST_FOUNDERS = 3
+MIN_BOOTSTRAP_PEERS = 3
 LEAVE_SECONDS = 1.0
 """How long a planned stop waits for the vote to be turned over, which takes 0.02 to 0.12 s (40
 stops in virtual time, half of them of the leader).  Who is not done then is silent soon after."""
@@ -87,7 +87,7 @@
         self.quorum = quorum.QuorumLog(timeline, plan.wished_voters // 2, self._now)
 
     def attach(self, replica: replicas.Replica) -> None:
-        """Take the keeper's part in the log, which itself asks `list_founders`."""
+        """Take the keeper's part in the log, which itself asks `list_bootstrap_peers`."""
         self._replica = replica
         self.turnover = turnover.Turnover(
             replica,
@@ -129,14 +129,14 @@
             return sorted(voter.address for voter in self._replica.voters.values())
         return sorted(seen.address for seen in self._contacts.list_alive())
 
-    def list_founders(self) -> dict[str, str]:
+    def list_bootstrap_peers(self) -> dict[str, str]:
         """First voters, name to address; empty while this keeper may not found the log."""
         if not self._plan.may_found:
             return {}
         alive = self._contacts.list_alive()[: self._plan.wished_voters - 1]
         fresh = {seen.name: seen.address for seen in alive}
-        is_late = self._now() - self._began_at > FOUNDING_PATIENCE_SECONDS
-        wanted = min(LEAST_FOUNDERS, self._plan.wished_voters) if is_late else None
+        is_late = self._now() - self._began_at > BOOTSTRAP_TIMEOUT_SECONDS
+        wanted = min(MIN_BOOTSTRAP_PEERS, self._plan.wished_voters) if is_late else None
         if len(fresh) + 1 < (wanted or self._plan.wished_voters):
             return {}
         return {self._name: self._address, **fresh}
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -89,7 +89,7 @@
         Runs a blocking function without holding the event loop.
     rng : random.Random
         Draws election timeouts.
-    list_founders : callable, optional
+    list_bootstrap_peers : callable, optional
         Gives the first voters, name to address, if this keeper may found the log now; empty
         otherwise.  By default the configured keepers, for the one of the lowest name.
     """
@@ -104,7 +104,7 @@
         get_link: Callable[[str], links.Link | None],
         run_blocking: Run,
         rng: random.Random,
-        list_founders: Callable[[], dict[str, str]] | None = None,
+        list_bootstrap_peers: Callable[[], dict[str, str]] | None = None,
     ) -> None:
         self.name = name
         self.state_machine = state
@@ -122,7 +122,7 @@
             get_link,
             timeline,
             rng,
-            list_founders or self._list_configured,
+            list_bootstrap_peers or self._list_configured,
         )
         self.write_lock = asyncio.Lock()
         self.replication = replication.Replication(self, get_link)
@@ -190,7 +190,7 @@
             if not any(mark in entry.command for mark in _VOTER_MARKS):
                 continue
             command = commands.decode(entry.command)
-            if isinstance(command, commands.Found):
+            if isinstance(command, commands.Bootstrap):
                 voters = dict(command.voters)
             elif isinstance(command, commands.VoterAdd):
                 voters[command.name] = commands.Voter(command.address, command.disk_id)
--- a/tillerlane/keeper/state_machine.py
+++ b/tillerlane/keeper/state_machine.py
@@ -89,7 +89,7 @@
                 return self.claims.release(command)
             case commands.Publish():
                 return self.published.publish(command)
-            case commands.Found():
+            case commands.Bootstrap():
                 self.voters = dict(command.voters)
             case commands.VoterAdd():
                 self.voters[command.name] = commands.Voter(command.address, command.disk_id)
