--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -76,7 +76,7 @@
         Where it listens to peers and to whoever collects figures.
     data_folder : str
         Its folder on the disk.
-    plan : formation.Plan
+    plan : formation.FormationSettings
         How the keepers find each other.
     silent_seconds : float
         A target whose last heartbeat is older gets work only where nothing else is left.
@@ -89,7 +89,7 @@
     peer_listen_address: str
     metrics_address: str
     data_folder: str
-    plan: formation.Plan
+    plan: formation.FormationSettings
     silent_seconds: float
     read_seconds: float
 
@@ -241,7 +241,7 @@
             "daemon.start",
             role="keeper",
             seeds=list(self._own.plan.seeds),
-            may_found=self._own.plan.may_found,
+            may_found=self._own.plan.can_bootstrap,
             last_index=self.replica.storage.last_index,
             version=self.replica.state_machine.published.version,
         )
--- a/tillerlane/gateway/tests/test_cold.py
+++ b/tillerlane/gateway/tests/test_cold.py
@@ -26,7 +26,7 @@
 
     keepers = 5
     entries = 68
-    wished_voters = 5
+    desired_voters = 5
 
     async def rush(self, stage: gateway_lab.GatewayLab, until: float) -> list[caller.CallerAnswer]:
         """Have callers of all entries ask again and again; gives all their answers."""
@@ -66,7 +66,7 @@
         """Start the fleet with rates for cold targets."""
 
         async def run() -> None:
-            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.wished_voters)
+            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.desired_voters)
             await stage.start()
             await asyncio.sleep(6)
             await stage.publish("keeper-1", build_document(1))
--- a/tillerlane/gateway/tests/test_evacuation.py
+++ b/tillerlane/gateway/tests/test_evacuation.py
@@ -254,7 +254,7 @@
 
     keepers = 5
     entries = 3
-    wished_voters = 5
+    desired_voters = 5
 
     def assert_in_force(self, stage: gateway_lab.GatewayLab, halls: set[str]) -> None:
         """All live daemons hold these orders."""
--- a/tillerlane/gateway/tests/test_homes.py
+++ b/tillerlane/gateway/tests/test_homes.py
@@ -23,7 +23,7 @@
 
     keepers = 5
     entries = 6
-    wished_voters = 5
+    desired_voters = 5
 
     @mock.patch.object(homes, "FEW_ENTRIES", 0)
     def test_entries_leave_keepers_that_are_cut_off_from_the_log(self) -> None:
--- a/tillerlane/gateway/tests/test_leaving_scale.py
+++ b/tillerlane/gateway/tests/test_leaving_scale.py
@@ -13,7 +13,7 @@
 
     keepers = 5
     entries = 68
-    wished_voters = 5
+    desired_voters = 5
 
     def test_one_entrys_word_of_leaving_comes_late_to_the_others(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
--- a/tillerlane/gateway/tests/test_life.py
+++ b/tillerlane/gateway/tests/test_life.py
@@ -83,7 +83,7 @@
     """Keepers and entries start together, after all of them were stopped."""
 
     keepers = 5
-    wished_voters = 5
+    desired_voters = 5
 
     async def stop_all(self, stage: gateway_lab.GatewayLab) -> str:
         """Stop everything but the targets; gives the keeper that led."""
--- a/tillerlane/gateway/tests/test_named_limits_scale.py
+++ b/tillerlane/gateway/tests/test_named_limits_scale.py
@@ -11,7 +11,7 @@
 
     keepers = 5
     entries = 68
-    wished_voters = 5
+    desired_voters = 5
 
     def test_many_entries_send_more_than_the_limit_together(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
--- a/tillerlane/gateway/tests/test_quarantine.py
+++ b/tillerlane/gateway/tests/test_quarantine.py
@@ -113,7 +113,7 @@
 
     keepers = 5
     entries = 3
-    wished_voters = 5
+    desired_voters = 5
 
     def play_after(
         self, change: Callable[[gateway_lab.GatewayLab], Awaitable[None]], settle: float = 2.0
--- a/tillerlane/gateway/tests/test_spread.py
+++ b/tillerlane/gateway/tests/test_spread.py
@@ -59,7 +59,7 @@
 
     keepers = 5
     entries = 6
-    wished_voters = 5
+    desired_voters = 5
 
     def test_all_entries_count_a_run_once(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -164,13 +164,13 @@
 
     keepers = 5
     entries = 68
-    wished_voters = 5
+    desired_voters = 5
 
     def play(self, scene: Callable[[gateway_lab.GatewayLab], Awaitable[None]]) -> None:
         """Start keepers, and only then, all at once, entries."""
 
         async def run() -> None:
-            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.wished_voters)
+            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.desired_voters)
             for name in stage.keeper_names:
                 await stage.start_keeper(name, is_first=True)
             await asyncio.sleep(6)
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -17,7 +17,7 @@
 from tillerlane.peers import node as nodes
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Formation", "Plan"]
+__all__ = ["Formation", "FormationSettings"]
 
 ANNOUNCE_SECONDS = 0.4
 """Pause between two announcements; they are small and only go between keepers."""
@@ -34,25 +34,25 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Plan:
+class FormationSettings:
     """What a keeper is told of its fleet.
 
     Attributes
     ----------
     seeds : tuple of str
         Peer addresses to begin with; some may be down.
-    wished_voters : int
+    desired_voters : int
         Odd; one more than twice the disks that may be lost at once.
-    patience_seconds : float
+    voter_timeout_seconds : float
         Silence of a voter after which another keeper takes its vote.
-    may_found : bool
+    can_bootstrap : bool
         Whether this keeper founds the log if it is not founded yet.
     """
 
     seeds: tuple[str, ...]
-    wished_voters: int
-    patience_seconds: float
-    may_found: bool
+    desired_voters: int
+    voter_timeout_seconds: float
+    can_bootstrap: bool
 
 
 class Formation:
@@ -60,7 +60,7 @@
 
     Parameters
     ----------
-    plan : Plan
+    settings : FormationSettings
         From the settings.
     address : str
         This keeper's peer address.
@@ -71,9 +71,14 @@
     """
 
     def __init__(
-        self, plan: Plan, name: str, address: str, node: nodes.Node, timeline: timelines.Timeline
+        self,
+        settings: FormationSettings,
+        name: str,
+        address: str,
+        node: nodes.Node,
+        timeline: timelines.Timeline,
     ) -> None:
-        self._plan = plan
+        self._settings = settings
         self._name = name
         self._address = address
         self._node = node
@@ -84,7 +89,7 @@
         self._is_leaving = False
         self._is_due = asyncio.Event()
         """Set when all are to be spoken to before the next pause ends."""
-        self.quorum = quorum.QuorumLog(timeline, plan.wished_voters // 2, self._now)
+        self.quorum = quorum.QuorumLog(timeline, settings.desired_voters // 2, self._now)
 
     def attach(self, replica: replicas.Replica) -> None:
         """Take the keeper's part in the log, which itself asks `list_bootstrap_peers`."""
@@ -92,8 +97,8 @@
         self.turnover = turnover.Turnover(
             replica,
             self._contacts,
-            self._plan.wished_voters,
-            self._plan.patience_seconds,
+            self._settings.desired_voters,
+            self._settings.voter_timeout_seconds,
             self._timeline,
             self._now,
             self._reads_as_leaving,
@@ -101,7 +106,7 @@
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take other seeds; keepers known already stay known."""
-        self._plan = dataclasses.replace(self._plan, seeds=seeds)
+        self._settings = dataclasses.replace(self._settings, seeds=seeds)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -113,7 +118,7 @@
         know each other just so; when each waited for the other's word, the newcomer never got the
         vote of a keeper that was lost, and two more lost disks stopped the log.
         """
-        found = set(self._plan.seeds) | self._contacts.list_addresses()
+        found = set(self._settings.seeds) | self._contacts.list_addresses()
         if self._replica is not None:
             found.update(voter.address for voter in self._replica.voters.values())
         found.discard(self._address)
@@ -131,13 +136,13 @@
 
     def list_bootstrap_peers(self) -> dict[str, str]:
         """First voters, name to address; empty while this keeper may not found the log."""
-        if not self._plan.may_found:
+        if not self._settings.can_bootstrap:
             return {}
-        alive = self._contacts.list_alive()[: self._plan.wished_voters - 1]
+        alive = self._contacts.list_alive()[: self._settings.desired_voters - 1]
         fresh = {seen.name: seen.address for seen in alive}
         is_late = self._now() - self._began_at > BOOTSTRAP_TIMEOUT_SECONDS
-        wanted = min(MIN_BOOTSTRAP_PEERS, self._plan.wished_voters) if is_late else None
-        if len(fresh) + 1 < (wanted or self._plan.wished_voters):
+        wanted = min(MIN_BOOTSTRAP_PEERS, self._settings.desired_voters) if is_late else None
+        if len(fresh) + 1 < (wanted or self._settings.desired_voters):
             return {}
         return {self._name: self._address, **fresh}
 
--- a/tillerlane/keeper/tests/test_exchange.py
+++ b/tillerlane/keeper/tests/test_exchange.py
@@ -46,7 +46,7 @@
     """Five keepers, of which two may be lost at once; base of the tests."""
 
     keepers = 5
-    wished_voters = 5
+    desired_voters = 5
 
     async def check_serves_after_two_losses(
         self, stage: gateway_lab.GatewayLab, wiped: list[str]
@@ -180,7 +180,7 @@
         while True:
             await asyncio.sleep(0.001)
             leader = stage.find_leader()
-            if leader and len(stage.keepers[leader].replica.voters) != self.wished_voters:
+            if leader and len(stage.keepers[leader].replica.voters) != self.desired_voters:
                 return leader
 
     def test_two_disks_may_be_lost_once_the_leader_counts_as_whole_again(self) -> None:
--- a/tillerlane/keeper/tests/test_publications.py
+++ b/tillerlane/keeper/tests/test_publications.py
@@ -52,7 +52,7 @@
 
     keepers = 5
     entries = 2
-    wished_voters = 5
+    desired_voters = 5
 
     def read_versions(self, stage: gateway_lab.GatewayLab) -> set[int]:
         """Versions that the live keepers hold."""
@@ -132,7 +132,7 @@
     """A keeper that goes for good, and an empty one at another address."""
 
     keepers = 4
-    wished_voters = 3
+    desired_voters = 3
 
     def test_spare_keeper_takes_the_vote_of_one_that_is_gone(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
--- a/tillerlane/keeper/tests/test_restarts.py
+++ b/tillerlane/keeper/tests/test_restarts.py
@@ -62,7 +62,7 @@
     """Everything stops at once and comes back."""
 
     keepers = 5
-    wished_voters = 5
+    desired_voters = 5
     entries = 2
 
     async def stop_all(self, stage: gateway_lab.GatewayLab) -> str:
--- a/tillerlane/platform/settings.py
+++ b/tillerlane/platform/settings.py
@@ -157,11 +157,11 @@
         peer_listen_address=own.listen.peer or own.peer_address,
         metrics_address=f"{own.ip}:{METRICS_PORT}",
         data_folder=own.data_dir,
-        plan=formation.Plan(
+        plan=formation.FormationSettings(
             seeds=own.seed_peers,
-            wished_voters=2 * losses + 1,
-            patience_seconds=own.bounds.catch_up_s * PATIENCE_SHARE,
-            may_found=own.bootstrap and is_first_seed,
+            desired_voters=2 * losses + 1,
+            voter_timeout_seconds=own.bounds.catch_up_s * PATIENCE_SHARE,
+            can_bootstrap=own.bootstrap and is_first_seed,
         ),
         silent_seconds=own.heartbeat_ms / 1000 * SILENT_HEARTBEATS,
         read_seconds=own.bounds.config_ms / 1000 * READ_SHARE,
--- a/tillerlane/testing/gateway_lab.py
+++ b/tillerlane/testing/gateway_lab.py
@@ -65,11 +65,11 @@
     ----------
     keepers, entries : int
         How many of each.
-    wished_voters : int
+    desired_voters : int
         Size of the keepers' log.
     """
 
-    def __init__(self, keepers: int = 3, entries: int = 1, wished_voters: int = 3) -> None:
+    def __init__(self, keepers: int = 3, entries: int = 1, desired_voters: int = 3) -> None:
         self.network = network.Network()
         self.keepers: dict[str, control.Control] = {}
         self.entries: dict[str, entry.Entry] = {}
@@ -79,7 +79,7 @@
         self._sequences: dict[str, int] = {}
         self.lost_connections = 0
         """Connections that were tried to targets that are cut off."""
-        self._wished = wished_voters
+        self._wished = desired_voters
         self.keeper_names = [f"keeper-{number}" for number in range(1, keepers + 1)]
         self.entry_names = [f"entry-{number}" for number in range(1, entries + 1)]
         for names, net in ((self.keeper_names, 0), (self.entry_names, 1)):
@@ -149,11 +149,11 @@
             peer_listen_address=address,
             metrics_address=address.replace(":7000", ":9464"),
             data_folder=name,
-            plan=formation.Plan(
+            plan=formation.FormationSettings(
                 self.seeds,
                 self._wished,
-                patience_seconds=2.0,
-                may_found=is_first and address == self.seeds[0],
+                voter_timeout_seconds=2.0,
+                can_bootstrap=is_first and address == self.seeds[0],
             ),
             silent_seconds=4.0,
             read_seconds=1.4,
--- a/tillerlane/testing/gateway_scenes.py
+++ b/tillerlane/testing/gateway_scenes.py
@@ -37,7 +37,7 @@
 
     keepers = 3
     entries = 1
-    wished_voters = 3
+    desired_voters = 3
 
     def setUp(self) -> None:
         """Keep the daemons' log lines out of the tests' output."""
@@ -47,7 +47,7 @@
         """Start a fleet whose first configuration is in force, and play a scene."""
 
         async def run() -> None:
-            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.wished_voters)
+            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.desired_voters)
             await stage.start()
             await asyncio.sleep(6)
             await stage.publish("keeper-1", gateway_lab.build_document(1))
