--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -231,7 +231,7 @@
         self.replica.begin()
         self._tasks = [
             self._loop.create_task(self.formation.run()),
-            self._loop.create_task(self.formation.turnover.run()),
+            self._loop.create_task(self.formation.reconfiguration.run()),
             self._loop.create_task(self.freshness.run()),
             self._loop.create_task(self._sweep()),
             self._loop.create_task(self._tell_loads()),
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -4,13 +4,13 @@
 and says whom it knows.  Seeds are where it begins to ask, never the only ones that it speaks to:
 whoever leads must hear of a newcomer, wherever that one came in.  On the very first start one of
 them, the lowest seed address, founds the log as soon as it knows enough fresh keepers; which they
-are then stands in the log, and the leader turns votes over (`keeper.turnover`).
+are then stands in the log, and the leader turns votes over (`keeper.reconfiguration`).
 """
 
 import asyncio
 import dataclasses
 
-from tillerlane.keeper import contacts, quorum, turnover
+from tillerlane.keeper import contacts, quorum, reconfiguration
 from tillerlane.keeper import replica as replicas
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
@@ -94,7 +94,7 @@
     def attach(self, replica: replicas.Replica) -> None:
         """Take the keeper's part in the log, which itself asks `list_bootstrap_peers`."""
         self._replica = replica
-        self.turnover = turnover.Turnover(
+        self.reconfiguration = reconfiguration.Reconfiguration(
             replica,
             self._contacts,
             self._settings.desired_voters,
--- a/tillerlane/keeper/turnover.py
+++ b/tillerlane/keeper/reconfiguration.py
@@ -9,23 +9,23 @@
 from tillerlane.keeper import replica as replicas
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Turnover"]
+__all__ = ["Reconfiguration"]
 
-LOOK_SECONDS = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 """Pause between two looks at the voters."""
-ASKED_SECONDS = 1.0
+NEW_LEADER_GRACE_SECONDS = 1.0
 """How long a new leader asks the voters, four times each, before it counts one as silent; the
 silence itself counts from when it last heard of the voter, also as a follower.  Without that a
 leader that replaces a lost one waits for the same silence again: two disks lost once the newcomer
 counted as whole then stopped the log (`keeper/tests/test_exchange.py`)."""
-READY_SECONDS = 1.0
+READY_TIMEOUT_SECONDS = 1.0
 """A standby that answered so long ago at most may get a vote."""
-MOST_STANDBYS = 4
+MAX_STANDBYS = 4
 """Keepers without a vote that follow the log: as many as may be lost at once, twice over.  Each
 costs the leader what a voter costs."""
 
 
-class Turnover:
+class Reconfiguration:
     """Who votes, looked after while this keeper leads.
 
     Every keeper that is alive follows the log, with or without a vote.  So a vote that is free
@@ -38,9 +38,9 @@
         This keeper's part in the log.
     known : contacts.Contacts
         The other keepers.
-    wished : int
+    desired_voters : int
         How many voters there should be.
-    patience : float
+    voter_timeout : float
         Seconds of silence after which a voter counts as lost.
     timeline : timelines.Timeline
         Takes the events.
@@ -54,16 +54,16 @@
         self,
         replica: replicas.Replica,
         known: contacts.Contacts,
-        wished: int,
-        patience: float,
+        desired_voters: int,
+        voter_timeout: float,
         timeline: timelines.Timeline,
         now: Callable[[], float],
         is_leaving: Callable[[str], bool],
     ) -> None:
         self._replica = replica
         self._known = known
-        self._wished = wished
-        self._patience = patience
+        self._desired_voters = desired_voters
+        self._voter_timeout = voter_timeout
         self._timeline = timeline
         self._now = now
         self._is_leaving = is_leaving
@@ -73,7 +73,7 @@
     async def run(self) -> None:
         """Look after the voters, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             if not self._leads():
                 continue
             self._follow_standbys()
@@ -99,7 +99,7 @@
         alive = self._known.list_alive()
         waiting = [seen for seen in alive if seen.name not in own.voters]
         waiting.sort(key=lambda seen: (seen.name not in former, seen.name))
-        standbys = {seen.name: seen.address for seen in waiting[:MOST_STANDBYS]}
+        standbys = {seen.name: seen.address for seen in waiting[:MAX_STANDBYS]}
         if standbys != former:
             self._timeline.record("keeper.standbys", standbys=sorted(standbys))
             own.replication.standbys = standbys
@@ -113,7 +113,7 @@
             progress is not None
             and bool(progress.disk_id)
             and progress.match_index >= max(own.commit_index, 1)
-            and self._now() - progress.acked_at < READY_SECONDS
+            and self._now() - progress.acked_at < READY_TIMEOUT_SECONDS
         )
 
     # Votes
@@ -127,13 +127,13 @@
         names = sorted(set(own.replication.standbys) - set(own.voters))
         names = [name for name in names if not self._is_leaving(name)]
         standbys = [voter_rules.Standby(name, self._is_ready(name)) for name in names]
-        return voter_rules.choose_step(voters, standbys, self._wished, self._patience)
+        return voter_rules.choose_step(voters, standbys, self._desired_voters, self._voter_timeout)
 
     def _read_silence(self, name: str) -> float:
         """Seconds for which a voter has been silent; 0 while this leader has not asked for long."""
         assert self._led_since is not None
         now = self._now()
-        if name == self._replica.name or now - self._led_since < ASKED_SECONDS:
+        if name == self._replica.name or now - self._led_since < NEW_LEADER_GRACE_SECONDS:
             return 0.0
         answered_at = self._replica.read_answered_at(name)
         if answered_at > followers.NEVER:
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -464,7 +464,7 @@
             self.replication.learners.pop(name, None)
             return
         if voter is None and name not in self.replication.learners:
-            return  # a standby; `keeper.turnover` decides
+            return  # a standby; `keeper.reconfiguration` decides
         is_ready = progress.disk_id and progress.match_index >= max(self.commit_index, 1)
         is_changing = self._adding_voter or self._is_running("promote")
         if not is_ready or is_changing or not self.has_lease:
--- a/tillerlane/keeper/tests/test_turnover_stateful.py
+++ b/tillerlane/keeper/tests/test_reconfiguration_stateful.py
@@ -32,7 +32,7 @@
 """Which of the present keepers: the leader comes first, then the others by name."""
 
 
-class TurnoverMachine(stateful.RuleBasedStateMachine):
+class ReconfigurationMachine(stateful.RuleBasedStateMachine):
     """Random losses, exchanges and cuts."""
 
     def __init__(self) -> None:
@@ -221,8 +221,8 @@
             lab.close_loop(self.loop)
 
 
-TurnoverTest = TurnoverMachine.TestCase
-TurnoverTest.settings = profiles.choose(examples=12, steps=20)
+ReconfigurationTest = ReconfigurationMachine.TestCase
+ReconfigurationTest.settings = profiles.choose(examples=12, steps=20)
 
 
 @atexit.register
