--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -260,12 +260,12 @@
 
     def _set_quorum_gauges(self) -> None:
         """Have the gauges read what this keeper sees of the quorum."""
-        seen = self.formation.quorum
+        seen = self.formation.quorum_monitor
         self.meters.voters.set_function(lambda: len(seen.view.voters) if seen.view else 0)
         self.meters.live_voters.set_function(lambda: len(seen.view.live) if seen.view else 0)
         self.meters.bearable_losses.set_function(lambda: seen.view.bears if seen.view else 0)
-        self.meters.short_seconds.set_function(seen.read_short_seconds)
-        self.meters.voteless_seconds.set_function(seen.read_voteless_seconds)
+        self.meters.short_seconds.set_function(seen.compute_degraded_seconds)
+        self.meters.voteless_seconds.set_function(seen.compute_voteless_seconds)
         self.meters.lost_elections.set_function(lambda: self.replica.elections.lost)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -89,7 +89,9 @@
         self._is_leaving = False
         self._is_due = asyncio.Event()
         """Set when all are to be spoken to before the next pause ends."""
-        self.quorum = quorum.QuorumLog(timeline, settings.desired_voters // 2, self._now)
+        self.quorum_monitor = quorum.QuorumMonitor(
+            timeline, settings.desired_voters // 2, self._now
+        )
 
     def attach(self, replica: replicas.Replica) -> None:
         """Take the keeper's part in the log, which itself asks `list_bootstrap_peers`."""
@@ -182,7 +184,7 @@
             self._is_due.clear()
             if is_due:
                 announced_at = self._now()
-                self._note_quorum()
+                self._update_quorum()
             self._announce(self.list_addresses() if is_due else self._list_unheard())
             try:
                 async with asyncio.timeout(GREET_SECONDS):
@@ -228,10 +230,12 @@
             "keeper.left_vote", done=not own.is_voter, took_s=round(self._now() - began, 3)
         )
 
-    def _note_quorum(self) -> None:
+    def _update_quorum(self) -> None:
         """Say whom this keeper counts and hears, when that changes."""
         own = self._replica
         assert own is not None
         heard = {seen.name: seen.disk_id for seen in self._contacts.list_alive()}
         disk_id = own.storage.disk_id
-        self.quorum.note(quorum.build_view(self._name, disk_id, own.leader, own.voters, heard))
+        self.quorum_monitor.update(
+            quorum.build_view(self._name, disk_id, own.leader, own.voters, heard)
+        )
--- a/tillerlane/keeper/quorum.py
+++ b/tillerlane/keeper/quorum.py
@@ -7,9 +7,9 @@
 from tillerlane.keeper import commands
 from tillerlane.timeline import core as timelines
 
-__all__ = ["QuorumLog", "QuorumView", "build_view"]
+__all__ = ["QuorumMonitor", "QuorumView", "build_view"]
 
-REPEAT_SECONDS = 5.0
+REPEAT_INTERVAL_SECONDS = 5.0
 """A view that bears fewer losses than wished is told again after so long, changed or not: whoever
 reads a log that was cut to some lines finds it, at 720 lines an hour at most."""
 
@@ -75,14 +75,14 @@
     )
 
 
-class QuorumLog:
+class QuorumMonitor:
     """Tells changes of the view, and repeats one that is short of what is wished.
 
     Parameters
     ----------
     timeline : timelines.Timeline
         Takes the events.
-    wished_losses : int
+    desired_losses : int
         Disks that the fleet is meant to bear the loss of.
     now : callable
         Steady time in seconds.
@@ -94,38 +94,38 @@
     """
 
     def __init__(
-        self, timeline: timelines.Timeline, wished_losses: int, now: Callable[[], float]
+        self, timeline: timelines.Timeline, desired_losses: int, now: Callable[[], float]
     ) -> None:
         self._timeline = timeline
-        self._wished_losses = wished_losses
+        self._desired_losses = desired_losses
         self._now = now
-        self._told_at = 0.0
-        self._short_since: float | None = None
+        self._reported_at = 0.0
+        self._degraded_since: float | None = None
         self._voteless_since: float | None = None
         self.view: QuorumView | None = None
 
-    def note(self, view: QuorumView) -> None:
+    def update(self, view: QuorumView) -> None:
         """Take the present view."""
         now = self._now()
-        is_short = view.bears < self._wished_losses
-        self._short_since = (self._short_since or now) if is_short else None
+        is_degraded = view.bears < self._desired_losses
+        self._degraded_since = (self._degraded_since or now) if is_degraded else None
         self._voteless_since = None if view.votes else (self._voteless_since or now)
-        is_due = is_short and now - self._told_at >= REPEAT_SECONDS
+        is_due = is_degraded and now - self._reported_at >= REPEAT_INTERVAL_SECONDS
         if view == self.view and not is_due:
             return
         self.view = view
-        self._told_at = now
+        self._reported_at = now
         self._timeline.record(
             "keeper.voters",
             **dataclasses.asdict(view),
-            short_s=round(self.read_short_seconds(), 1),
-            voteless_s=round(self.read_voteless_seconds(), 1),
+            short_s=round(self.compute_degraded_seconds(), 1),
+            voteless_s=round(self.compute_voteless_seconds(), 1),
         )
 
-    def read_short_seconds(self) -> float:
+    def compute_degraded_seconds(self) -> float:
         """How long fewer losses than wished have been bearable; 0 while it is as wished."""
-        return 0.0 if self._short_since is None else self._now() - self._short_since
+        return 0.0 if self._degraded_since is None else self._now() - self._degraded_since
 
-    def read_voteless_seconds(self) -> float:
+    def compute_voteless_seconds(self) -> float:
         """How long this keeper has been without a vote; 0 while it has one."""
         return 0.0 if self._voteless_since is None else self._now() - self._voteless_since
--- a/tillerlane/keeper/tests/test_quorum.py
+++ b/tillerlane/keeper/tests/test_quorum.py
@@ -38,20 +38,20 @@
         self.assertEqual((view.votes, view.waiting, view.voters), (False, ("a", "f"), ()))
 
 
-class LogTest(unittest.TestCase):
+class MonitorTest(unittest.TestCase):
     """When it is told."""
 
     def setUp(self) -> None:
         gateway_scenes.drop_log_lines()
         self.now = 100.0
         self.timeline = timelines.Timeline("a", clocks.HybridClock(lambda: self.now))
-        self.log = quorum.QuorumLog(self.timeline, 2, lambda: self.now)
+        self.monitor = quorum.QuorumMonitor(self.timeline, 2, lambda: self.now)
 
     def note(self, heard: str, after: float) -> int:
         """Take a view some seconds later; gives how many events there are."""
         self.now += after
         disks = {name: f"disk-{name}" for name in heard}
-        self.log.note(quorum.build_view("a", "disk-a", "b", VOTERS, disks))
+        self.monitor.update(quorum.build_view("a", "disk-a", "b", VOTERS, disks))
         return len(self.timeline.read())
 
     def test_changes_are_told_once(self) -> None:
@@ -61,13 +61,13 @@
     def test_what_is_short_is_told_again_and_again_but_seldom(self) -> None:
         for _ in range(250):
             count = self.note("bcd", 0.4)
-        self.assertEqual(count, 1 + int(100 / (quorum.REPEAT_SECONDS + 0.2)))
-        self.assertAlmostEqual(self.log.read_short_seconds(), 99.6)
+        self.assertEqual(count, 1 + int(100 / (quorum.REPEAT_INTERVAL_SECONDS + 0.2)))
+        self.assertAlmostEqual(self.monitor.compute_degraded_seconds(), 99.6)
 
     def test_nothing_is_short_once_it_is_whole_again(self) -> None:
         self.note("bcd", 0.4)
         self.note("bcde", 3.0)
-        self.assertEqual(self.log.read_short_seconds(), 0.0)
+        self.assertEqual(self.monitor.compute_degraded_seconds(), 0.0)
 
 
 if __name__ == "__main__":
