--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -10,7 +10,7 @@
 import asyncio
 import dataclasses
 
-from tillerlane.keeper import contacts, quorum, reconfiguration
+from tillerlane.keeper import known_keepers, quorum, reconfiguration
 from tillerlane.keeper import replica as replicas
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
@@ -83,7 +83,7 @@
         self._address = address
         self._node = node
         self._timeline = timeline
-        self._contacts = contacts.Contacts(name, self._now)
+        self._known_keepers = known_keepers.KnownKeepers(name, self._now)
         self._began_at = 0.0
         self._replica: replicas.Replica | None = None
         self._is_leaving = False
@@ -98,7 +98,7 @@
         self._replica = replica
         self.reconfiguration = reconfiguration.Reconfiguration(
             replica,
-            self._contacts,
+            self._known_keepers,
             self._settings.desired_voters,
             self._settings.voter_timeout_seconds,
             self._timeline,
@@ -120,7 +120,7 @@
         know each other just so; when each waited for the other's word, the newcomer never got the
         vote of a keeper that was lost, and two more lost disks stopped the log.
         """
-        found = set(self._settings.seeds) | self._contacts.list_addresses()
+        found = set(self._settings.seeds) | self._known_keepers.list_addresses()
         if self._replica is not None:
             found.update(voter.address for voter in self._replica.voters.values())
         found.discard(self._address)
@@ -134,13 +134,13 @@
         """
         if self._replica is not None and self._replica.voters:
             return sorted(voter.address for voter in self._replica.voters.values())
-        return sorted(seen.address for seen in self._contacts.list_alive())
+        return sorted(seen.address for seen in self._known_keepers.list_alive())
 
     def list_bootstrap_peers(self) -> dict[str, str]:
         """First voters, name to address; empty while this keeper may not found the log."""
         if not self._settings.can_bootstrap:
             return {}
-        alive = self._contacts.list_alive()[: self._settings.desired_voters - 1]
+        alive = self._known_keepers.list_alive()[: self._settings.desired_voters - 1]
         fresh = {seen.name: seen.address for seen in alive}
         is_late = self._now() - self._began_at > BOOTSTRAP_TIMEOUT_SECONDS
         wanted = min(MIN_BOOTSTRAP_PEERS, self._settings.desired_voters) if is_late else None
@@ -150,7 +150,7 @@
 
     def take(self, link: links.Link, announced: messages.KeeperAnnounce) -> None:
         """Take a keeper's announcement."""
-        if self._contacts.take(announced):
+        if self._known_keepers.merge(announced):
             self._is_due.set()
         self.dial_all()
 
@@ -159,9 +159,9 @@
         for address in self.list_addresses():
             self._node.dial(address)
 
-    def _forget_gone(self) -> None:
+    def _expire(self) -> None:
         """Stop dialing who is neither seed nor voter and has not been told of for long."""
-        self._contacts.forget_gone()
+        self._known_keepers.expire()
         for address in self._node.get_dialed() - self.list_addresses():
             self._node.hang_up(address)
 
@@ -171,14 +171,14 @@
         own = messages.KeeperSeen(
             self._name, self._address, storage.disk_id, storage.is_fresh, self._is_leaving
         )
-        return messages.KeeperAnnounce([own, *self._contacts.list_alive()])
+        return messages.KeeperAnnounce([own, *self._known_keepers.list_alive()])
 
     async def run(self) -> None:
         """Announce this keeper, until cancelled."""
         self._began_at = self._now()
         announced_at = 0.0
         while True:
-            self._forget_gone()
+            self._expire()
             self.dial_all()
             is_due = self._is_due.is_set() or self._now() - announced_at >= ANNOUNCE_SECONDS
             self._is_due.clear()
@@ -194,7 +194,7 @@
 
     def _list_unheard(self) -> set[str]:
         """Addresses of those who have not told of themselves lately."""
-        return self.list_addresses() - {seen.address for seen in self._contacts.list_alive()}
+        return self.list_addresses() - {seen.address for seen in self._known_keepers.list_alive()}
 
     def _announce(self, addresses: set[str]) -> None:
         """Tell of this keeper, and of those that it hears, wherever there is a link."""
@@ -208,7 +208,7 @@
 
     def _reads_as_leaving(self, name: str) -> bool:
         """Whether a voter says that it stops."""
-        return self._is_leaving if name == self._name else self._contacts.is_leaving(name)
+        return self._is_leaving if name == self._name else self._known_keepers.is_leaving(name)
 
     async def leave(self) -> None:
         """Have this keeper's vote turned over to one that stands by; without one, do nothing.
@@ -218,7 +218,7 @@
         """
         own = self._replica
         assert own is not None
-        others = {seen.name for seen in self._contacts.list_alive()}
+        others = {seen.name for seen in self._known_keepers.list_alive()}
         if not own.is_voter or others <= set(own.voters):
             return
         self._is_leaving = True
@@ -234,7 +234,7 @@
         """Say whom this keeper counts and hears, when that changes."""
         own = self._replica
         assert own is not None
-        heard = {seen.name: seen.disk_id for seen in self._contacts.list_alive()}
+        heard = {seen.name: seen.disk_id for seen in self._known_keepers.list_alive()}
         disk_id = own.storage.disk_id
         self.quorum_monitor.update(
             quorum.build_view(self._name, disk_id, own.leader, own.voters, heard)
--- a/tillerlane/keeper/reconfiguration.py
+++ b/tillerlane/keeper/reconfiguration.py
@@ -5,7 +5,7 @@
 
 from tillerlane.decisions import voters as voter_rules
 from tillerlane.faults import core as faults
-from tillerlane.keeper import commands, contacts, followers
+from tillerlane.keeper import commands, followers, known_keepers
 from tillerlane.keeper import replica as replicas
 from tillerlane.timeline import core as timelines
 
@@ -36,7 +36,7 @@
     ----------
     replica : replicas.Replica
         This keeper's part in the log.
-    known : contacts.Contacts
+    known : known_keepers.KnownKeepers
         The other keepers.
     desired_voters : int
         How many voters there should be.
@@ -53,7 +53,7 @@
     def __init__(
         self,
         replica: replicas.Replica,
-        known: contacts.Contacts,
+        known: known_keepers.KnownKeepers,
         desired_voters: int,
         voter_timeout: float,
         timeline: timelines.Timeline,
@@ -139,7 +139,7 @@
         if answered_at > followers.NEVER:
             return now - answered_at
         # A voter may still tell of itself though its disk answers nothing.
-        heard_at = self._known.read_heard_at(name)
+        heard_at = self._known.get_heard_at(name)
         return now - min(self._led_since, heard_at if heard_at is not None else self._began_at)
 
     async def _take(self, step: voter_rules.Step) -> bool:
--- a/tillerlane/keeper/tests/test_contacts.py
+++ b/tillerlane/keeper/tests/test_known_keepers.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tillerlane.keeper import contacts
+from tillerlane.keeper import known_keepers
 from tillerlane.peers import messages
 
 
@@ -11,25 +11,27 @@
     return messages.KeeperSeen(name, f"10.0.0.{name}:7000", f"disk-{name}", False)
 
 
-class ContactsTest(unittest.TestCase):
+class KnownKeepersTest(unittest.TestCase):
     """Keeper a, and what it is told."""
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.contacts = contacts.Contacts("a", lambda: self.now)
+        self.known_keepers = known_keepers.KnownKeepers("a", lambda: self.now)
 
     def take(self, names: str) -> bool:
         """Take an announcement of the first, who knows the others."""
-        return self.contacts.take(messages.KeeperAnnounce([build_seen(name) for name in names]))
+        return self.known_keepers.merge(
+            messages.KeeperAnnounce([build_seen(name) for name in names])
+        )
 
     def list_alive(self) -> str:
-        return "".join(seen.name for seen in self.contacts.list_alive())
+        return "".join(seen.name for seen in self.known_keepers.list_alive())
 
     def test_who_is_told_of_is_spoken_to_and_not_yet_alive(self) -> None:
         self.assertTrue(self.take("bcd"))
         self.assertEqual(self.list_alive(), "b")
         addresses = {"10.0.0.b:7000", "10.0.0.c:7000", "10.0.0.d:7000"}
-        self.assertEqual(self.contacts.list_addresses(), addresses)
+        self.assertEqual(self.known_keepers.list_addresses(), addresses)
 
     def test_own_word_shows_that_it_lives(self) -> None:
         self.take("bc")
@@ -39,24 +41,24 @@
 
     def test_never_knows_itself(self) -> None:
         self.take("ba")
-        self.assertEqual(self.contacts.list_addresses(), {"10.0.0.b:7000"})
+        self.assertEqual(self.known_keepers.list_addresses(), {"10.0.0.b:7000"})
 
     def test_silent_keeper_is_spoken_to_until_nobody_tells_of_it_for_long(self) -> None:
         self.take("bc")
-        self.now += contacts.KNOWN_SECONDS + 1
+        self.now += known_keepers.ALIVE_TIMEOUT_SECONDS + 1
         self.assertEqual(self.list_alive(), "")
-        self.assertEqual(len(self.contacts.list_addresses()), 2)
-        self.now += contacts.FORGET_SECONDS - 5
+        self.assertEqual(len(self.known_keepers.list_addresses()), 2)
+        self.now += known_keepers.RETENTION_SECONDS - 5
         self.take("cb")
         self.now += 2
-        self.contacts.forget_gone()
-        self.assertEqual(len(self.contacts.list_addresses()), 2)
-        self.now += contacts.FORGET_SECONDS
-        self.contacts.forget_gone()
-        self.assertEqual(self.contacts.list_addresses(), set())
+        self.known_keepers.expire()
+        self.assertEqual(len(self.known_keepers.list_addresses()), 2)
+        self.now += known_keepers.RETENTION_SECONDS
+        self.known_keepers.expire()
+        self.assertEqual(self.known_keepers.list_addresses(), set())
 
     def test_empty_announcement_tells_nothing(self) -> None:
-        self.assertFalse(self.contacts.take(messages.KeeperAnnounce([])))
+        self.assertFalse(self.known_keepers.merge(messages.KeeperAnnounce([])))
 
 
 if __name__ == "__main__":
