--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -8,7 +8,7 @@
 
 from tillerlane.decisions import voters as voter_rules
 from tillerlane.faults import core as faults
-from tillerlane.keeper import ballots, commands
+from tillerlane.keeper import commands, votes
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
@@ -225,22 +225,22 @@
         request = self._build_vote_request(term, pre=pre)
         others = {name: voter for name, voter in own.voters.items() if name != own.name}
         needed = voter_rules.count_quorum(len(own.voters))
-        ballot = await ballots.collect(self._get_link, request, others, needed)
-        if not ballot.is_won:
-            self._note_lost(request, needed, ballot)
-        if ballot.later_term > own.storage.term:
-            await own.follow_term(ballot.later_term)
-        return ballot.is_won
+        result = await votes.collect_votes(self._get_link, request, others, needed)
+        if not result.is_won:
+            self._note_lost(request, needed, result)
+        if result.later_term > own.storage.term:
+            await own.follow_term(result.later_term)
+        return result.is_won
 
     def _note_lost(
-        self, request: messages.VoteRequest, needed: int, ballot: ballots.Ballot
+        self, request: messages.VoteRequest, needed: int, result: votes.VoteResult
     ) -> None:
         """Say why an election was not won: once, and again when the reasons change.
 
         A keeper without a quorum asks some ten times a second, and the answers are the same.
         """
         self.lost += 1
-        told = (ballot.verdicts, _now() // LOST_ELECTION_SECONDS)
+        told = (result.verdicts, _now() // LOST_ELECTION_SECONDS)
         if told == self._told_lost:
             return
         self._told_lost = told
@@ -251,7 +251,7 @@
             last_index=request.last_index,
             last_term=request.last_term,
             needed=needed,
-            verdicts=ballot.verdicts,
+            verdicts=result.verdicts,
         )
 
     async def _try_bootstrap(self) -> None:
@@ -265,7 +265,7 @@
         for name, address in bootstrap_peers.items():
             if name == own.name:
                 continue
-            reply = await ballots.ask(self._get_link, address, request)
+            reply = await votes.request_vote(self._get_link, address, request)
             if reply is None or not reply.fresh:
                 return
             voters[name] = commands.Voter(address, reply.disk_id)
@@ -324,18 +324,18 @@
         has_other_leader = own.leader not in ("", candidate)
         return has_other_leader and self.has_heard(ELECTION_SECONDS[0])
 
-    def _find_refusal(self, request: messages.VoteRequest) -> ballots.Refusal | None:
+    def _find_refusal(self, request: messages.VoteRequest) -> votes.VoteRefusal | None:
         """Why a candidate gets no vote here; None if it gets one."""
         storage = self._member.storage
         if self._hears_leader(request.candidate):
-            return ballots.Refusal.LEADER_LIVES
+            return votes.VoteRefusal.LEADER_LIVES
         if (request.last_term, request.last_index) < (storage.last_term, storage.last_index):
-            return ballots.Refusal.SHORTER_LOG
+            return votes.VoteRefusal.SHORTER_LOG
         is_in_term = request.term > storage.term if request.pre else request.term == storage.term
         if not is_in_term:
-            return ballots.Refusal.OTHER_TERM
+            return votes.VoteRefusal.OTHER_TERM
         if not request.pre and storage.voted_for not in ("", request.candidate):
-            return ballots.Refusal.VOTE_GIVEN
+            return votes.VoteRefusal.VOTE_GIVEN
         return None
 
 
--- a/tillerlane/keeper/replication.py
+++ b/tillerlane/keeper/replication.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from tillerlane.faults import core as faults
-from tillerlane.keeper import ballots, commands, followers
+from tillerlane.keeper import commands, followers, votes
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
@@ -146,7 +146,7 @@
             term, self._leader.name, prev_index, prev_term, self._leader.commit_index, entries
         )
         sent_at = _now()
-        reply = await link.call(request, ballots.CALL_SECONDS)
+        reply = await link.call(request, votes.CALL_TIMEOUT_SECONDS)
         if not isinstance(reply, messages.AppendReply) or storage.term != term:
             return
         if not await self._note_answer(progress, reply, term, sent_at):
@@ -190,7 +190,7 @@
                 snapshot.data[offset : offset + PIECE_BYTES],
             )
             sent_at = _now()
-            reply = await link.call(piece, ballots.CALL_SECONDS * 4)
+            reply = await link.call(piece, votes.CALL_TIMEOUT_SECONDS * 4)
             if not isinstance(reply, messages.SnapshotReply) or storage.term != term:
                 return
             if not await self._note_answer(progress, reply, term, sent_at):
--- a/tillerlane/keeper/tests/test_parts.py
+++ b/tillerlane/keeper/tests/test_parts.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from tillerlane.faults import core as faults
-from tillerlane.keeper import ballots, commands, followers, pending, snapshots
+from tillerlane.keeper import commands, followers, pending, snapshots, votes
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 
@@ -53,44 +53,46 @@
         return self.reply
 
 
-class BallotTest(unittest.IsolatedAsyncioTestCase):
+class VoteTest(unittest.IsolatedAsyncioTestCase):
     """Votes of four others, three needed."""
 
-    async def vote(self, replies: list[Any], *, pre: bool = False) -> ballots.Ballot:
+    async def vote(self, replies: list[Any], *, pre: bool = False) -> votes.VoteResult:
         others = {name: VOTERS[name] for name in "bcde"}
         addresses = [voter.address for voter in others.values()]
         voters = dict(zip(addresses, replies, strict=True))
         request = messages.VoteRequest(4, "a", 1, 1, pre)
-        return await ballots.collect(lambda address: _Voter(voters[address]), request, others, 3)
+        return await votes.collect_votes(
+            lambda address: _Voter(voters[address]), request, others, 3
+        )
 
     def grant(self, name: str, *, granted: bool = True, term: int = 4) -> messages.VoteReply:
         return messages.VoteReply(term, granted, f"disk-{name}", False)
 
     async def test_won_without_those_that_are_silent(self) -> None:
-        ballot = await self.vote([self.grant("b"), None, self.grant("d"), None])
-        self.assertEqual(ballot, ballots.Ballot(True))
+        result = await self.vote([self.grant("b"), None, self.grant("d"), None])
+        self.assertEqual(result, votes.VoteResult(True))
 
     async def test_vote_of_another_disk_does_not_count(self) -> None:
-        ballot = await self.vote([self.grant("b"), self.grant("x"), None, None])
-        self.assertFalse(ballot.is_won)
+        result = await self.vote([self.grant("b"), self.grant("x"), None, None])
+        self.assertFalse(result.is_won)
 
     async def test_later_term_ends_a_vote(self) -> None:
         replies = [self.grant("b", granted=False, term=9), self.grant("c"), self.grant("d"), None]
-        self.assertEqual(await self.vote(replies), ballots.Ballot(False, 9))
+        self.assertEqual(await self.vote(replies), votes.VoteResult(False, 9))
 
     async def test_later_term_does_not_end_a_prevote(self) -> None:
         replies = [self.grant("b", granted=False, term=9), self.grant("c"), self.grant("d"), None]
-        self.assertEqual(await self.vote(replies, pre=True), ballots.Ballot(True))
+        self.assertEqual(await self.vote(replies, pre=True), votes.VoteResult(True))
 
     async def test_lost_prevote_tells_the_latest_term(self) -> None:
         replies = [self.grant("b", granted=False, term=9), self.grant("c"), None, None]
-        self.assertEqual(await self.vote(replies, pre=True), ballots.Ballot(False, 9))
+        self.assertEqual(await self.vote(replies, pre=True), votes.VoteResult(False, 9))
 
     async def test_lost_prevote_without_a_later_term_tells_none(self) -> None:
         replies = [self.grant("b", granted=False, term=3), None, None, None]
-        ballot = await self.vote(replies, pre=True)
-        self.assertFalse(ballot.is_won)
-        self.assertLess(ballot.later_term, 4)
+        result = await self.vote(replies, pre=True)
+        self.assertFalse(result.is_won)
+        self.assertLess(result.later_term, 4)
 
 
 class PendingTest(unittest.IsolatedAsyncioTestCase):
--- a/tillerlane/keeper/ballots.py
+++ b/tillerlane/keeper/votes.py
@@ -10,15 +10,23 @@
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 
-__all__ = ["CALL_SECONDS", "Ballot", "GetLink", "Refusal", "Verdict", "ask", "collect"]
-
-CALL_SECONDS = 0.6
+__all__ = [
+    "CALL_TIMEOUT_SECONDS",
+    "GetLink",
+    "VoteOutcome",
+    "VoteRefusal",
+    "VoteResult",
+    "collect_votes",
+    "request_vote",
+]
+
+CALL_TIMEOUT_SECONDS = 0.6
 """Longest wait for a keeper's answer: below the shortest election timeout (1 s)."""
 
 GetLink = Callable[[str], links.Link | None]
 
 
-class Refusal(enum.StrEnum):
+class VoteRefusal(enum.StrEnum):
     """Why a voter refuses its vote."""
 
     LEADER_LIVES = "it hears a leader, or one may still hold a lease"
@@ -27,7 +35,7 @@
     VOTE_GIVEN = "it gave its vote of this term to another"
 
 
-class Verdict(enum.StrEnum):
+class VoteOutcome(enum.StrEnum):
     """What became of the question to one voter; a refusal's reason stands behind it."""
 
     GRANTED = "granted"
@@ -38,13 +46,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ballot:
+class VoteResult:
     """How a vote ended; `later_term` is that of a voter in a later one, 0 without.
 
     Attributes
     ----------
     verdicts : dict
-        Voter's name to its `Verdict`, for the log.
+        Voter's name to its `VoteOutcome`, for the log.
     """
 
     is_won: bool
@@ -52,7 +60,7 @@
     verdicts: dict[str, str] = dataclasses.field(default_factory=dict, compare=False)
 
 
-async def ask(
+async def request_vote(
     get_link: GetLink, address: str, request: messages.VoteRequest
 ) -> messages.VoteReply | None:
     """Ask one keeper; None if it did not answer."""
@@ -60,18 +68,18 @@
     if link is None:
         return None
     try:
-        reply = await link.call(request, CALL_SECONDS)
+        reply = await link.call(request, CALL_TIMEOUT_SECONDS)
     except (links.LinkLost, faults.FaultError):
         return None
     return reply if isinstance(reply, messages.VoteReply) else None
 
 
-async def collect(
+async def collect_votes(
     get_link: GetLink,
     request: messages.VoteRequest,
     others: dict[str, commands.Voter],
     needed: int,
-) -> Ballot:
+) -> VoteResult:
     """Ask all other voters until `needed` votes, the own one included, are granted.
 
     Only the vote of the disk that the log has on record for a voter counts.  A later term ends
@@ -81,10 +89,10 @@
     needed, nobody would ever lead unless they learn that term.
     """
     calls = {
-        asyncio.create_task(ask(get_link, voter.address, request)): name
+        asyncio.create_task(request_vote(get_link, voter.address, request)): name
         for name, voter in others.items()
     }
-    verdicts: dict[str, str] = dict.fromkeys(others, Verdict.OPEN.value)
+    verdicts: dict[str, str] = dict.fromkeys(others, VoteOutcome.OPEN.value)
     latest_term = 0
     granted = 1
     pending = set(calls)
@@ -94,26 +102,26 @@
             for call in done:
                 reply = call.result()
                 name = calls[call]
-                verdicts[name] = _judge(reply, others[name])
+                verdicts[name] = _classify_reply(reply, others[name])
                 if reply is None:
                     continue
                 if reply.term > request.term and not request.pre:
-                    return Ballot(False, reply.term, verdicts)
+                    return VoteResult(False, reply.term, verdicts)
                 latest_term = max(latest_term, reply.term)
-                granted += verdicts[name] == Verdict.GRANTED
+                granted += verdicts[name] == VoteOutcome.GRANTED
     finally:
         for call in pending:
             call.cancel()
     is_won = granted >= needed
-    return Ballot(is_won, 0 if is_won else latest_term, verdicts)
+    return VoteResult(is_won, 0 if is_won else latest_term, verdicts)
 
 
-def _judge(reply: messages.VoteReply | None, voter: commands.Voter) -> str:
+def _classify_reply(reply: messages.VoteReply | None, voter: commands.Voter) -> str:
     """What a voter's answer is worth, in words."""
     if reply is None:
-        return Verdict.NO_ANSWER.value
+        return VoteOutcome.NO_ANSWER.value
     if not reply.granted:
-        return f"{Verdict.REFUSED}: {reply.reason}, term {reply.term}"
+        return f"{VoteOutcome.REFUSED}: {reply.reason}, term {reply.term}"
     if reply.disk_id != voter.disk_id:
-        return Verdict.OTHER_DISK.value
-    return Verdict.GRANTED.value
+        return VoteOutcome.OTHER_DISK.value
+    return VoteOutcome.GRANTED.value
