--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -171,7 +171,7 @@
             self.replica,
             self._get_link,
             lambda: len(self._entries),
-            self.formation.list_worth_asking,
+            self.formation.list_query_addresses,
         )
         self.verdicts = verdicts.Verdicts(
             state.store,
@@ -252,7 +252,7 @@
         self.meters.is_leader.set_function(lambda: own.is_leading)
         self.meters.term.set_function(lambda: own.storage.term)
         self.meters.version.set_function(lambda: own.state_machine.published.version)
-        self.meters.fresh_age.set_function(lambda: self.freshness.read_age() or 0.0)
+        self.meters.fresh_age.set_function(lambda: self.freshness.compute_age() or 0.0)
         self.meters.entries.set_function(lambda: len(self._entries))
         self.meters.targets.set_function(lambda: len(self.directory.targets))
         self.meters.evacuated.set_function(lambda: len(self.list_evacuated()))
@@ -309,7 +309,7 @@
 
     async def _serve_peer(self, exchange: links.Exchange, body: messages.Body) -> None:
         if isinstance(body, messages.FreshnessRequest):
-            await self.freshness.wait_known()
+            await self.freshness.wait_until_known()
             self._push_publication()
             exchange.send(self.freshness.build_reply())
         elif isinstance(body, messages.PermitRequest):
@@ -322,7 +322,7 @@
         match body:
             case messages.KeeperAnnounce():
                 self._greet(link)
-                self.formation.take(link, body)
+                self.formation.handle_announcement(link, body)
             case messages.Subscribe():
                 self._subscribe(link, body)
             case messages.ConfigPull():
@@ -596,7 +596,7 @@
         faults.FaultError
             ``no_quorum`` if a newer one may be in force, ``not_found`` if there is none.
         """
-        age = self.freshness.read_age()
+        age = self.freshness.compute_age()
         if age is None or age > self._own.read_seconds:
             raise proposals.build_no_quorum(f"got word of age {age} s from the leader")
         current = self.replica.state_machine.published.current
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -293,7 +293,7 @@
     def _set_gauges(self) -> None:
         """Have the gauges read what they show when they are asked."""
         self._meters.version.set_function(lambda: self.published.version)
-        self._meters.lease_age.set_function(lambda: self._clock.read_age(self._loop.time()))
+        self._meters.lease_age.set_function(lambda: self._clock.compute_age(self._loop.time()))
         self._meters.loads_age.set_function(lambda: self.usage.read_age(self._loop.time()) or 0.0)
         self._meters.busy.set_function(self._front.count_busy)
         self._meters.quarantined.set_function(self.quarantine.count_held)
@@ -346,7 +346,7 @@
             self._startup.note_ready()
 
     def _is_fresh(self) -> bool:
-        fresh = self._clock.read_age(self._loop.time()) < self._own.lease_seconds
+        fresh = self._clock.compute_age(self._loop.time()) < self._own.lease_seconds
         if fresh != self._was_fresh:
             self._was_fresh = fresh
             self.timeline.record("config.lease", held=fresh, version=self.published.version)
--- a/tillerlane/gateway/homes.py
+++ b/tillerlane/gateway/homes.py
@@ -223,7 +223,7 @@
         return bool(self._entries) or subscribed < HOMES
 
     async def _ask(self, home: _Home, link: links.Link, asked_at: float) -> None:
-        reply = await freshness.ask(link, max(0, self._read_version()))
+        reply = await freshness.request_freshness(link, max(0, self._read_version()))
         if reply is None:
             return
         if not self._known.issuperset(reply.keepers):
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -126,7 +126,7 @@
         found.discard(self._address)
         return found
 
-    def list_worth_asking(self) -> list[str]:
+    def list_query_addresses(self) -> list[str]:
         """Peer addresses that an entry may turn to: the voters, or who is heard of without a log.
 
         A keeper that is new names others too.  An entry that starts knows its seeds only, and where
@@ -148,7 +148,7 @@
             return {}
         return {self._name: self._address, **fresh}
 
-    def take(self, link: links.Link, announced: messages.KeeperAnnounce) -> None:
+    def handle_announcement(self, link: links.Link, announced: messages.KeeperAnnounce) -> None:
         """Take a keeper's announcement."""
         if self._known_keepers.merge(announced):
             self._is_due.set()
--- a/tillerlane/keeper/freshness.py
+++ b/tillerlane/keeper/freshness.py
@@ -14,15 +14,16 @@
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 
-__all__ = ["FreshnessClock", "KeeperFreshness", "ask"]
+__all__ = ["FreshnessClock", "KeeperFreshness", "request_freshness"]
 
-ASK_SECONDS = 0.3
+REQUEST_INTERVAL_SECONDS = 0.3
 """Pause between two questions of a follower: an eighth of the shortest bound met so far on how
 long a revoked key may work (5 s, of which 3 s may be spent out of touch)."""
-CALL_SECONDS = 0.6
-HOLD_SECONDS = 0.4
-"""How long a keeper holds a question that it cannot answer yet, below `CALL_SECONDS`: during an
-election the answer comes with the first commit, not with the next question.  Together with
+REQUEST_TIMEOUT_SECONDS = 0.6
+HOLD_TIMEOUT_SECONDS = 0.4
+"""How long a keeper holds a question that it cannot answer yet, below
+`REQUEST_TIMEOUT_SECONDS`: during an election the answer comes with the first commit, not with the
+next question.  Together with
 questions that are asked as soon as there is a link or a leader, entries trust keys 0.1 to 0.2 s
 after a leader was elected, where it was 0.1 to 1.2 s (log lines of two days with a fleet that was
 stopped whole); `gateway/tests/test_life.py` holds it."""
@@ -55,15 +56,15 @@
         self.fresh_at = max(self.fresh_at, asked_at - reply.age_ms / 1000)
         return True
 
-    def read_age(self, now: float) -> float:
+    def compute_age(self, now: float) -> float:
         """Seconds since the held version was surely the newest."""
         return now - self.fresh_at
 
 
-async def ask(link: links.Link, have: int) -> messages.FreshnessReply | None:
+async def request_freshness(link: links.Link, have: int) -> messages.FreshnessReply | None:
     """Ask a keeper; None if it did not answer."""
     try:
-        reply = await link.call(messages.FreshnessRequest(have), CALL_SECONDS)
+        reply = await link.call(messages.FreshnessRequest(have), REQUEST_TIMEOUT_SECONDS)
     except (links.LinkLost, faults.FaultError):
         return None
     return reply if isinstance(reply, messages.FreshnessReply) else None
@@ -102,36 +103,36 @@
         self._is_behind = False
         """Whether the leader's last answer was ahead of what is held here."""
         replica.on_role_change = self._is_due.set
-        replica.on_commit = self._note_known
+        replica.on_commit = self._wake_waiting
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def read_fresh_at(self) -> float | None:
+    def get_fresh_at(self) -> float | None:
         """The latest moment up to which all that was committed is surely held here."""
         confirmed_at = self._replica.read_confirmed_at()
         if confirmed_at is not None:
             return confirmed_at
         return self._clock.fresh_at if self._clock.fresh_at > UNKNOWN else None
 
-    def read_age(self) -> float | None:
-        """Seconds since `read_fresh_at`; None if that is unknown."""
-        fresh_at = self.read_fresh_at()
+    def compute_age(self) -> float | None:
+        """Seconds since `get_fresh_at`; None if that is unknown."""
+        fresh_at = self.get_fresh_at()
         return None if fresh_at is None else self._now() - fresh_at
 
-    def _note_known(self) -> None:
+    def _wake_waiting(self) -> None:
         """Have held questions looked at again, and the leader asked if it was ahead."""
         if self._is_behind:
             self._is_due.set()
         for event in self._waiting:
             event.set()
 
-    async def wait_known(self) -> None:
+    async def wait_until_known(self) -> None:
         """Wait a while for fresh word, if there is none."""
         event = asyncio.Event()
         self._waiting.add(event)
         try:
-            async with asyncio.timeout(HOLD_SECONDS):
+            async with asyncio.timeout(HOLD_TIMEOUT_SECONDS):
                 while not self._is_known():
                     event.clear()
                     await event.wait()
@@ -141,17 +142,17 @@
             self._waiting.discard(event)
 
     def _is_known(self) -> bool:
-        age = self.read_age()
+        age = self.compute_age()
         return (
             age is not None
-            and age < HOLD_SECONDS
+            and age < HOLD_TIMEOUT_SECONDS
             and self._replica.state_machine.published.version >= 0
         )
 
     def build_reply(self) -> messages.FreshnessReply:
         """Answer to whoever asks this keeper."""
         own = self._replica
-        age = self.read_age()
+        age = self.compute_age()
         return messages.FreshnessReply(
             version=max(0, own.state_machine.published.version),
             age_ms=0 if age is None else min(int(age * 1000) + 1, 2**31),
@@ -166,14 +167,14 @@
         """Keep asking the leader while another keeper leads."""
         while True:
             try:
-                async with asyncio.timeout(ASK_SECONDS):
+                async with asyncio.timeout(REQUEST_INTERVAL_SECONDS):
                     await self._is_due.wait()
             except TimeoutError:
                 pass  # the next question is due by its time
             self._is_due.clear()
-            await self._ask_leader()
+            await self._query_leader()
 
-    async def _ask_leader(self) -> None:
+    async def _query_leader(self) -> None:
         own = self._replica
         leader = own.voters.get(own.leader)
         if leader is None or own.leader == own.name:
@@ -182,7 +183,7 @@
         if link is None:
             return
         asked_at = self._now()
-        reply = await ask(link, max(0, own.state_machine.published.version))
+        reply = await request_freshness(link, max(0, own.state_machine.published.version))
         if reply is None or own.leader == own.name:
             return
         # The leader's index counts, since the log carries more than the publication.
@@ -190,4 +191,4 @@
         if reply.known and not self._is_behind:
             held = own.state_machine
             self._clock.observe(asked_at, reply, held.published.version, held.store.version)
-            self._note_known()
+            self._wake_waiting()
