--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -131,8 +131,8 @@
         self._started_ms = int(time.time() * 1000)
         clock = clocks.HybridClock(time.time)
         self.timeline = timelines.Timeline(own.name, clock, RING_EVENTS)
-        self.published = publications.Publisher()
-        self.published.listen(self._put_in_force)
+        self.published = publications.PublicationRegister()
+        self.published.add_listener(self._put_in_force)
         self.orders = stores.Store()
         self.orders.listen(self._note_orders)
         self.directory = directories.Directory()
@@ -422,7 +422,7 @@
     def _take_message(self, link: links.Link, body: messages.Body) -> None:
         match body:
             case messages.Publication():
-                self.published.take(body)
+                self.published.offer(body)
             case messages.ConfigDelta():
                 self.orders.apply_delta(body)
             case messages.TargetStates():
--- a/tillerlane/keeper/publications.py
+++ b/tillerlane/keeper/publications.py
@@ -12,12 +12,12 @@
 from tillerlane.keeper import commands
 from tillerlane.peers import messages
 
-__all__ = ["Publisher"]
+__all__ = ["PublicationRegister"]
 
 Listener = Callable[[messages.Publication], None]
 
 
-class Publisher:
+class PublicationRegister:
     """The publication in force.
 
     Attributes
@@ -35,16 +35,16 @@
         """Version in force; -1 before there is one, since authors may begin with 0."""
         return self.current.version if self.current is not None else -1
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Call `listener` with each publication that comes into force."""
         self._listeners.append(listener)
 
     def publish(self, command: commands.Publish) -> dict[str, Any]:
         """Apply a committed publication; the answer gives the version then in force."""
-        taken = self.take(messages.Publication(command.version, command.content))
+        taken = self.offer(messages.Publication(command.version, command.content))
         return {"taken": taken, "version": self.version}
 
-    def take(self, publication: messages.Publication) -> bool:
+    def offer(self, publication: messages.Publication) -> bool:
         """Put a publication in force if its version is higher; whether it was."""
         if publication.version <= self.version:
             return False
@@ -64,4 +64,4 @@
         """Take over a snapshot's state; it never goes back."""
         if values is not None:
             content = base64.b64decode(values["content"])
-            self.take(messages.Publication(values["version"], content))
+            self.offer(messages.Publication(values["version"], content))
--- a/tillerlane/keeper/state_machine.py
+++ b/tillerlane/keeper/state_machine.py
@@ -61,7 +61,7 @@
     def __init__(self) -> None:
         self.store = stores.Store()
         self.claims = claims.ClaimBook()
-        self.published = publications.Publisher()
+        self.published = publications.PublicationRegister()
         self.voters: dict[str, commands.Voter] = {}
         self.orders: collections.OrderedDict[str, OrderRecord] = collections.OrderedDict()
         self.pins: set[tuple[str, str]] = set()
--- a/tillerlane/keeper/tests/test_publications.py
+++ b/tillerlane/keeper/tests/test_publications.py
@@ -15,26 +15,26 @@
     return commands.Publish(version, content or f"content {version}".encode(), 0)
 
 
-class PublisherTest(unittest.TestCase):
+class PublicationRegisterTest(unittest.TestCase):
     """The state alone."""
 
     @profiles.choose(100)
     @given(strategies.lists(strategies.integers(0, 20), max_size=30))
     def test_highest_version_holds_in_any_order(self, versions: list[int]) -> None:
-        publisher = publications.Publisher()
+        register = publications.PublicationRegister()
         seen: list[int] = []
-        publisher.listen(lambda publication: seen.append(publication.version))
+        register.add_listener(lambda publication: seen.append(publication.version))
         for version in versions:
-            publisher.publish(build_command(version))
-        self.assertEqual(publisher.version, max(versions, default=-1))
+            register.publish(build_command(version))
+        self.assertEqual(register.version, max(versions, default=-1))
         self.assertEqual(seen, sorted(set(seen)))
 
     def test_other_content_under_the_version_held_changes_nothing(self) -> None:
-        publisher = publications.Publisher()
-        publisher.publish(build_command(3, b"first"))
-        answer = publisher.publish(build_command(3, b"second"))
+        register = publications.PublicationRegister()
+        register.publish(build_command(3, b"first"))
+        answer = register.publish(build_command(3, b"second"))
         self.assertEqual(answer, {"taken": False, "version": 3})
-        self.assertEqual(publisher.current.content, b"first")
+        self.assertEqual(register.current.content, b"first")
 
     def test_snapshot_keeps_it_and_an_older_one_takes_nothing_back(self) -> None:
         old, new = state_machine.StateMachine(), state_machine.StateMachine()
