--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -120,7 +120,7 @@
         announcer.update(config_version=configuration.version)
 
     store.listen(note_configuration)
-    client.begin()
+    client.start()
     stand_in = StandIn(name, node, store, client, announcer, in_force_at)
     if report_rate:
         stand_in.reporting = asyncio.create_task(_report(node, targets, report_rate))
--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -240,10 +240,10 @@
             for name, address in self.settings.keepers.items():
                 if name != self.settings.daemon:
                     self.node.dial(address)
-            self.keeper.begin()
+            self.keeper.start()
             self.placement.begin()
             self.exchange.begin()
-        self.client.begin()
+        self.client.start()
         if self.agent is not None:
             self.agent.begin()
         self._tasks.append(asyncio.create_task(self._refresh()))
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -228,7 +228,7 @@
         """Listen to peers and begin."""
         await self.node.listen(self._own.peer_listen_address)
         await self._figures.listen(self._own.metrics_address)
-        self.replica.begin()
+        self.replica.start()
         self._tasks = [
             self._loop.create_task(self.formation.run()),
             self._loop.create_task(self.formation.reconfiguration.run()),
--- a/tillerlane/keeper/client.py
+++ b/tillerlane/keeper/client.py
@@ -75,7 +75,7 @@
             self._order = self._sort(merged)
             self._members.keeper_addresses.update(merged.values())
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start looking for a home."""
         self._task = asyncio.create_task(self._keep_home())
 
--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -130,7 +130,7 @@
 
     # Time
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Take note that the keeper begins now."""
         self._began_at = _now()
         self._election_at = self._began_at + self._draw_start_timeout()
--- a/tillerlane/keeper/followers.py
+++ b/tillerlane/keeper/followers.py
@@ -57,11 +57,11 @@
         """Forget all, as at the beginning of a term."""
         self._progress = {}
 
-    def begin(self, name: str, next_index: int) -> None:
+    def add(self, name: str, next_index: int) -> None:
         """Follow a keeper from the entry at an index on."""
         self._progress[name] = Progress(next_index)
 
-    def end(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Follow a keeper no more."""
         self._progress.pop(name, None)
 
@@ -74,7 +74,7 @@
         for progress in self._progress.values():
             progress.wake.set()
 
-    def read_quorum_time(self, voters: dict[str, commands.Voter], now: float) -> float | None:
+    def compute_quorum_time(self, voters: dict[str, commands.Voter], now: float) -> float | None:
         """When the latest requests were sent that a quorum has answered; None without one."""
         times = [progress.acked_at for progress in self._list_on_record(voters)]
         return _find_quorum(times, now, voters, self._own)
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -143,9 +143,9 @@
 
     # Life
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the keeper's tasks."""
-        self.elections.begin()
+        self.elections.start()
         self._tasks = [
             asyncio.create_task(self.elections.run()),
             asyncio.create_task(self._write_proposals()),
@@ -221,7 +221,7 @@
 
     def _read_quorum_time(self) -> float | None:
         """When the latest requests were sent that a quorum has answered; None without one."""
-        return self.replication.read_quorum_time(self.voters)
+        return self.replication.compute_quorum_time(self.voters)
 
     def read_confirmed_at(self) -> float | None:
         """Time of the event loop at which this keeper was surely the only leader.
@@ -294,7 +294,7 @@
         self._pending.fail_all("a new term began")
         self._pending.add(commands.encode(commands.Noop()), first=True)
         self._noop_index = self.storage.last_index + 1
-        self.replication.begin(self.voters)
+        self.replication.start(self.voters)
         self.on_role_change()
 
     def become_follower(self, term: int, leader: str) -> None:
@@ -304,7 +304,7 @@
         self.leader = leader
         if was[0] is Role.LEADER:
             self._timeline.record("keeper.follow", term=term, leader=leader)
-            self.replication.end()
+            self.replication.stop()
             self._pending.fail_all("another keeper leads")
         if was != (self.role, self.leader):
             self.on_role_change()
--- a/tillerlane/keeper/replication.py
+++ b/tillerlane/keeper/replication.py
@@ -64,12 +64,12 @@
 
     # Life
 
-    def begin(self, voters: dict[str, commands.Voter]) -> None:
+    def start(self, voters: dict[str, commands.Voter]) -> None:
         """Begin a term as its leader."""
         self._followers.clear()
         self.follow(voters)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Send nothing more; progress is forgotten with the next term."""
         for task in self._tasks.values():
             task.cancel()
@@ -87,11 +87,11 @@
         wanted.pop(self._leader.name, None)
         for name, address in wanted.items():
             if name not in self._tasks:
-                self._followers.begin(name, self._leader.storage.last_index + 1)
+                self._followers.add(name, self._leader.storage.last_index + 1)
                 self._tasks[name] = asyncio.create_task(self._replicate(name, address))
         for name in set(self._tasks) - set(wanted):
             self._tasks.pop(name).cancel()
-            self._followers.end(name)
+            self._followers.remove(name)
 
     # What is known of the others
 
@@ -103,9 +103,9 @@
         """Have something sent to each."""
         self._followers.wake_all()
 
-    def read_quorum_time(self, voters: dict[str, commands.Voter]) -> float | None:
+    def compute_quorum_time(self, voters: dict[str, commands.Voter]) -> float | None:
         """When the latest requests were sent that a quorum has answered; None without one."""
-        return self._followers.read_quorum_time(voters, _now())
+        return self._followers.compute_quorum_time(voters, _now())
 
     def find_quorum_index(self, voters: dict[str, commands.Voter]) -> int | None:
         """Index of the last entry that a quorum has synced; None without one."""
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -48,10 +48,10 @@
         """Wall time less the event loop's time, in milliseconds, when the keeper began."""
         node_replica.state_machine.store.listen(self._push)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the keeper."""
         self._began_ms = self._now_ms() - asyncio.get_running_loop().time() * 1000
-        self.replica.begin()
+        self.replica.start()
 
     async def stop(self) -> None:
         """Stop the keeper."""
--- a/tillerlane/keeper/tests/test_parts.py
+++ b/tillerlane/keeper/tests/test_parts.py
@@ -18,22 +18,22 @@
     def setUp(self) -> None:
         self.followers = followers.Followers("a")
         for name, index, acked_at in (("b", 9, 5.0), ("c", 7, 4.0), ("d", 8, 3.0)):
-            self.followers.begin(name, 1)
+            self.followers.add(name, 1)
             progress = self.followers.get(name)
             progress.match_index, progress.acked_at = index, acked_at
             progress.disk_id = f"disk-{name}"
 
     def test_third_of_five_decides(self) -> None:
         self.assertEqual(self.followers.find_quorum_index(VOTERS, 12), 8)
-        self.assertEqual(self.followers.read_quorum_time(VOTERS, 6.0), 4.0)
+        self.assertEqual(self.followers.compute_quorum_time(VOTERS, 6.0), 4.0)
 
     def test_new_disk_of_a_voter_does_not_count(self) -> None:
         self.followers.get("d").disk_id = "disk-new"
         self.assertEqual(self.followers.find_quorum_index(VOTERS, 12), 7)
 
     def test_no_quorum(self) -> None:
-        self.followers.end("b")
-        self.followers.end("c")
+        self.followers.remove("b")
+        self.followers.remove("c")
         self.assertIsNone(self.followers.find_quorum_index(VOTERS, 12))
 
     def test_leader_without_a_vote_does_not_count_itself(self) -> None:
