--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -459,7 +459,7 @@
                 for member in self.members.read_live()
                 if settings.Role.KEEPER.value in member.roles
             }
-            self.client.learn(keepers)
+            self.client.update_keepers(keepers)
             if self.agent is not None:
                 leaving = sorted(self.agent.read_leaving())
                 self.announcer.update(leaving_targets=leaving)
@@ -485,7 +485,7 @@
             return False
         if self.settings.stale_action is settings.StaleAction.SERVE:
             return True
-        age = asyncio.get_running_loop().time() - self.client.heard_at
+        age = asyncio.get_running_loop().time() - self.client.last_contact_at
         return age < self.settings.stale_seconds
 
     def note_internal(self, error: Exception) -> faults.Fault:
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -266,7 +266,7 @@
         self.meters.bearable_losses.set_function(lambda: seen.view.bears if seen.view else 0)
         self.meters.short_seconds.set_function(seen.compute_degraded_seconds)
         self.meters.voteless_seconds.set_function(seen.compute_voteless_seconds)
-        self.meters.lost_elections.set_function(lambda: self.replica.elections.lost)
+        self.meters.lost_elections.set_function(lambda: self.replica.elections.lost_elections)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take the seeds of changed settings."""
--- a/tillerlane/keeper/client.py
+++ b/tillerlane/keeper/client.py
@@ -15,12 +15,12 @@
 
 __all__ = ["KeeperClient"]
 
-CHECK_SECONDS = 0.25
-HOME_PATIENCE_SECONDS = 0.75
+CHECK_INTERVAL_SECONDS = 0.25
+HOME_TIMEOUT_SECONDS = 0.75
 """How long a home keeper may be without a link before the next one is tried."""
-CALL_SECONDS = 5.0
-TRY_SECONDS = 6.0
-RETRY_SECONDS = 0.1
+CALL_TIMEOUT_SECONDS = 5.0
+PROPOSE_TIMEOUT_SECONDS = 6.0
+RETRY_DELAY_SECONDS = 0.1
 
 
 class KeeperClient:
@@ -58,7 +58,7 @@
         self._peer: nodes.Peer | None = None
         self._linkless_since = 0.0
         self._known_link: links.Link | None = None
-        self.heard_at = -1e9
+        self.last_contact_at = -1e9
         self._task: asyncio.Task[None] | None = None
 
     def _sort(self, keepers: dict[str, str]) -> list[str]:
@@ -67,7 +67,7 @@
 
         return sorted(keepers, key=weigh)
 
-    def learn(self, keepers: dict[str, str]) -> None:
+    def update_keepers(self, keepers: dict[str, str]) -> None:
         """Take over the present keepers; those of the settings may be long gone."""
         merged = {**self._keepers, **keepers}
         if merged != self._keepers:
@@ -101,14 +101,14 @@
             now = loop.time()
             link = self.home
             if link is not None and self._is_ready():
-                self.heard_at = now
+                self.last_contact_at = now
                 self._linkless_since = now
                 if link is not self._known_link:
                     self._known_link = link
                     self._on_home(link)
-            elif now - self._linkless_since > HOME_PATIENCE_SECONDS:
+            elif now - self._linkless_since > HOME_TIMEOUT_SECONDS:
                 self._move_on(now)
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _is_ready(self) -> bool:
         """Whether the home keeper hears a leader, as far as is known; or no other does."""
@@ -142,10 +142,10 @@
         Raises
         ------
         faults.FaultError
-            ``no_quorum`` after `TRY_SECONDS`.
+            ``no_quorum`` after `PROPOSE_TIMEOUT_SECONDS`.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + TRY_SECONDS
+        until = loop.time() + PROPOSE_TIMEOUT_SECONDS
         encoded = commands.encode(command)
         ran = kinds.Ran.NO
         while True:
@@ -157,10 +157,10 @@
                     ran = kinds.Ran.UNKNOWN
                 if fault.kind is not kinds.ErrorKind.NO_QUORUM or loop.time() >= until:
                     raise faults.FaultError(dataclasses.replace(fault, ran=ran)) from error
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
 
     async def _propose_once(self, encoded: bytes) -> dict[str, Any]:
         link = self.home
         if link is None:
             raise proposals.build_no_quorum("no link to a keeper")
-        return await proposals.send(link, encoded, 0, CALL_SECONDS)
+        return await proposals.send(link, encoded, 0, CALL_TIMEOUT_SECONDS)
--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -14,7 +14,7 @@
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["ELECTION_SECONDS", "LEASE_SECONDS", "Elections", "Member"]
+__all__ = ["ELECTION_SECONDS", "LEASE_SECONDS", "Elections", "Participant"]
 
 ELECTION_SECONDS = (1.0, 1.6)
 """Silence of the leader after which a voter stands for election, drawn anew each time."""
@@ -35,7 +35,7 @@
 enough for a log that is cut to some lines, 720 lines an hour at most."""
 
 
-class Member(Protocol):
+class Participant(Protocol):
     """What elections need of the replica that they are a part of."""
 
     name: str
@@ -85,7 +85,7 @@
 
     Parameters
     ----------
-    member : Member
+    participant : Participant
         The replica that this is a part of.
     configured : int
         How many keepers the settings name.
@@ -102,20 +102,20 @@
     ----------
     heard_at : float
         When a leader was last heard of, or this keeper's own lease last held.
-    lost : int
+    lost_elections : int
         Elections and pre-votes that this keeper stood in and did not win.
     """
 
     def __init__(
         self,
-        member: Member,
+        participant: Participant,
         configured: int,
         get_link: Callable[[str], links.Link | None],
         timeline: timelines.Timeline,
         rng: random.Random,
         list_bootstrap_peers: Callable[[], dict[str, str]],
     ) -> None:
-        self._member = member
+        self._participant = participant
         self._configured = configured
         self._get_link = get_link
         self._timeline = timeline
@@ -125,7 +125,7 @@
         self._election_at = 0.0
         self._began_at = math.inf
         """Time of the event loop at which its tasks began; until then it helps no leader."""
-        self.lost = 0
+        self.lost_elections = 0
         self._told_lost: tuple[dict[str, str], float] | None = None
 
     # Time
@@ -135,12 +135,12 @@
         self._began_at = _now()
         self._election_at = self._began_at + self._draw_start_timeout()
 
-    def note_leader(self) -> None:
+    def record_leader_contact(self) -> None:
         """Take note that the leader was heard of; it is given time anew."""
         self.heard_at = _now()
         self._election_at = self.heard_at + self._draw_timeout()
 
-    def has_heard(self, seconds: float) -> bool:
+    def has_heard_leader(self, seconds: float) -> bool:
         """Whether a leader was heard of within the last seconds."""
         return _now() - self.heard_at < seconds
 
@@ -156,7 +156,7 @@
 
     def _draw_start_timeout(self) -> float:
         """Seconds from the start to the first election that this keeper stands in."""
-        own = self._member
+        own = self._participant
         if not own.voters and self._configured > 1:
             return self._draw_timeout()
         if own.storage.voted_for in ("", own.name):
@@ -169,7 +169,7 @@
         """Stand for election whenever it is time, until cancelled."""
         while True:
             await asyncio.sleep(self._read_pause())
-            own = self._member
+            own = self._participant
             if own.disk_fault is not None:
                 continue
             if own.is_stalled:
@@ -190,15 +190,15 @@
 
     def _keep_lease(self) -> None:
         """Lead no more once the lease has been gone for long."""
-        own = self._member
+        own = self._participant
         if own.has_lease:
             self.heard_at = _now()
-        elif not self.has_heard(LEASE_SECONDS * 2):
+        elif not self.has_heard_leader(LEASE_SECONDS * 2):
             self._timeline.record("keeper.lease_lost", term=own.storage.term)
             own.become_follower(own.storage.term, "")
 
     async def _stand(self) -> None:
-        own = self._member
+        own = self._participant
         if not own.voters:
             await self._try_bootstrap()
             return
@@ -214,14 +214,14 @@
             own.become_leader()
 
     def _build_vote_request(self, term: int, *, pre: bool) -> messages.VoteRequest:
-        storage = self._member.storage
+        storage = self._participant.storage
         return messages.VoteRequest(
-            term, self._member.name, storage.last_index, storage.last_term, pre
+            term, self._participant.name, storage.last_index, storage.last_term, pre
         )
 
     async def _collect_votes(self, term: int, *, pre: bool) -> bool:
         """Ask all voters; whether a quorum granted."""
-        own = self._member
+        own = self._participant
         request = self._build_vote_request(term, pre=pre)
         others = {name: voter for name, voter in own.voters.items() if name != own.name}
         needed = voter_rules.count_quorum(len(own.voters))
@@ -239,7 +239,7 @@
 
         A keeper without a quorum asks some ten times a second, and the answers are the same.
         """
-        self.lost += 1
+        self.lost_elections += 1
         told = (result.verdicts, _now() // LOST_ELECTION_SECONDS)
         if told == self._told_lost:
             return
@@ -256,7 +256,7 @@
 
     async def _try_bootstrap(self) -> None:
         """Found the log, if every founder is there with a fresh disk."""
-        own = self._member
+        own = self._participant
         bootstrap_peers = self._list_bootstrap_peers() if own.storage.is_fresh else {}
         if own.name not in bootstrap_peers:
             return
@@ -278,9 +278,9 @@
 
     # Voting
 
-    async def answer(self, request: messages.VoteRequest) -> messages.VoteReply:
+    async def handle_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
         """Answer a candidate."""
-        own = self._member
+        own = self._participant
         is_later = not request.pre and request.term > own.storage.term
         if is_later and not self._hears_leader(request.candidate):
             await own.follow_term(request.term)
@@ -305,28 +305,28 @@
         """Whether a leader may hold a lease that rests on this keeper's word before its restart.
 
         A restarted voter has forgotten when it last answered its leader, but its disk names that
-        leader (`Member.follow_term`).  The lease has ended when `LEASE_SECONDS` have passed since
-        the start, or when that leader stands for election itself.  Without this a voter that
+        leader (`Participant.follow_term`).  The lease has ended when `LEASE_SECONDS` have passed
+        since the start, or when that leader stands for election itself.  Without this a voter that
         restarts helps a second leader while the first one still answers reads.
         """
         if _now() - self._began_at >= LEASE_SECONDS:
             return False
-        return self._member.storage.voted_for not in ("", self._member.name, candidate)
+        return self._participant.storage.voted_for not in ("", self._participant.name, candidate)
 
     def _hears_leader(self, candidate: str) -> bool:
         """Whether a leader lives or may live: then nobody else is helped to replace it."""
-        own = self._member
+        own = self._participant
         if own.is_leading:
             return own.has_lease
         if self._may_support_leader(candidate):
             return True
         # A leader that stands for a later term leads no more.
         has_other_leader = own.leader not in ("", candidate)
-        return has_other_leader and self.has_heard(ELECTION_SECONDS[0])
+        return has_other_leader and self.has_heard_leader(ELECTION_SECONDS[0])
 
     def _find_refusal(self, request: messages.VoteRequest) -> votes.VoteRefusal | None:
         """Why a candidate gets no vote here; None if it gets one."""
-        storage = self._member.storage
+        storage = self._participant.storage
         if self._hears_leader(request.candidate):
             return votes.VoteRefusal.LEADER_LIVES
         if (request.last_term, request.last_index) < (storage.last_term, storage.last_index):
--- a/tillerlane/keeper/freshness.py
+++ b/tillerlane/keeper/freshness.py
@@ -110,7 +110,7 @@
 
     def get_fresh_at(self) -> float | None:
         """The latest moment up to which all that was committed is surely held here."""
-        confirmed_at = self._replica.read_confirmed_at()
+        confirmed_at = self._replica.get_confirmed_at()
         if confirmed_at is not None:
             return confirmed_at
         return self._clock.fresh_at if self._clock.fresh_at > UNKNOWN else None
--- a/tillerlane/keeper/proposals.py
+++ b/tillerlane/keeper/proposals.py
@@ -9,7 +9,7 @@
 
 __all__ = ["build_no_quorum", "send"]
 
-RETRY_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
 def build_no_quorum(
@@ -17,7 +17,7 @@
 ) -> faults.FaultError:
     """The fault of a proposal that nobody took, or whose fate is not known."""
     fault = faults.new_fault(
-        kinds.ErrorKind.NO_QUORUM, message, ran=ran, retry_after=RETRY_SECONDS, detail=detail
+        kinds.ErrorKind.NO_QUORUM, message, ran=ran, retry_after=RETRY_AFTER_SECONDS, detail=detail
     )
     return faults.FaultError(fault)
 
--- a/tillerlane/keeper/reconfiguration.py
+++ b/tillerlane/keeper/reconfiguration.py
@@ -135,7 +135,7 @@
         now = self._now()
         if name == self._replica.name or now - self._led_since < NEW_LEADER_GRACE_SECONDS:
             return 0.0
-        answered_at = self._replica.read_answered_at(name)
+        answered_at = self._replica.get_last_ack_at(name)
         if answered_at > followers.NEVER:
             return now - answered_at
         # A voter may still tell of itself though its disk answers nothing.
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -209,7 +209,7 @@
         """Whether a leader was heard of lately."""
         if self.is_leading:
             return self.has_lease
-        return bool(self.leader) and self.elections.has_heard(elections.ELECTION_SECONDS[1])
+        return bool(self.leader) and self.elections.has_heard_leader(elections.ELECTION_SECONDS[1])
 
     @property
     def has_lease(self) -> bool:
@@ -223,7 +223,7 @@
         """When the latest requests were sent that a quorum has answered; None without one."""
         return self.replication.compute_quorum_time(self.voters)
 
-    def read_confirmed_at(self) -> float | None:
+    def get_confirmed_at(self) -> float | None:
         """Time of the event loop at which this keeper was surely the only leader.
 
         What is committed here now includes all that was committed anywhere by then.  None if this
@@ -233,7 +233,7 @@
             return None
         return self._read_quorum_time()
 
-    def read_answered_at(self, name: str) -> float:
+    def get_last_ack_at(self, name: str) -> float:
         """When the last request was sent that another keeper has answered; leaders only."""
         if name == self.name:
             return self._now()
@@ -268,10 +268,10 @@
         since = self._writing_since
         return since is not None and self._now() - since > STALL_SECONDS
 
-    async def take_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
+    async def handle_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
         """Answer a candidate."""
         self._check_disk()
-        return await self.elections.answer(request)
+        return await self.elections.handle_vote_request(request)
 
     def _list_configured(self) -> dict[str, str]:
         """All configured keepers, for the one of the lowest name: so two never found at once."""
@@ -448,7 +448,7 @@
         if self.is_leading:
             self.replication.follow(self.voters)
 
-    def note_progress(self, name: str, address: str) -> None:
+    def record_progress(self, name: str, address: str) -> None:
         """Commit what a quorum holds now, and give a keeper that has caught up its vote.
 
         It is the vote of the disk that the keeper has now.  The proposal runs beside the
@@ -499,7 +499,7 @@
 
     # The follower's side of replication
 
-    async def take_append(self, request: messages.AppendRequest) -> messages.AppendReply:
+    async def handle_append(self, request: messages.AppendRequest) -> messages.AppendReply:
         """Take entries from the leader."""
         self._check_disk()
         if not await self._take_leader(request.term, request.leader):
@@ -531,12 +531,12 @@
             return False
         if term > self.storage.term or self.storage.voted_for != leader:
             await self.follow_term(term, leader)
-        self.elections.note_leader()
+        self.elections.record_leader_contact()
         if self.leader != leader or self.role is not Role.FOLLOWER:
             self.become_follower(term, leader)
         return True
 
-    async def take_snapshot_piece(self, piece: messages.SnapshotPiece) -> messages.SnapshotReply:
+    async def handle_snapshot_piece(self, piece: messages.SnapshotPiece) -> messages.SnapshotReply:
         """Take a piece of the leader's snapshot; the last one puts it in force."""
         self._check_disk()
         storage = self.storage
--- a/tillerlane/keeper/replication.py
+++ b/tillerlane/keeper/replication.py
@@ -32,7 +32,7 @@
     async def follow_term(self, term: int) -> None:
         """Enter a later term that a follower told."""
 
-    def note_progress(self, name: str, address: str) -> None:
+    def record_progress(self, name: str, address: str) -> None:
         """Take note that a keeper holds more, or answered."""
 
 
@@ -125,7 +125,7 @@
                 except (links.LinkLost, faults.FaultError):
                     await asyncio.sleep(HEARTBEAT_SECONDS)
                     continue
-                self._leader.note_progress(name, address)
+                self._leader.record_progress(name, address)
             if progress.match_index >= self._leader.storage.last_index or link is None:
                 try:
                     await asyncio.wait_for(progress.wake.wait(), HEARTBEAT_SECONDS)
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -67,11 +67,11 @@
         """Serve an exchange that a peer opened; False if it is not for a keeper."""
         match body:
             case messages.VoteRequest():
-                exchange.send(await self.replica.take_vote_request(body))
+                exchange.send(await self.replica.handle_vote_request(body))
             case messages.AppendRequest():
-                exchange.send(await self.replica.take_append(body))
+                exchange.send(await self.replica.handle_append(body))
             case messages.SnapshotPiece():
-                exchange.send(await self.replica.take_snapshot_piece(body))
+                exchange.send(await self.replica.handle_snapshot_piece(body))
             case messages.Propose():
                 answer = await self.propose(body.command, body.hops)
                 exchange.send(messages.ProposeReply(msgspec.json.encode(answer)))
@@ -113,7 +113,7 @@
         age = command.expires_ms - command.at_ms
         return msgspec.structs.replace(command, at_ms=now, expires_ms=now + age)
 
-    def read_status(self) -> dict[str, Any]:
+    def get_status(self) -> dict[str, Any]:
         """State of this keeper, for operators."""
         own = self.replica
         return {
--- a/tillerlane/keeper/tests/test_publications.py
+++ b/tillerlane/keeper/tests/test_publications.py
@@ -172,7 +172,7 @@
             leader = next(
                 item
                 for item in stage.keepers.values()
-                if item.replica.read_confirmed_at() is not None
+                if item.replica.get_confirmed_at() is not None
             )
             healed = asyncio.Event()
 
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -96,7 +96,7 @@
     if daemon.callers is not None:
         status["requests"] = daemon.callers.dispatcher.active
     if daemon.keeper is not None:
-        status["keeper"] = daemon.keeper.read_status()
+        status["keeper"] = daemon.keeper.get_status()
     if daemon.agent is not None:
         status["targets"] = _read_targets(daemon)
     return status
