--- a/tillerlane/keeper/claims.py
+++ b/tillerlane/keeper/claims.py
@@ -10,7 +10,7 @@
 
 from tillerlane.keeper import commands
 
-__all__ = ["Claim", "ClaimBook"]
+__all__ = ["Claim", "ClaimTable"]
 
 
 @dataclasses.dataclass(slots=True)
@@ -27,7 +27,7 @@
     fault: str = ""
 
 
-class ClaimBook:
+class ClaimTable:
     """All claims, by workspace and key, in order of their opening."""
 
     def __init__(self) -> None:
--- a/tillerlane/keeper/pending.py
+++ b/tillerlane/keeper/pending.py
@@ -8,7 +8,7 @@
 from tillerlane.faults import kinds
 from tillerlane.keeper import proposals
 
-__all__ = ["Pending", "Proposal", "build_undecided"]
+__all__ = ["PendingProposals", "Proposal", "build_outcome_unknown"]
 
 
 @dataclasses.dataclass(slots=True)
@@ -19,7 +19,7 @@
     answer: "asyncio.Future[dict[str, Any]]"
 
 
-class Pending:
+class PendingProposals:
     """A leader's proposals, in their order.
 
     Attributes
@@ -47,18 +47,18 @@
         self.queued.set()
         return proposal
 
-    def take_batch(self, most: int) -> list[Proposal]:
+    def pop_batch(self, most: int) -> list[Proposal]:
         """Take the first ones of the queue."""
         batch, self._queue = self._queue[:most], self._queue[most:]
         if self._queue:
             self.queued.set()
         return batch
 
-    def note_appended(self, index: int, proposal: Proposal) -> None:
+    def record_appended(self, index: int, proposal: Proposal) -> None:
         """Take note of the index that a proposal is appended at."""
         self._appended[index] = proposal
 
-    def answer(self, index: int, answer: dict[str, Any]) -> None:
+    def resolve(self, index: int, answer: dict[str, Any]) -> None:
         """Answer whoever waits for the entry at an index."""
         proposal = self._appended.pop(index, None)
         if proposal is not None and not proposal.answer.done():
@@ -68,12 +68,12 @@
         """Nobody will tell these proposals' fate any more; they may still be committed."""
         for proposal in [*self._queue, *self._appended.values()]:
             if not proposal.answer.done():
-                proposal.answer.set_exception(build_undecided(reason))
+                proposal.answer.set_exception(build_outcome_unknown(reason))
         self._queue = []
         self._appended = {}
 
 
-def build_undecided(reason: str) -> faults.FaultError:
+def build_outcome_unknown(reason: str) -> faults.FaultError:
     """A fault that says that a command may or may not be committed later."""
     message = f"{reason}; the outcome is not known, ask again with the same change id"
     return proposals.build_no_quorum(message, kinds.Ran.UNKNOWN)
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -126,8 +126,8 @@
         )
         self.write_lock = asyncio.Lock()
         self.replication = replication.Replication(self, get_link)
-        self._pending = pending.Pending()
-        self._inbox = snapshots.Inbox()
+        self._pending = pending.PendingProposals()
+        self._snapshot_assembler = snapshots.SnapshotAssembler()
         self._noop_index = 0
         self._voters: dict[str, commands.Voter] = {}
         self._voters_mark: tuple[int, int, int] | None = None
@@ -343,7 +343,7 @@
         try:
             return await asyncio.wait_for(asyncio.shield(proposal.answer), COMMIT_SECONDS)
         except TimeoutError as error:
-            raise pending.build_undecided("not committed in time") from error
+            raise pending.build_outcome_unknown("not committed in time") from error
 
     async def _write_proposals(self) -> None:
         """Append what is queued; all that gathers during one sync shares the next."""
@@ -358,13 +358,13 @@
     async def _append_batch(self) -> None:
         if not self.is_leading:
             return
-        batch = self._pending.take_batch(MAX_BATCH_ENTRIES)
+        batch = self._pending.pop_batch(MAX_BATCH_ENTRIES)
         term = self.storage.term
         first = self.storage.last_index + 1
         entries = []
         for position, proposal in enumerate(batch):
             entries.append(messages.LogEntry(term, first + position, proposal.command))
-            self._pending.note_appended(first + position, proposal)
+            self._pending.record_appended(first + position, proposal)
         try:
             await self.write(self.storage.append, entries)
         except faults.FaultError:
@@ -400,7 +400,7 @@
         answer = self.state_machine.apply(entry.term, entry.index, commands.decode(entry.command))
         self.applied_index = entry.index
         self._bytes_behind_snapshot += len(entry.command)
-        self._pending.answer(entry.index, {**answer, "index": entry.index, "term": entry.term})
+        self._pending.resolve(entry.index, {**answer, "index": entry.index, "term": entry.term})
 
     def _after_apply(self) -> None:
         if self.voters == self.state_machine.voters:
@@ -542,9 +542,9 @@
         storage = self.storage
         if not await self._take_leader(piece.term, piece.leader):
             return messages.SnapshotReply(storage.term, 0, storage.disk_id)
-        received = self._inbox.take(piece)
+        received = self._snapshot_assembler.add(piece)
         if received == piece.total:
-            await self._install(self._inbox.finish())
+            await self._install(self._snapshot_assembler.finish())
         return messages.SnapshotReply(storage.term, received, storage.disk_id)
 
     async def _install(self, snapshot: storages.Snapshot) -> None:
--- a/tillerlane/keeper/snapshots.py
+++ b/tillerlane/keeper/snapshots.py
@@ -3,10 +3,10 @@
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import messages
 
-__all__ = ["Inbox"]
+__all__ = ["SnapshotAssembler"]
 
 
-class Inbox:
+class SnapshotAssembler:
     """Gathers the pieces of one snapshot at a time."""
 
     def __init__(self) -> None:
@@ -14,7 +14,7 @@
         """Last index and term of the snapshot that is arriving."""
         self._data = bytearray()
 
-    def take(self, piece: messages.SnapshotPiece) -> int:
+    def add(self, piece: messages.SnapshotPiece) -> int:
         """Take a piece; gives how many bytes are there.  One that does not follow is passed over.
 
         A piece of another snapshot, or a first one, begins anew.
--- a/tillerlane/keeper/state_machine.py
+++ b/tillerlane/keeper/state_machine.py
@@ -60,7 +60,7 @@
 
     def __init__(self) -> None:
         self.store = stores.Store()
-        self.claims = claims.ClaimBook()
+        self.claims = claims.ClaimTable()
         self.published = publications.PublicationRegister()
         self.voters: dict[str, commands.Voter] = {}
         self.orders: collections.OrderedDict[str, OrderRecord] = collections.OrderedDict()
--- a/tillerlane/keeper/tests/test_parts.py
+++ b/tillerlane/keeper/tests/test_parts.py
@@ -99,21 +99,21 @@
     """Proposals of a leader."""
 
     async def test_answers_go_by_index(self) -> None:
-        waiting = pending.Pending()
+        waiting = pending.PendingProposals()
         later = waiting.add(b"later")
         first = waiting.add(b"first", first=True)
-        self.assertEqual(waiting.take_batch(1), [first])
+        self.assertEqual(waiting.pop_batch(1), [first])
         self.assertTrue(waiting.has_queued)
-        waiting.note_appended(7, first)
-        waiting.answer(8, {"of": "nobody"})
-        waiting.answer(7, {"index": 7})
+        waiting.record_appended(7, first)
+        waiting.resolve(8, {"of": "nobody"})
+        waiting.resolve(7, {"index": 7})
         self.assertEqual(await first.answer, {"index": 7})
         self.assertFalse(later.answer.done())
 
     async def test_fate_of_what_waits_is_unknown(self) -> None:
-        waiting = pending.Pending()
+        waiting = pending.PendingProposals()
         proposals = [waiting.add(b"one"), waiting.add(b"two")]
-        waiting.note_appended(1, waiting.take_batch(1)[0])
+        waiting.record_appended(1, waiting.pop_batch(1)[0])
         waiting.fail_all("another keeper leads")
         for proposal in proposals:
             with self.assertRaises(faults.FaultError) as caught:
@@ -123,25 +123,27 @@
         await asyncio.sleep(0)
 
 
-class InboxTest(unittest.TestCase):
+class SnapshotAssemblerTest(unittest.TestCase):
     """A snapshot in pieces."""
 
-    def take(self, inbox: snapshots.Inbox, index: int, offset: int, data: bytes) -> int:
-        return inbox.take(messages.SnapshotPiece(1, "a", index, 1, offset, 6, data))
+    def take(
+        self, assembler: snapshots.SnapshotAssembler, index: int, offset: int, data: bytes
+    ) -> int:
+        return assembler.add(messages.SnapshotPiece(1, "a", index, 1, offset, 6, data))
 
     def test_pieces_in_order(self) -> None:
-        inbox = snapshots.Inbox()
-        self.assertEqual(self.take(inbox, 5, 0, b"abc"), 3)
-        self.assertEqual(self.take(inbox, 5, 4, b"xx"), 3)  # does not follow
-        self.assertEqual(self.take(inbox, 5, 3, b"def"), 6)
-        whole = inbox.finish()
+        assembler = snapshots.SnapshotAssembler()
+        self.assertEqual(self.take(assembler, 5, 0, b"abc"), 3)
+        self.assertEqual(self.take(assembler, 5, 4, b"xx"), 3)  # does not follow
+        self.assertEqual(self.take(assembler, 5, 3, b"def"), 6)
+        whole = assembler.finish()
         self.assertEqual((whole.last_index, whole.data), (5, b"abcdef"))
 
     def test_newer_snapshot_begins_anew(self) -> None:
-        inbox = snapshots.Inbox()
-        self.take(inbox, 5, 0, b"abc")
-        self.assertEqual(self.take(inbox, 9, 3, b"def"), 0)
-        self.assertEqual(self.take(inbox, 9, 0, b"xyz"), 3)
+        assembler = snapshots.SnapshotAssembler()
+        self.take(assembler, 5, 0, b"abc")
+        self.assertEqual(self.take(assembler, 9, 3, b"def"), 0)
+        self.assertEqual(self.take(assembler, 9, 0, b"xyz"), 3)
 
 
 if __name__ == "__main__":
--- a/tillerlane/keeper/tests/test_exchange.py
+++ b/tillerlane/keeper/tests/test_replacement.py
@@ -42,7 +42,7 @@
     await stage.start_keeper(NEWCOMER)
 
 
-class ExchangeCase(gateway_scenes.GatewayCase):
+class ReplacementCase(gateway_scenes.GatewayCase):
     """Five keepers, of which two may be lost at once; base of the tests."""
 
     keepers = 5
@@ -63,7 +63,7 @@
         self.assertEqual(stage.keepers[leader].replica.state_machine.published.version, version + 1)
 
 
-class HearsayTest(ExchangeCase):
+class HearsayTest(ReplacementCase):
     """The seeds don't name the leader."""
 
     async def exchange_seeds(self, stage: gateway_lab.GatewayLab) -> None:
@@ -103,7 +103,7 @@
         self.play(scene)
 
 
-class TimeTest(ExchangeCase):
+class TimeTest(ReplacementCase):
     """Whoever is lost, the vote is the newcomer's when it counts as whole."""
 
     def check(self, lost: str) -> None:
@@ -123,7 +123,7 @@
                 self.check(lost)
 
 
-class PlannedTest(ExchangeCase):
+class PlannedTest(ReplacementCase):
     """The newcomer comes first, and counts as whole; then its predecessor stops for good."""
 
     def check(self, leads: bool) -> None:
@@ -172,7 +172,7 @@
         self.play(scene)
 
 
-class InterruptedTest(ExchangeCase):
+class InterruptedTest(ReplacementCase):
     """The leader is lost in the middle of an exchange, and comes back."""
 
     async def wait_for_a_step(self, stage: gateway_lab.GatewayLab) -> str:
@@ -197,7 +197,7 @@
         self.play(scene)
 
 
-class SeedsWithoutVotesTest(ExchangeCase):
+class SeedsWithoutVotesTest(ReplacementCase):
     """Seeds are exchanged for keepers that have no vote, and an entry knows nobody else."""
 
     async def add_spares(self, stage: gateway_lab.GatewayLab, count: int) -> list[str]:
@@ -237,7 +237,7 @@
         self.play(scene)
 
 
-class LaterTermTest(ExchangeCase):
+class LaterTermTest(ReplacementCase):
     """A keeper that once asked for votes in vain knows a later term, and lacks what came since."""
 
     def test_three_disks_on_record_elect_a_leader_whatever_terms_they_know(self) -> None:
