--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -14,23 +14,23 @@
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["ELECTION_SECONDS", "LEASE_SECONDS", "Elections", "Participant"]
+__all__ = ["ELECTION_TIMEOUT_SECONDS", "LEASE_SECONDS", "Elections", "Participant"]
 
-ELECTION_SECONDS = (1.0, 1.6)
+ELECTION_TIMEOUT_SECONDS = (1.0, 1.6)
 """Silence of the leader after which a voter stands for election, drawn anew each time."""
-ELECTION_CHECK_SECONDS = 0.1
-LEAST_PAUSE_SECONDS = 0.005
+ELECTION_CHECK_INTERVAL_SECONDS = 0.1
+MIN_CHECK_INTERVAL_SECONDS = 0.005
 """Shortest pause between two looks at elections, so that they never hold the event loop."""
-ELECTION_RETRY_SECONDS = (0.05, 0.15)
+ELECTION_RETRY_DELAY_SECONDS = (0.05, 0.15)
 """Pause after an election that was not won: keepers that start together find the others' links
 missing or votes split, and each tenth of a second is one without service.  Pre-votes change
 nothing, so asking often costs a keeper that is cut off some 40 small messages a second at most."""
 LEASE_SECONDS = 0.8
 """Shorter than the shortest election timeout, with room for clocks that drift."""
-START_TIMEOUT_SECONDS = (LEASE_SECONDS, LEASE_SECONDS + 0.3)
+STARTUP_ELECTION_TIMEOUT_SECONDS = (LEASE_SECONDS, LEASE_SECONDS + 0.3)
 """After its start a voter that followed a leader stands once that leader's lease has surely ended,
 by lot, so that votes seldom split; the former leader itself stands at once."""
-LOST_ELECTION_SECONDS = 5.0
+LOST_ELECTION_LOG_INTERVAL_SECONDS = 5.0
 """A keeper that can't win elections says so again after so long, though nothing has changed: often
 enough for a log that is cut to some lines, 720 lines an hour at most."""
 
@@ -148,11 +148,11 @@
         """Seconds until the next look at elections."""
         until_election = self._election_at - _now()
         if until_election <= 0:
-            return ELECTION_CHECK_SECONDS
-        return min(ELECTION_CHECK_SECONDS, max(LEAST_PAUSE_SECONDS, until_election))
+            return ELECTION_CHECK_INTERVAL_SECONDS
+        return min(ELECTION_CHECK_INTERVAL_SECONDS, max(MIN_CHECK_INTERVAL_SECONDS, until_election))
 
     def _draw_timeout(self) -> float:
-        return self._rng.uniform(*ELECTION_SECONDS)
+        return self._rng.uniform(*ELECTION_TIMEOUT_SECONDS)
 
     def _draw_start_timeout(self) -> float:
         """Seconds from the start to the first election that this keeper stands in."""
@@ -160,8 +160,8 @@
         if not own.voters and self._configured > 1:
             return self._draw_timeout()
         if own.storage.voted_for in ("", own.name):
-            return self._rng.uniform(*ELECTION_RETRY_SECONDS)
-        return self._rng.uniform(*START_TIMEOUT_SECONDS)
+            return self._rng.uniform(*ELECTION_RETRY_DELAY_SECONDS)
+        return self._rng.uniform(*STARTUP_ELECTION_TIMEOUT_SECONDS)
 
     # Standing
 
@@ -185,7 +185,7 @@
                     await self._stand()
                 except faults.FaultError as error:
                     self._timeline.record("keeper.no_election", reason=error.fault.message)
-                retry = _now() + self._rng.uniform(*ELECTION_RETRY_SECONDS)
+                retry = _now() + self._rng.uniform(*ELECTION_RETRY_DELAY_SECONDS)
                 self._election_at = max(self._election_at, retry)
 
     def _keep_lease(self) -> None:
@@ -240,7 +240,7 @@
         A keeper without a quorum asks some ten times a second, and the answers are the same.
         """
         self.lost_elections += 1
-        told = (result.verdicts, _now() // LOST_ELECTION_SECONDS)
+        told = (result.verdicts, _now() // LOST_ELECTION_LOG_INTERVAL_SECONDS)
         if told == self._told_lost:
             return
         self._told_lost = told
@@ -322,7 +322,7 @@
             return True
         # A leader that stands for a later term leads no more.
         has_other_leader = own.leader not in ("", candidate)
-        return has_other_leader and self.has_heard_leader(ELECTION_SECONDS[0])
+        return has_other_leader and self.has_heard_leader(ELECTION_TIMEOUT_SECONDS[0])
 
     def _find_refusal(self, request: messages.VoteRequest) -> votes.VoteRefusal | None:
         """Why a candidate gets no vote here; None if it gets one."""
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -19,18 +19,18 @@
 
 __all__ = ["Formation", "FormationSettings"]
 
-ANNOUNCE_SECONDS = 0.4
+ANNOUNCE_INTERVAL_SECONDS = 0.4
 """Pause between two announcements; they are small and only go between keepers."""
-GREET_SECONDS = 0.1
+FIRST_CONTACT_INTERVAL_SECONDS = 0.1
 """Pause between two announcements to a keeper that has not told of itself yet: three of them, by
 way of a keeper that both know, bring a newcomer and the leader together."""
 BOOTSTRAP_TIMEOUT_SECONDS = 5.0
 """How long the founder waits for the wished number before it begins with fewer."""
 MIN_BOOTSTRAP_PEERS = 3
-LEAVE_SECONDS = 1.0
+LEAVE_TIMEOUT_SECONDS = 1.0
 """How long a planned stop waits for the vote to be turned over, which takes 0.02 to 0.12 s (40
 stops in virtual time, half of them of the leader).  Who is not done then is silent soon after."""
-LEAVE_CHECK_SECONDS = 0.02
+LEAVE_CHECK_INTERVAL_SECONDS = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -180,14 +180,16 @@
         while True:
             self._expire()
             self.dial_all()
-            is_due = self._is_due.is_set() or self._now() - announced_at >= ANNOUNCE_SECONDS
+            is_due = (
+                self._is_due.is_set() or self._now() - announced_at >= ANNOUNCE_INTERVAL_SECONDS
+            )
             self._is_due.clear()
             if is_due:
                 announced_at = self._now()
                 self._update_quorum()
             self._announce(self.list_addresses() if is_due else self._list_unheard())
             try:
-                async with asyncio.timeout(GREET_SECONDS):
+                async with asyncio.timeout(FIRST_CONTACT_INTERVAL_SECONDS):
                     await self._is_due.wait()
             except TimeoutError:
                 continue
@@ -224,8 +226,8 @@
         self._is_leaving = True
         self._is_due.set()
         began = self._now()
-        while own.is_voter and self._now() - began < LEAVE_SECONDS:
-            await asyncio.sleep(LEAVE_CHECK_SECONDS)
+        while own.is_voter and self._now() - began < LEAVE_TIMEOUT_SECONDS:
+            await asyncio.sleep(LEAVE_CHECK_INTERVAL_SECONDS)
         self._timeline.record(
             "keeper.left_vote", done=not own.is_voter, took_s=round(self._now() - began, 3)
         )
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -40,7 +40,7 @@
 
 __all__ = ["Replica", "Role"]
 
-COMMIT_SECONDS = 3.0
+COMMIT_TIMEOUT_SECONDS = 3.0
 """How long a proposal waits to be committed."""
 MAX_BATCH_ENTRIES = 512
 SNAPSHOT_ENTRIES = 4_000
@@ -48,9 +48,9 @@
 SNAPSHOT_BYTES = 8 * 1024 * 1024
 """Bytes of commands behind the last snapshot after which a new one is made: a sixteenth of the
 smallest disk that a keeper has had (128 MB), and bounded memory for the entries held."""
-CANCEL_SECONDS = 0.1
+CANCEL_RETRY_DELAY_SECONDS = 0.1
 """Pause before tasks that are still there are cancelled again."""
-STALL_SECONDS = 1.0
+DISK_STALL_TIMEOUT_SECONDS = 1.0
 """A leader whose disk has been silent in a write for so long lets another one lead: below the
 time after which callers of the log ask elsewhere, above a slow sync."""
 
@@ -159,7 +159,7 @@
             # in the moment in which its work ends.
             for task in pending:
                 task.cancel()
-            _, pending = await asyncio.wait(pending, timeout=CANCEL_SECONDS)
+            _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_DELAY_SECONDS)
         self._pending.fail_all("the keeper stops")
 
     def _is_running(self, name: str) -> bool:
@@ -209,7 +209,9 @@
         """Whether a leader was heard of lately."""
         if self.is_leading:
             return self.has_lease
-        return bool(self.leader) and self.elections.has_heard_leader(elections.ELECTION_SECONDS[1])
+        return bool(self.leader) and self.elections.has_heard_leader(
+            elections.ELECTION_TIMEOUT_SECONDS[1]
+        )
 
     @property
     def has_lease(self) -> bool:
@@ -264,9 +266,9 @@
 
     @property
     def is_stalled(self) -> bool:
-        """Whether a write has been with the disk for longer than `STALL_SECONDS`."""
+        """Whether a write has been with the disk for longer than `DISK_STALL_TIMEOUT_SECONDS`."""
         since = self._writing_since
-        return since is not None and self._now() - since > STALL_SECONDS
+        return since is not None and self._now() - since > DISK_STALL_TIMEOUT_SECONDS
 
     async def handle_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
         """Answer a candidate."""
@@ -341,7 +343,7 @@
             raise proposals.build_no_quorum(message, detail=detail)
         proposal = self._pending.add(command)
         try:
-            return await asyncio.wait_for(asyncio.shield(proposal.answer), COMMIT_SECONDS)
+            return await asyncio.wait_for(asyncio.shield(proposal.answer), COMMIT_TIMEOUT_SECONDS)
         except TimeoutError as error:
             raise pending.build_outcome_unknown("not committed in time") from error
 
--- a/tillerlane/keeper/replication.py
+++ b/tillerlane/keeper/replication.py
@@ -10,12 +10,12 @@
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 
-__all__ = ["HEARTBEAT_SECONDS", "Leader", "Replication"]
+__all__ = ["HEARTBEAT_INTERVAL_SECONDS", "Leader", "Replication"]
 
-HEARTBEAT_SECONDS = 0.25
+HEARTBEAT_INTERVAL_SECONDS = 0.25
 MAX_BATCH_ENTRIES = 512
 MAX_BATCH_BYTES = 512 * 1024
-PIECE_BYTES = 256 * 1024
+SNAPSHOT_PIECE_BYTES = 256 * 1024
 
 
 class Leader(Protocol):
@@ -123,12 +123,12 @@
                 try:
                     await self._send_next(progress, link)
                 except (links.LinkLost, faults.FaultError):
-                    await asyncio.sleep(HEARTBEAT_SECONDS)
+                    await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
                     continue
                 self._leader.record_progress(name, address)
             if progress.match_index >= self._leader.storage.last_index or link is None:
                 try:
-                    await asyncio.wait_for(progress.wake.wait(), HEARTBEAT_SECONDS)
+                    await asyncio.wait_for(progress.wake.wait(), HEARTBEAT_INTERVAL_SECONDS)
                 except TimeoutError:
                     continue
 
@@ -187,7 +187,7 @@
                 snapshot.last_term,
                 offset,
                 len(snapshot.data),
-                snapshot.data[offset : offset + PIECE_BYTES],
+                snapshot.data[offset : offset + SNAPSHOT_PIECE_BYTES],
             )
             sent_at = _now()
             reply = await link.call(piece, votes.CALL_TIMEOUT_SECONDS * 4)
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -14,7 +14,7 @@
 __all__ = ["Keeper"]
 
 MAX_HOPS = 2
-FORWARD_SECONDS = 4.0
+FORWARD_TIMEOUT_SECONDS = 4.0
 
 
 class Keeper:
@@ -94,7 +94,7 @@
         link = self._get_link(leader.address) if leader and own.leader != own.name else None
         if link is None or hops >= MAX_HOPS:
             raise proposals.build_no_quorum(f"{own.name} knows no leader")
-        return await proposals.send(link, command, hops + 1, FORWARD_SECONDS)
+        return await proposals.send(link, command, hops + 1, FORWARD_TIMEOUT_SECONDS)
 
     async def _propose_here(self, command: bytes) -> dict[str, Any]:
         decoded = commands.decode(command)
