--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -26,7 +26,7 @@
 from tillerlane.gateway import directory as directories
 from tillerlane.keeper import commands, formation, freshness, proposals, replica, server
 from tillerlane.keeper import disk as disks
-from tillerlane.keeper import machine as machines
+from tillerlane.keeper import state_machine as state_machines
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
@@ -76,7 +76,7 @@
         Where it listens to peers and to whoever collects figures.
     data_folder : str
         Its folder on the disk.
-    plan : formation.Plan
+    plan : formation.FormationSettings
         How the keepers find each other.
     silent_seconds : float
         A target whose last heartbeat is older gets work only where nothing else is left.
@@ -89,7 +89,7 @@
     peer_listen_address: str
     metrics_address: str
     data_folder: str
-    plan: formation.Plan
+    plan: formation.FormationSettings
     silent_seconds: float
     read_seconds: float
 
@@ -151,7 +151,7 @@
             own.plan, own.name, own.peer_address, self.node, self.timeline
         )
         storage = storages.Storage(self._around.open_disk(own.data_folder), own.name)
-        state = machines.Machine()
+        state = state_machines.StateMachine()
         self.replica = replica.Replica(
             own.name,
             {own.name: own.peer_address},
@@ -161,7 +161,7 @@
             self._get_link,
             self._around.run_blocking,
             self._around.rng,
-            self.formation.list_founders,
+            self.formation.list_bootstrap_peers,
         )
         self.formation.attach(self.replica)
         self.keeper = server.Keeper(
@@ -171,7 +171,7 @@
             self.replica,
             self._get_link,
             lambda: len(self._entries),
-            self.formation.list_worth_asking,
+            self.formation.list_query_addresses,
         )
         self.verdicts = verdicts.Verdicts(
             state.store,
@@ -187,7 +187,7 @@
         )
         self._told_orders = 0
         """Version of the orders that subscribers were told."""
-        state.published.listen(self._note_publication)
+        state.published.add_listener(self._note_publication)
         state.store.listen(self._note_orders)
         self.meters = meters.build_control_meters()
         self._set_gauges()
@@ -201,7 +201,7 @@
             address=self._own.peer_address,
             incarnation=int(self._around.now() * 1000),
             clock=clock,
-            get_config_version=lambda: max(0, self.replica.machine.published.version),
+            get_config_version=lambda: max(0, self.replica.state_machine.published.version),
             on_peer_version=lambda link, version: None,
             serve=self._serve_peer,
             notify=self._take_message,
@@ -228,10 +228,10 @@
         """Listen to peers and begin."""
         await self.node.listen(self._own.peer_listen_address)
         await self._figures.listen(self._own.metrics_address)
-        self.replica.begin()
+        self.replica.start()
         self._tasks = [
             self._loop.create_task(self.formation.run()),
-            self._loop.create_task(self.formation.turnover.run()),
+            self._loop.create_task(self.formation.reconfiguration.run()),
             self._loop.create_task(self.freshness.run()),
             self._loop.create_task(self._sweep()),
             self._loop.create_task(self._tell_loads()),
@@ -241,9 +241,9 @@
             "daemon.start",
             role="keeper",
             seeds=list(self._own.plan.seeds),
-            may_found=self._own.plan.may_found,
+            may_found=self._own.plan.can_bootstrap,
             last_index=self.replica.storage.last_index,
-            version=self.replica.machine.published.version,
+            version=self.replica.state_machine.published.version,
         )
 
     def _set_gauges(self) -> None:
@@ -251,8 +251,8 @@
         own = self.replica
         self.meters.is_leader.set_function(lambda: own.is_leading)
         self.meters.term.set_function(lambda: own.storage.term)
-        self.meters.version.set_function(lambda: own.machine.published.version)
-        self.meters.fresh_age.set_function(lambda: self.freshness.read_age() or 0.0)
+        self.meters.version.set_function(lambda: own.state_machine.published.version)
+        self.meters.fresh_age.set_function(lambda: self.freshness.compute_age() or 0.0)
         self.meters.entries.set_function(lambda: len(self._entries))
         self.meters.targets.set_function(lambda: len(self.directory.targets))
         self.meters.evacuated.set_function(lambda: len(self.list_evacuated()))
@@ -260,13 +260,13 @@
 
     def _set_quorum_gauges(self) -> None:
         """Have the gauges read what this keeper sees of the quorum."""
-        seen = self.formation.quorum
+        seen = self.formation.quorum_monitor
         self.meters.voters.set_function(lambda: len(seen.view.voters) if seen.view else 0)
         self.meters.live_voters.set_function(lambda: len(seen.view.live) if seen.view else 0)
         self.meters.bearable_losses.set_function(lambda: seen.view.bears if seen.view else 0)
-        self.meters.short_seconds.set_function(seen.read_short_seconds)
-        self.meters.voteless_seconds.set_function(seen.read_voteless_seconds)
-        self.meters.lost_elections.set_function(lambda: self.replica.elections.lost)
+        self.meters.short_seconds.set_function(seen.compute_degraded_seconds)
+        self.meters.voteless_seconds.set_function(seen.compute_voteless_seconds)
+        self.meters.lost_elections.set_function(lambda: self.replica.elections.lost_elections)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take the seeds of changed settings."""
@@ -276,7 +276,7 @@
     @property
     def has_failed(self) -> bool:
         """Whether the disk refused a write; what it holds must be read anew."""
-        return self.replica.failed is not None
+        return self.replica.disk_fault is not None
 
     async def leave(self) -> None:
         """Hand the vote over before a planned stop, if another keeper stands by for it."""
@@ -309,7 +309,7 @@
 
     async def _serve_peer(self, exchange: links.Exchange, body: messages.Body) -> None:
         if isinstance(body, messages.FreshnessRequest):
-            await self.freshness.wait_known()
+            await self.freshness.wait_until_known()
             self._push_publication()
             exchange.send(self.freshness.build_reply())
         elif isinstance(body, messages.PermitRequest):
@@ -322,11 +322,11 @@
         match body:
             case messages.KeeperAnnounce():
                 self._greet(link)
-                self.formation.take(link, body)
+                self.formation.handle_announcement(link, body)
             case messages.Subscribe():
                 self._subscribe(link, body)
             case messages.ConfigPull():
-                links.try_send(link, self.replica.machine.store.build_delta(body.have))
+                links.try_send(link, self.replica.state_machine.store.build_delta(body.have))
             case messages.PublicationPull():
                 self._send_publication(link)
             case messages.TargetStates():
@@ -368,7 +368,7 @@
             return
         self.timeline.record("entry.subscribed", entry=body.entry, version=body.have)
         # Orders go first: an entry may send requests as soon as it has a publication.
-        links.try_send(link, self.replica.machine.store.build_delta(0))
+        links.try_send(link, self.replica.state_machine.store.build_delta(0))
         links.try_send(link, self.verdicts.write_for_entry())
         links.try_send(link, self.limits.write_all())
         self._send_publication(link)
@@ -386,7 +386,7 @@
             links.try_send(link, directories.write_states(self._changed_since_whole.values()))
 
     def _send_publication(self, link: links.Link) -> None:
-        current = self.replica.machine.published.current
+        current = self.replica.state_machine.published.current
         if current is not None:
             links.try_send(link, current)
 
@@ -536,7 +536,7 @@
         faults.FaultError
             ``no_quorum`` if it may or may not be committed later.
         """
-        held = self.replica.machine.published.version
+        held = self.replica.state_machine.published.version
         if version <= held:
             return {"taken": False, "version": held}
         content = zlib.compress(document, 6)
@@ -548,7 +548,7 @@
 
     def list_evacuated(self) -> frozenset[str]:
         """Data halls whose targets get nothing new, by what is committed here."""
-        return self.replica.machine.store.list_names(stores.EVACUATIONS)
+        return self.replica.state_machine.store.list_names(stores.EVACUATIONS)
 
     async def evacuate(self, data_hall: str, evacuated: bool) -> dict[str, Any]:
         """Close a data hall to new work, or open it again; returns once that is committed.
@@ -563,7 +563,7 @@
             committed later.
         """
         self._check_hall(data_hall)
-        against = self.replica.machine.store.version
+        against = self.replica.state_machine.store.version
         while True:
             at_ms = int(self._around.now() * 1000)
             command = commands.Evacuate(data_hall, evacuated, against, "platform", at_ms)
@@ -596,10 +596,10 @@
         faults.FaultError
             ``no_quorum`` if a newer one may be in force, ``not_found`` if there is none.
         """
-        age = self.freshness.read_age()
+        age = self.freshness.compute_age()
         if age is None or age > self._own.read_seconds:
             raise proposals.build_no_quorum(f"got word of age {age} s from the leader")
-        current = self.replica.machine.published.current
+        current = self.replica.state_machine.published.current
         if current is None:
             message = "nothing was published yet"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NOT_FOUND, message))
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -131,8 +131,8 @@
         self._started_ms = int(time.time() * 1000)
         clock = clocks.HybridClock(time.time)
         self.timeline = timelines.Timeline(own.name, clock, RING_EVENTS)
-        self.published = publications.Publisher()
-        self.published.listen(self._put_in_force)
+        self.published = publications.PublicationRegister()
+        self.published.add_listener(self._put_in_force)
         self.orders = stores.Store()
         self.orders.listen(self._note_orders)
         self.directory = directories.Directory()
@@ -293,7 +293,7 @@
     def _set_gauges(self) -> None:
         """Have the gauges read what they show when they are asked."""
         self._meters.version.set_function(lambda: self.published.version)
-        self._meters.lease_age.set_function(lambda: self._clock.read_age(self._loop.time()))
+        self._meters.lease_age.set_function(lambda: self._clock.compute_age(self._loop.time()))
         self._meters.loads_age.set_function(lambda: self.usage.read_age(self._loop.time()) or 0.0)
         self._meters.busy.set_function(self._front.count_busy)
         self._meters.quarantined.set_function(self.quarantine.count_held)
@@ -346,7 +346,7 @@
             self._startup.note_ready()
 
     def _is_fresh(self) -> bool:
-        fresh = self._clock.read_age(self._loop.time()) < self._own.lease_seconds
+        fresh = self._clock.compute_age(self._loop.time()) < self._own.lease_seconds
         if fresh != self._was_fresh:
             self._was_fresh = fresh
             self.timeline.record("config.lease", held=fresh, version=self.published.version)
@@ -422,7 +422,7 @@
     def _take_message(self, link: links.Link, body: messages.Body) -> None:
         match body:
             case messages.Publication():
-                self.published.take(body)
+                self.published.offer(body)
             case messages.ConfigDelta():
                 self.orders.apply_delta(body)
             case messages.TargetStates():
--- a/tillerlane/keeper/tests/test_parts.py
+++ b/tillerlane/keeper/tests/test_parts.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from tillerlane.faults import core as faults
-from tillerlane.keeper import ballots, commands, followers, pending, snapshots
+from tillerlane.keeper import commands, followers, pending, snapshots, votes
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 
@@ -18,22 +18,22 @@
     def setUp(self) -> None:
         self.followers = followers.Followers("a")
         for name, index, acked_at in (("b", 9, 5.0), ("c", 7, 4.0), ("d", 8, 3.0)):
-            self.followers.begin(name, 1)
+            self.followers.add(name, 1)
             progress = self.followers.get(name)
             progress.match_index, progress.acked_at = index, acked_at
             progress.disk_id = f"disk-{name}"
 
     def test_third_of_five_decides(self) -> None:
         self.assertEqual(self.followers.find_quorum_index(VOTERS, 12), 8)
-        self.assertEqual(self.followers.read_quorum_time(VOTERS, 6.0), 4.0)
+        self.assertEqual(self.followers.compute_quorum_time(VOTERS, 6.0), 4.0)
 
     def test_new_disk_of_a_voter_does_not_count(self) -> None:
         self.followers.get("d").disk_id = "disk-new"
         self.assertEqual(self.followers.find_quorum_index(VOTERS, 12), 7)
 
     def test_no_quorum(self) -> None:
-        self.followers.end("b")
-        self.followers.end("c")
+        self.followers.remove("b")
+        self.followers.remove("c")
         self.assertIsNone(self.followers.find_quorum_index(VOTERS, 12))
 
     def test_leader_without_a_vote_does_not_count_itself(self) -> None:
@@ -53,65 +53,67 @@
         return self.reply
 
 
-class BallotTest(unittest.IsolatedAsyncioTestCase):
+class VoteTest(unittest.IsolatedAsyncioTestCase):
     """Votes of four others, three needed."""
 
-    async def vote(self, replies: list[Any], *, pre: bool = False) -> ballots.Ballot:
+    async def vote(self, replies: list[Any], *, pre: bool = False) -> votes.VoteResult:
         others = {name: VOTERS[name] for name in "bcde"}
         addresses = [voter.address for voter in others.values()]
         voters = dict(zip(addresses, replies, strict=True))
         request = messages.VoteRequest(4, "a", 1, 1, pre)
-        return await ballots.collect(lambda address: _Voter(voters[address]), request, others, 3)
+        return await votes.collect_votes(
+            lambda address: _Voter(voters[address]), request, others, 3
+        )
 
     def grant(self, name: str, *, granted: bool = True, term: int = 4) -> messages.VoteReply:
         return messages.VoteReply(term, granted, f"disk-{name}", False)
 
     async def test_won_without_those_that_are_silent(self) -> None:
-        ballot = await self.vote([self.grant("b"), None, self.grant("d"), None])
-        self.assertEqual(ballot, ballots.Ballot(True))
+        result = await self.vote([self.grant("b"), None, self.grant("d"), None])
+        self.assertEqual(result, votes.VoteResult(True))
 
     async def test_vote_of_another_disk_does_not_count(self) -> None:
-        ballot = await self.vote([self.grant("b"), self.grant("x"), None, None])
-        self.assertFalse(ballot.is_won)
+        result = await self.vote([self.grant("b"), self.grant("x"), None, None])
+        self.assertFalse(result.is_won)
 
     async def test_later_term_ends_a_vote(self) -> None:
         replies = [self.grant("b", granted=False, term=9), self.grant("c"), self.grant("d"), None]
-        self.assertEqual(await self.vote(replies), ballots.Ballot(False, 9))
+        self.assertEqual(await self.vote(replies), votes.VoteResult(False, 9))
 
     async def test_later_term_does_not_end_a_prevote(self) -> None:
         replies = [self.grant("b", granted=False, term=9), self.grant("c"), self.grant("d"), None]
-        self.assertEqual(await self.vote(replies, pre=True), ballots.Ballot(True))
+        self.assertEqual(await self.vote(replies, pre=True), votes.VoteResult(True))
 
     async def test_lost_prevote_tells_the_latest_term(self) -> None:
         replies = [self.grant("b", granted=False, term=9), self.grant("c"), None, None]
-        self.assertEqual(await self.vote(replies, pre=True), ballots.Ballot(False, 9))
+        self.assertEqual(await self.vote(replies, pre=True), votes.VoteResult(False, 9))
 
     async def test_lost_prevote_without_a_later_term_tells_none(self) -> None:
         replies = [self.grant("b", granted=False, term=3), None, None, None]
-        ballot = await self.vote(replies, pre=True)
-        self.assertFalse(ballot.is_won)
-        self.assertLess(ballot.later_term, 4)
+        result = await self.vote(replies, pre=True)
+        self.assertFalse(result.is_won)
+        self.assertLess(result.later_term, 4)
 
 
 class PendingTest(unittest.IsolatedAsyncioTestCase):
     """Proposals of a leader."""
 
     async def test_answers_go_by_index(self) -> None:
-        waiting = pending.Pending()
+        waiting = pending.PendingProposals()
         later = waiting.add(b"later")
         first = waiting.add(b"first", first=True)
-        self.assertEqual(waiting.take_batch(1), [first])
+        self.assertEqual(waiting.pop_batch(1), [first])
         self.assertTrue(waiting.has_queued)
-        waiting.note_appended(7, first)
-        waiting.answer(8, {"of": "nobody"})
-        waiting.answer(7, {"index": 7})
+        waiting.record_appended(7, first)
+        waiting.resolve(8, {"of": "nobody"})
+        waiting.resolve(7, {"index": 7})
         self.assertEqual(await first.answer, {"index": 7})
         self.assertFalse(later.answer.done())
 
     async def test_fate_of_what_waits_is_unknown(self) -> None:
-        waiting = pending.Pending()
+        waiting = pending.PendingProposals()
         proposals = [waiting.add(b"one"), waiting.add(b"two")]
-        waiting.note_appended(1, waiting.take_batch(1)[0])
+        waiting.record_appended(1, waiting.pop_batch(1)[0])
         waiting.fail_all("another keeper leads")
         for proposal in proposals:
             with self.assertRaises(faults.FaultError) as caught:
@@ -121,25 +123,27 @@
         await asyncio.sleep(0)
 
 
-class InboxTest(unittest.TestCase):
+class SnapshotAssemblerTest(unittest.TestCase):
     """A snapshot in pieces."""
 
-    def take(self, inbox: snapshots.Inbox, index: int, offset: int, data: bytes) -> int:
-        return inbox.take(messages.SnapshotPiece(1, "a", index, 1, offset, 6, data))
+    def take(
+        self, assembler: snapshots.SnapshotAssembler, index: int, offset: int, data: bytes
+    ) -> int:
+        return assembler.add(messages.SnapshotPiece(1, "a", index, 1, offset, 6, data))
 
     def test_pieces_in_order(self) -> None:
-        inbox = snapshots.Inbox()
-        self.assertEqual(self.take(inbox, 5, 0, b"abc"), 3)
-        self.assertEqual(self.take(inbox, 5, 4, b"xx"), 3)  # does not follow
-        self.assertEqual(self.take(inbox, 5, 3, b"def"), 6)
-        whole = inbox.finish()
+        assembler = snapshots.SnapshotAssembler()
+        self.assertEqual(self.take(assembler, 5, 0, b"abc"), 3)
+        self.assertEqual(self.take(assembler, 5, 4, b"xx"), 3)  # does not follow
+        self.assertEqual(self.take(assembler, 5, 3, b"def"), 6)
+        whole = assembler.finish()
         self.assertEqual((whole.last_index, whole.data), (5, b"abcdef"))
 
     def test_newer_snapshot_begins_anew(self) -> None:
-        inbox = snapshots.Inbox()
-        self.take(inbox, 5, 0, b"abc")
-        self.assertEqual(self.take(inbox, 9, 3, b"def"), 0)
-        self.assertEqual(self.take(inbox, 9, 0, b"xyz"), 3)
+        assembler = snapshots.SnapshotAssembler()
+        self.take(assembler, 5, 0, b"abc")
+        self.assertEqual(self.take(assembler, 9, 3, b"def"), 0)
+        self.assertEqual(self.take(assembler, 9, 0, b"xyz"), 3)
 
 
 if __name__ == "__main__":
