--- a/tillerlane/gateway/advice.py
+++ b/tillerlane/gateway/advice.py
@@ -6,7 +6,7 @@
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import limits
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
@@ -50,7 +50,7 @@
         in_backoff: backoffs.Backoffs,
         usage: usages.Usage,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         now: Callable[[], float],
     ) -> None:
         self._directory = directory
@@ -58,7 +58,7 @@
         self._backoffs = in_backoff
         self._usage = usage
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._now = now
         self.tell_limit: Callable[[limits.Word], None] = lambda word: None
         self.tell_leaving: Callable[[directories.Target], None] = lambda target: None
@@ -76,7 +76,7 @@
         What can't be read changes nothing.
         """
         for unread in facts.unread:
-            self._meters.words.labels(unread.word, "unread").inc()
+            self._metrics.target_reports.labels(unread.word, "unread").inc()
             self._timeline.record(
                 "target.unread",
                 request_id=request_id,
@@ -99,7 +99,7 @@
             return
         is_named = word.unnamed_since is None
         self.tell_limit(word)
-        self._meters.words.labels("limit", "taken" if is_named else "ended").inc()
+        self._metrics.target_reports.labels("limit", "taken" if is_named else "ended").inc()
         self._timeline.record(
             "target.limit",
             request_id=request_id,
@@ -112,7 +112,7 @@
 
     def _take_leaving(self, request_id: str, target: directories.Target) -> None:
         news = self._directory.mark_leaving(target.target_id, self._now())
-        self._meters.words.labels("leaving", "ignored" if news is None else "taken").inc()
+        self._metrics.target_reports.labels("leaving", "ignored" if news is None else "taken").inc()
         if news is None:
             return
         self.tell_leaving(news)
@@ -129,7 +129,7 @@
         even_share = target.slots / max(1, self._usage.entries)
         borne = max(under_way, even_share)
         word = self._backoffs.note(target.target_id, seconds, request_id, borne)
-        self._meters.words.labels("backoff", "ignored" if word is None else "taken").inc()
+        self._metrics.target_reports.labels("backoff", "ignored" if word is None else "taken").inc()
         if word is not None:
             self.tell_backoff(word)
         self._timeline.record(
@@ -146,7 +146,7 @@
         word = self._backoffs.note_taken(target.target_id, sent_at)
         if word is None:
             return
-        self._meters.words.labels("backoff", "ended").inc()
+        self._metrics.target_reports.labels("backoff", "ended").inc()
         self._timeline.record(
             "target.backoff_over",
             request_id=request_id,
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -18,7 +18,7 @@
     incarnations,
     limit_news,
     loads,
-    meters,
+    metrics,
     news,
     suspects,
     verdicts,
@@ -189,9 +189,9 @@
         """Version of the orders that subscribers were told."""
         state.published.listen(self._note_publication)
         state.store.listen(self._note_orders)
-        self.meters = meters.build_control_meters()
+        self.metrics = metrics.build_control_metrics()
         self._set_gauges()
-        self._figures = meters.build_server(self.meters.registry)
+        self._metrics_server = metrics.build_server(self.metrics.registry)
         self._tasks: list[asyncio.Task[None]] = []
 
     def _build_local(self, clock: clocks.HybridClock) -> links.Local:
@@ -227,7 +227,7 @@
     async def start(self) -> None:
         """Listen to peers and begin."""
         await self.node.listen(self._own.peer_listen_address)
-        await self._figures.listen(self._own.metrics_address)
+        await self._metrics_server.listen(self._own.metrics_address)
         self.replica.begin()
         self._tasks = [
             self._loop.create_task(self.formation.run()),
@@ -249,24 +249,24 @@
     def _set_gauges(self) -> None:
         """Have the gauges read what they show when they are asked."""
         own = self.replica
-        self.meters.is_leader.set_function(lambda: own.is_leading)
-        self.meters.term.set_function(lambda: own.storage.term)
-        self.meters.version.set_function(lambda: own.machine.published.version)
-        self.meters.fresh_age.set_function(lambda: self.freshness.read_age() or 0.0)
-        self.meters.entries.set_function(lambda: len(self._entries))
-        self.meters.targets.set_function(lambda: len(self.directory.targets))
-        self.meters.evacuated.set_function(lambda: len(self.list_evacuated()))
+        self.metrics.is_leader.set_function(lambda: own.is_leading)
+        self.metrics.term.set_function(lambda: own.storage.term)
+        self.metrics.version.set_function(lambda: own.machine.published.version)
+        self.metrics.leader_contact_age.set_function(lambda: self.freshness.read_age() or 0.0)
+        self.metrics.entries.set_function(lambda: len(self._entries))
+        self.metrics.targets.set_function(lambda: len(self.directory.targets))
+        self.metrics.evacuated.set_function(lambda: len(self.list_evacuated()))
         self._set_quorum_gauges()
 
     def _set_quorum_gauges(self) -> None:
         """Have the gauges read what this keeper sees of the quorum."""
         seen = self.formation.quorum
-        self.meters.voters.set_function(lambda: len(seen.view.voters) if seen.view else 0)
-        self.meters.live_voters.set_function(lambda: len(seen.view.live) if seen.view else 0)
-        self.meters.bearable_losses.set_function(lambda: seen.view.bears if seen.view else 0)
-        self.meters.short_seconds.set_function(seen.read_short_seconds)
-        self.meters.voteless_seconds.set_function(seen.read_voteless_seconds)
-        self.meters.lost_elections.set_function(lambda: self.replica.elections.lost)
+        self.metrics.voters.set_function(lambda: len(seen.view.voters) if seen.view else 0)
+        self.metrics.live_voters.set_function(lambda: len(seen.view.live) if seen.view else 0)
+        self.metrics.tolerable_losses.set_function(lambda: seen.view.bears if seen.view else 0)
+        self.metrics.degraded_seconds.set_function(seen.read_short_seconds)
+        self.metrics.voteless_seconds.set_function(seen.read_voteless_seconds)
+        self.metrics.lost_elections.set_function(lambda: self.replica.elections.lost)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take the seeds of changed settings."""
@@ -288,7 +288,7 @@
         self.timeline.record("daemon.stop")
         for task in self._tasks:
             task.cancel()
-        self._figures.stop_accepting()
+        self._metrics_server.stop_accepting()
         await self.replica.stop()
         await self.node.close()
 
--- a/tillerlane/gateway/endings.py
+++ b/tillerlane/gateway/endings.py
@@ -12,7 +12,7 @@
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import http_client, quarantine
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
@@ -44,12 +44,12 @@
         usage: usages.Usage,
         quarantined: quarantine.Quarantine,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._usage = usage
         self._quarantine = quarantined
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
         self._probing: dict[str, asyncio.Task[http_client.Reach]] = {}
         """Probes under way by target: all answers that break off with one share it."""
@@ -74,7 +74,7 @@
             return
         now = self._loop.time()
         reach = await self._probe(target)
-        self._meters.broken_answers.labels(reach.value).inc()
+        self._metrics.broken_answers.labels(reach.value).inc()
         self._timeline.record(
             "target.broke_off",
             request_id=asked.facts.request_id,
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -19,7 +19,7 @@
     http_head,
     http_server,
     limits,
-    meters,
+    metrics,
     permits,
     quarantine,
     relay,
@@ -159,9 +159,9 @@
             rng or random.Random(),
             self._loop.time,
         )
-        self._meters = meters.build_entry_meters()
+        self._metrics = metrics.build_entry_metrics()
         self._mover = runs.Mover(
-            dialect, selector, self.usage, self.directory, self.timeline, self._meters
+            dialect, selector, self.usage, self.directory, self.timeline, self._metrics
         )
         self._startup = startup.Startup()
         self.quarantine = quarantine.Quarantine(self.timeline, self._loop.time)
@@ -174,13 +174,13 @@
             self.backoffs,
             self.usage,
             self.timeline,
-            self._meters,
+            self._metrics,
             self._loop.time,
         )
         taken.tell_limit = self._tell_limit
         taken.tell_leaving = self._tell_leaving
         taken.tell_backoff = self._tell_backoff
-        ends = endings.Endings(self.usage, self.quarantine, self.timeline, self._meters)
+        ends = endings.Endings(self.usage, self.quarantine, self.timeline, self._metrics)
         sender = sending.Sender(
             dialect,
             selector,
@@ -189,7 +189,7 @@
             self.usage,
             self._budget,
             self.timeline,
-            self._meters,
+            self._metrics,
             self._startup,
             self.directory,
             ends,
@@ -204,10 +204,10 @@
             self._budget,
             self._mover,
             self.timeline,
-            self._meters,
+            self._metrics,
             ends,
             self.quarantine,
-            handovers.Handovers(dialect, self.timeline, self._meters),
+            handovers.Handovers(dialect, self.timeline, self._metrics),
         )
         self._relay = relay.Relay(
             self._gate,
@@ -216,7 +216,7 @@
             self._budget,
             dialect,
             self.timeline,
-            self._meters,
+            self._metrics,
             self._startup,
             self.quarantine,
         )
@@ -240,7 +240,7 @@
         self._ready = http_server.Server(
             self._answer_ready, http_server.ServerLimits(), self._note_error
         )
-        self._figures = meters.build_server(self._meters.registry)
+        self._metrics_server = metrics.build_server(self._metrics.registry)
         self._set_gauges()
         self._stopping = False
         self._was_fresh = False
@@ -266,7 +266,7 @@
         """Listen and begin to follow the keepers."""
         await self._ready.listen(self._own.ready_address)
         await self._front.listen(self._own.front_address, self._listener)
-        await self._figures.listen(self._own.metrics_address)
+        await self._metrics_server.listen(self._own.metrics_address)
         self._tasks = [
             self._loop.create_task(self.homes.run()),
             self._loop.create_task(self._tell_loads()),
@@ -292,16 +292,16 @@
 
     def _set_gauges(self) -> None:
         """Have the gauges read what they show when they are asked."""
-        self._meters.version.set_function(lambda: self.published.version)
-        self._meters.lease_age.set_function(lambda: self._clock.read_age(self._loop.time()))
-        self._meters.loads_age.set_function(lambda: self.usage.read_age(self._loop.time()) or 0.0)
-        self._meters.busy.set_function(self._front.count_busy)
-        self._meters.quarantined.set_function(self.quarantine.count_held)
-        self._meters.limits.set_function(lambda: self.limits.count_in_force(self._loop.time()))
-        self._meters.in_backoff.set_function(self.backoffs.count_in_force)
-        self._meters.unused_permits.set_function(lambda: self.permits.unused)
-        self._meters.suspects.set_function(lambda: len(self.quarantine.suspects))
-        self._meters.evacuated.set_function(lambda: len(self.directory.evacuated))
+        self._metrics.version.set_function(lambda: self.published.version)
+        self._metrics.lease_age.set_function(lambda: self._clock.read_age(self._loop.time()))
+        self._metrics.loads_age.set_function(lambda: self.usage.read_age(self._loop.time()) or 0.0)
+        self._metrics.busy.set_function(self._front.count_busy)
+        self._metrics.quarantined.set_function(self.quarantine.count_held)
+        self._metrics.limits.set_function(lambda: self.limits.count_in_force(self._loop.time()))
+        self._metrics.in_backoff.set_function(self.backoffs.count_in_force)
+        self._metrics.unused_permits.set_function(lambda: self.permits.unused)
+        self._metrics.suspects.set_function(lambda: len(self.quarantine.suspects))
+        self._metrics.evacuated.set_function(lambda: len(self.directory.evacuated))
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take the seeds of changed settings."""
--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -7,7 +7,7 @@
 from tillerlane.decisions import handover
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import http_client, runs
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.timeline import core as timelines
 
 __all__ = ["Handovers", "Stopping"]
@@ -166,11 +166,11 @@
         self,
         dialect: dialects.Dialect,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._dialect = dialect
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
         self._reaching: dict[str, asyncio.Task[None]] = {}
@@ -262,7 +262,7 @@
         self._note_over(stopping, began)
 
     def _note_over(self, stopping: Stopping, began: float) -> None:
-        self._meters.stops.labels(stopping.evidence.value).inc()
+        self._metrics.stops.labels(stopping.evidence.value).inc()
         self._timeline.record(
             "run.stop",
             request_id=stopping.run.request_id,
--- a/tillerlane/gateway/meters.py
+++ b/tillerlane/gateway/metrics.py
@@ -9,14 +9,14 @@
 
 from tillerlane.gateway import http_head, http_server
 
-__all__ = ["ControlMeters", "EntryMeters", "build_server"]
+__all__ = ["ControlMetrics", "EntryMetrics", "build_server"]
 
 SECONDS_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 40.0)
 """From the service time of a plain call to the longest deadline met (39 s)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EntryMeters:
+class EntryMetrics:
     """What an entry counts."""
 
     registry: prometheus_client.CollectorRegistry
@@ -51,14 +51,14 @@
     """Targets whose named limits are in force here."""
     unused_permits: prometheus_client.Gauge
     """Permits for such targets that ended unused, since the start."""
-    words: prometheus_client.Counter
+    target_reports: prometheus_client.Counter
     """What answers say of their targets: by word, and whether it was taken, ended, ignored as no
     news or unread."""
     in_backoff: prometheus_client.Gauge
     """Targets that get nothing of this entry since they asked for that."""
 
 
-def build_entry_meters() -> EntryMeters:
+def build_entry_metrics() -> EntryMetrics:
     """Fresh meters of one entry."""
     registry = prometheus_client.CollectorRegistry()
 
@@ -73,7 +73,7 @@
     def gauge(name: str, text: str) -> prometheus_client.Gauge:
         return prometheus_client.Gauge(name, text, registry=registry)
 
-    return EntryMeters(
+    return EntryMetrics(
         registry,
         count("tillerlane_requests", "Requests answered", "route", "outcome"),
         time("tillerlane_answer_seconds", "Time to a whole answer or a first event"),
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ControlMeters:
+class ControlMetrics:
     """What a keeper counts."""
 
     registry: prometheus_client.CollectorRegistry
@@ -109,7 +109,7 @@
     is_leader: prometheus_client.Gauge
     term: prometheus_client.Gauge
     version: prometheus_client.Gauge
-    fresh_age: prometheus_client.Gauge
+    leader_contact_age: prometheus_client.Gauge
     entries: prometheus_client.Gauge
     targets: prometheus_client.Gauge
     evacuated: prometheus_client.Gauge
@@ -117,22 +117,22 @@
     voters: prometheus_client.Gauge
     live_voters: prometheus_client.Gauge
     """Voters heard of lately, with the disk that is on record."""
-    bearable_losses: prometheus_client.Gauge
+    tolerable_losses: prometheus_client.Gauge
     """Disks that may be lost next; below 0 the log stands still."""
-    short_seconds: prometheus_client.Gauge
+    degraded_seconds: prometheus_client.Gauge
     """How long fewer losses than wished have been bearable."""
     voteless_seconds: prometheus_client.Gauge
     lost_elections: prometheus_client.Gauge
 
 
-def build_control_meters() -> ControlMeters:
+def build_control_metrics() -> ControlMetrics:
     """Fresh meters of one keeper."""
     registry = prometheus_client.CollectorRegistry()
 
     def gauge(name: str, text: str) -> prometheus_client.Gauge:
         return prometheus_client.Gauge(name, text, registry=registry)
 
-    return ControlMeters(
+    return ControlMetrics(
         registry,
         prometheus_client.Counter(
             "tillerlane_calls", "Calls answered", ("call", "status"), registry=registry
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -10,7 +10,7 @@
 from tillerlane.gateway import budget as budgets
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import http_head, http_server, quarantine, refusals, sending
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import startup as startups
 from tillerlane.gateway import streams as stream_relays
 from tillerlane.timeline import core as timelines
@@ -51,7 +51,7 @@
         budget: budgets.RetryBudget,
         dialect: dialects.Dialect,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         startup: startups.Startup,
         quarantined: quarantine.Quarantine,
     ) -> None:
@@ -63,7 +63,7 @@
         self._budget = budget
         self._dialect = dialect
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
     async def serve(self, request: http_server.Request, responder: http_server.Responder) -> None:
@@ -104,7 +104,7 @@
         responder: http_server.Responder,
         refusal: admissions.Refusal,
     ) -> None:
-        self._meters.requests.labels(route, str(refusal.status)).inc()
+        self._metrics.requests.labels(route, str(refusal.status)).inc()
         self._timeline.record(
             "request.refuse",
             request_id=request_id,
@@ -140,7 +140,7 @@
 
     def _note_left(self, asked: admissions.Admission) -> None:
         """Note a caller that left before it got anything."""
-        self._meters.requests.labels(asked.route.name, "left").inc()
+        self._metrics.requests.labels(asked.route.name, "left").inc()
         self._timeline.record(
             "request.leave",
             request_id=asked.facts.request_id,
@@ -155,8 +155,8 @@
         if status < 400:
             self._quarantine.note_good(asked.fingerprint)
         seconds = self._loop.time() - asked.request.arrived
-        self._meters.requests.labels(asked.route.name, str(status)).inc()
-        self._meters.seconds.labels(asked.route.name).observe(seconds)
+        self._metrics.requests.labels(asked.route.name, str(status)).inc()
+        self._metrics.seconds.labels(asked.route.name).observe(seconds)
         self._timeline.record(
             "request.end",
             request_id=asked.facts.request_id,
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -15,7 +15,7 @@
 from tillerlane.decisions import placing
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import routes, selection
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
@@ -130,14 +130,14 @@
         usage: usages.Usage,
         directory: directories.Directory,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._dialect = dialect
         self._selector = selector
         self._usage = usage
         self._directory = directory
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._runs: dict[str, set[Run]] = collections.defaultdict(set)
         self._ordered: dict[str, int] = {}
         """Tokens of the copies under way from each source, by its id; none without a copy."""
@@ -326,7 +326,7 @@
             run.target.address, run.request_id, destination.address, COPY_SECONDS
         )
         run.may_be_copying = result.outcome.is_without_answer
-        self._meters.moves.labels(result.outcome.value).inc()
+        self._metrics.moves.labels(result.outcome.value).inc()
         self._timeline.record(
             "run.move",
             request_id=run.request_id,
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -25,7 +25,7 @@
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import endings as ends
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import startup as startups
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
@@ -166,7 +166,7 @@
         usage: usages.Usage,
         budget: budgets.RetryBudget,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         startup: startups.Startup,
         directory: directories.Directory,
         endings: ends.Endings,
@@ -183,7 +183,7 @@
         self._refusals = refusals.Refusals(available, usage)
         self._budget = budget
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._exchanges = exchanges.Exchanges(directory)
         self._loop = asyncio.get_running_loop()
 
@@ -464,7 +464,7 @@
         waited: float,
     ) -> None:
         kind = type(outcome).__name__.strip("_").lower()
-        self._meters.sends.labels(asked.pool.name, kind).inc()
+        self._metrics.sends.labels(asked.pool.name, kind).inc()
         if isinstance(outcome, Whole) and outcome.head.status < 500:
             return
         use = self._usage.read(target.address)
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -27,7 +27,7 @@
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import endings as ends
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
@@ -84,7 +84,7 @@
         budget: budgets.RetryBudget,
         mover: runs.Mover,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         endings: ends.Endings,
         quarantined: quarantine.Quarantine,
         orders: handovers.Handovers,
@@ -99,7 +99,7 @@
         self._budget = budget
         self._mover = mover
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
     async def serve(
@@ -369,7 +369,7 @@
             stopping.is_called_off |= stopping.run.target.target_id == target.target_id
         outcome = await self._sender.send(stream.asked, target, plan, run.tokens)
         taken = isinstance(outcome, sending.Stream)
-        self._meters.continuations.labels(str(taken).lower()).inc()
+        self._metrics.continuations.labels(str(taken).lower()).inc()
         self._timeline.record(
             "run.go_on",
             request_id=stream.asked.facts.request_id,
@@ -398,10 +398,10 @@
     def _note_end(self, stream: relayed.Relayed) -> None:
         asked = stream.asked
         self._quarantine.note_good(asked.fingerprint)
-        self._meters.requests.labels(asked.route.name, "200").inc()
+        self._metrics.requests.labels(asked.route.name, "200").inc()
         first_seconds = stream.first_at - asked.request.arrived
-        self._meters.seconds.labels(asked.route.name).observe(first_seconds)
-        self._meters.pauses.labels(asked.route.name).observe(stream.longest_pause)
+        self._metrics.seconds.labels(asked.route.name).observe(first_seconds)
+        self._metrics.pauses.labels(asked.route.name).observe(stream.longest_pause)
         self._timeline.record(
             "stream.end",
             request_id=stream.asked.facts.request_id,
@@ -415,7 +415,7 @@
         )
 
     def _note_broken(self, stream: relayed.Relayed, reason: str) -> None:
-        self._meters.requests.labels(stream.asked.route.name, "broken").inc()
+        self._metrics.requests.labels(stream.asked.route.name, "broken").inc()
         self._timeline.record(
             "stream.break",
             request_id=stream.asked.facts.request_id,
--- a/tillerlane/platform/control_api.py
+++ b/tillerlane/platform/control_api.py
@@ -37,8 +37,8 @@
         call = request.head.path.decode("latin-1").split("/")[1][:40]
         if status != 404:
             seconds = asyncio.get_running_loop().time() - began
-            keeper.meters.seconds.labels(call).observe(seconds)
-            keeper.meters.calls.labels(call, str(status)).inc()
+            keeper.metrics.seconds.labels(call).observe(seconds)
+            keeper.metrics.calls.labels(call, str(status)).inc()
         headers = list(_JSON) if body else []
         await responder.send_whole(http_head.AnswerHead(status, headers), body)
 
