--- a/tillerlane/gateway/backoff_news.py
+++ b/tillerlane/gateway/backoff_news.py
@@ -3,7 +3,7 @@
 import dataclasses
 from collections.abc import Callable
 
-from tillerlane.gateway import backoff, news
+from tillerlane.gateway import backoff, batching
 from tillerlane.peers import messages
 
 __all__ = ["BackoffNews"]
@@ -40,7 +40,7 @@
     ) -> None:
         self._known: dict[str, float] = {}
         self._now = now
-        self._to_tell: news.News[_Hint] = news.News(
+        self._to_tell: batching.UpdateBatcher[_Hint] = batching.UpdateBatcher(
             pause,
             lambda hints: send(backoff.write_hints((item.target_id, item.until) for item in hints)),
         )
--- a/tillerlane/gateway/news.py
+++ b/tillerlane/gateway/batching.py
@@ -4,20 +4,20 @@
 from collections.abc import Callable
 from typing import Generic, Protocol, TypeVar
 
-__all__ = ["News"]
+__all__ = ["UpdateBatcher"]
 
 
-class _OfTarget(Protocol):
+class _TargetUpdate(Protocol):
     """What is told of one target."""
 
     @property
     def target_id(self) -> str: ...
 
 
-Item = TypeVar("Item", bound=_OfTarget)
+Item = TypeVar("Item", bound=_TargetUpdate)
 
 
-class News(Generic[Item]):
+class UpdateBatcher(Generic[Item]):
     """What there is to tell of targets, the latest of each.
 
     Guards against a fleet's common start: with 3,001 targets heard of within a second and 118
@@ -26,24 +26,24 @@
 
     Parameters
     ----------
-    pause : float
+    interval : float
         Least seconds between two messages, and longest that something waits.
     send : callable
         Tells of some items.
     """
 
-    def __init__(self, pause: float, send: Callable[[list[Item]], None]) -> None:
-        self._pause = pause
+    def __init__(self, interval: float, send: Callable[[list[Item]], None]) -> None:
+        self._interval = interval
         self._send = send
         self._items: dict[str, Item] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._sent_at = -pause
+        self._sent_at = -interval
 
     def add(self, item: Item, *, is_urgent: bool = True) -> None:
         """Tell of a target: if it is urgent as soon as the last message is a pause old."""
         self._items[item.target_id] = item
         now = asyncio.get_running_loop().time()
-        due = max(now, self._sent_at + self._pause) if is_urgent else now + self._pause
+        due = max(now, self._sent_at + self._interval) if is_urgent else now + self._interval
         if self._timer is not None:
             if self._timer.when() <= due:
                 return
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -13,13 +13,13 @@
 from tillerlane.faults import kinds
 from tillerlane.gateway import (
     backoff_news,
+    batching,
     grants,
     homes,
     incarnations,
     limit_news,
     loads,
     metrics,
-    news,
     suspects,
     verdicts,
 )
@@ -43,9 +43,9 @@
 SWEEP_SECONDS = 0.5
 ENTRY_SECONDS = 5.0
 """How long an entry counts after its last word about its load; others tell of it."""
-SPREAD_SECONDS = 0.05
+BATCH_INTERVAL_SECONDS = 0.05
 """How long heartbeats wait for others to share their message to other keepers."""
-NEWS_SECONDS = 0.05
+SUBSCRIBER_BATCH_INTERVAL_SECONDS = 0.05
 """How long changes of targets wait to share their message to subscribers: a thirtieth of the
 shortest notice with which a runner leaves."""
 WHOLE_SECONDS = 0.3
@@ -129,15 +129,17 @@
         """Links of keepers that were told all targets."""
         self._entries: dict[str, float] = {}
         self._loads = loads.Ledger(own.name, int(self._around.now() * 1000))
-        self._to_keepers = news.News(
-            SPREAD_SECONDS,
+        self._keeper_updates = batching.UpdateBatcher(
+            BATCH_INTERVAL_SECONDS,
             lambda targets: self._send_to_keepers(directories.write_states(targets)),
         )
-        self._to_subscribers = news.News(NEWS_SECONDS, self._tell_subscribers)
+        self._subscriber_updates = batching.UpdateBatcher(
+            SUBSCRIBER_BATCH_INTERVAL_SECONDS, self._tell_subscribers
+        )
         self._backoffs = backoff_news.BackoffNews(
-            SPREAD_SECONDS, self._send_to_all, self._loop.time
+            BATCH_INTERVAL_SECONDS, self._send_to_all, self._loop.time
         )
-        self.limits = limit_news.LimitNews(SPREAD_SECONDS, self._send_to_all, self.timeline)
+        self.limits = limit_news.LimitNews(BATCH_INTERVAL_SECONDS, self._send_to_all, self.timeline)
         self._whole: messages.TargetStates | None = None
         self._whole_at = 0.0
         self._changed_since_whole: dict[str, directories.Target] = {}
@@ -483,7 +485,7 @@
         known = self.directory.targets.get(target.target_id)
         if known is None:
             return
-        self._to_keepers.add(known, is_urgent=changed)
+        self._keeper_updates.add(known, is_urgent=changed)
 
     def take_leave(self, name: str, born: int = 0) -> None:
         """Take a target's word that it goes, of the start that it names or of the latest."""
@@ -491,14 +493,14 @@
         if known is None or born not in (0, incarnations.split_id(known.target_id).born):
             return
         if self.directory.mark_gone(known.target_id):
-            self._to_keepers.add(known)
+            self._keeper_updates.add(known)
 
     def _take_states(self, link: links.Link, states: list[directories.Target]) -> None:
         """Take word of targets; other keepers are told what an entry has learnt from answers."""
         is_of_entry = link in self._subscribers
         for target in states:
             if self.directory.take(target) and is_of_entry:
-                self._to_keepers.add(self.directory.targets[target.target_id], is_urgent=True)
+                self._keeper_updates.add(self.directory.targets[target.target_id], is_urgent=True)
 
     def _note_phase(self, target: directories.Target, former: directories.Phase | None) -> None:
         """Tell the entries of a change, whoever told it here."""
@@ -518,10 +520,10 @@
             # Whoever hears of the present incarnation ends the former one, and first hears until
             # when that one lived: entries are not told each heartbeat.
             self._changed_since_whole.pop(target.target_id, None)
-            self._to_subscribers.add(dataclasses.replace(target, phase=former, is_over=False))
+            self._subscriber_updates.add(dataclasses.replace(target, phase=former, is_over=False))
             return
         self._changed_since_whole[target.target_id] = target
-        self._to_subscribers.add(target)
+        self._subscriber_updates.add(target)
 
     def _tell_subscribers(self, targets: list[directories.Target]) -> None:
         self._send_to_subscribers(directories.write_states(targets))
--- a/tillerlane/gateway/limit_news.py
+++ b/tillerlane/gateway/limit_news.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from tillerlane.gateway import limits, news
+from tillerlane.gateway import batching, limits
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
@@ -38,7 +38,7 @@
         timeline: timelines.Timeline,
     ) -> None:
         self.table = limits.Limits()
-        self._to_tell = news.News(pause, lambda words: send(limits.write_words(words)))
+        self._to_tell = batching.UpdateBatcher(pause, lambda words: send(limits.write_words(words)))
         self._timeline = timeline
 
     def take(self, message: messages.TargetLimits) -> None:
