--- a/tillerlane/gateway/endings.py
+++ b/tillerlane/gateway/endings.py
@@ -35,7 +35,7 @@
         Takes the requests under which targets ended.
     timeline : timelines.Timeline
         Takes what was found.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts it.
     """
 
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -11,7 +11,6 @@
 from tillerlane.faults import core as faults
 from tillerlane.gateway import (
     admission,
-    advice,
     availability,
     endings,
     handovers,
@@ -35,6 +34,7 @@
 from tillerlane.gateway import cold as colds
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
+from tillerlane.gateway import feedback as feedbacks
 from tillerlane.gateway import usage as usages
 from tillerlane.keeper import freshness, publications
 from tillerlane.peers import link as links
@@ -168,7 +168,7 @@
         self.quarantine.tell = self._tell_ends
         self._gate = admission.Gate(dialect, selector.draw_pool)
         self._gate.is_fresh = self._is_fresh
-        taken = advice.Advice(
+        feedback = feedbacks.TargetFeedback(
             self.directory,
             self.limits,
             self.backoffs,
@@ -177,15 +177,15 @@
             self._metrics,
             self._loop.time,
         )
-        taken.tell_limit = self._tell_limit
-        taken.tell_leaving = self._tell_leaving
-        taken.tell_backoff = self._tell_backoff
+        feedback.notify_limit = self._notify_limit
+        feedback.notify_leaving = self._notify_leaving
+        feedback.notify_backoff = self._notify_backoff
         ends = endings.Endings(self.usage, self.quarantine, self.timeline, self._metrics)
         sender = sending.Sender(
             dialect,
             selector,
             available,
-            taken,
+            feedback,
             self.usage,
             self._budget,
             self.timeline,
@@ -380,11 +380,11 @@
         """Tell all keepers listened to, since any of them may be cut off."""
         self._tell_keepers(suspects.write_ends(ends))
 
-    def _tell_limit(self, word: limits.Word) -> None:
+    def _notify_limit(self, word: limits.Word) -> None:
         """Tell all keepers listened to what a target has named."""
         self._tell_keepers(limits.write_words([word]))
 
-    def _tell_leaving(self, target: directories.Target) -> None:
+    def _notify_leaving(self, target: directories.Target) -> None:
         """Tell all keepers listened to that a target has said that it leaves."""
         self._tell_keepers(directories.write_states([target]))
 
@@ -392,7 +392,7 @@
         for link in self.homes.list_links():
             links.try_send(link, message)
 
-    def _tell_backoff(self, word: backoffs.Word) -> None:
+    def _notify_backoff(self, word: backoffs.Word) -> None:
         """Tell one keeper that a target turned a request away; a hint may be lost."""
         link = self.homes.get_primary()
         if link is not None:
--- a/tillerlane/gateway/advice.py
+++ b/tillerlane/gateway/feedback.py
@@ -10,10 +10,10 @@
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Advice"]
+__all__ = ["TargetFeedback"]
 
 
-class Advice:
+class TargetFeedback:
     """Takes what answers say of their targets, at one entry.
 
     Parameters
@@ -28,18 +28,18 @@
         Counts what this entry has under way at each.
     timeline : timelines.Timeline
         Takes each word.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts them.
     now : callable
         Time of the event loop.
 
     Attributes
     ----------
-    tell_limit : callable
+    notify_limit : callable
         Tells the keepers of a limit that is news.
-    tell_leaving : callable
+    notify_leaving : callable
         Tells them of a target that leaves, if that is news.
-    tell_backoff : callable
+    notify_backoff : callable
         Tells one of a target's back-off.
     """
 
@@ -60,11 +60,11 @@
         self._timeline = timeline
         self._metrics = metrics
         self._now = now
-        self.tell_limit: Callable[[limits.Word], None] = lambda word: None
-        self.tell_leaving: Callable[[directories.Target], None] = lambda target: None
-        self.tell_backoff: Callable[[backoffs.Word], None] = lambda word: None
+        self.notify_limit: Callable[[limits.Word], None] = lambda word: None
+        self.notify_leaving: Callable[[directories.Target], None] = lambda target: None
+        self.notify_backoff: Callable[[backoffs.Word], None] = lambda word: None
 
-    def take(
+    def handle_response(
         self,
         request_id: str,
         target: directories.Target,
@@ -85,20 +85,22 @@
                 text=unread.text,
             )
         if not facts.has_unread("limit"):
-            self._take_limit(request_id, target, facts.rate_limit)
+            self._handle_limit(request_id, target, facts.rate_limit)
         if facts.is_leaving:
-            self._take_leaving(request_id, target)
+            self._handle_leaving(request_id, target)
         if facts.did_run:
             self._end_backoff(request_id, target, sent_at)
         if facts.backoff_seconds is not None:
-            self._take_backoff(request_id, target, facts.backoff_seconds)
+            self._handle_backoff(request_id, target, facts.backoff_seconds)
 
-    def _take_limit(self, request_id: str, target: directories.Target, limit: float | None) -> None:
+    def _handle_limit(
+        self, request_id: str, target: directories.Target, limit: float | None
+    ) -> None:
         word = self._limits.note_answer(target.target_id, limit, self._now())
         if word is None:
             return
         is_named = word.unnamed_since is None
-        self.tell_limit(word)
+        self.notify_limit(word)
         self._metrics.target_reports.labels("limit", "taken" if is_named else "ended").inc()
         self._timeline.record(
             "target.limit",
@@ -110,12 +112,12 @@
             is_named=is_named,
         )
 
-    def _take_leaving(self, request_id: str, target: directories.Target) -> None:
+    def _handle_leaving(self, request_id: str, target: directories.Target) -> None:
         news = self._directory.mark_leaving(target.target_id, self._now())
         self._metrics.target_reports.labels("leaving", "ignored" if news is None else "taken").inc()
         if news is None:
             return
-        self.tell_leaving(news)
+        self.notify_leaving(news)
         self._timeline.record(
             "target.leaving",
             request_id=request_id,
@@ -123,7 +125,7 @@
             address=target.address,
         )
 
-    def _take_backoff(self, request_id: str, target: directories.Target, seconds: float) -> None:
+    def _handle_backoff(self, request_id: str, target: directories.Target, seconds: float) -> None:
         # The request that was turned away is still counted.
         under_way = self._usage.count_own_at(target.address) - 1
         even_share = target.slots / max(1, self._usage.entries)
@@ -131,7 +133,7 @@
         word = self._backoffs.note(target.target_id, seconds, request_id, borne)
         self._metrics.target_reports.labels("backoff", "ignored" if word is None else "taken").inc()
         if word is not None:
-            self.tell_backoff(word)
+            self.notify_backoff(word)
         self._timeline.record(
             "target.backoff",
             request_id=request_id,
--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -158,7 +158,7 @@
         Gives an order.
     timeline : timelines.Timeline
         Takes what came of it.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts it.
     """
 
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -35,7 +35,7 @@
         Writes answers of our own.
     timeline : timelines.Timeline
         Takes the decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     startup : startups.Startup
         Has early requests wait for the configuration.
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -119,7 +119,7 @@
         Tells of targets that leave.
     timeline : timelines.Timeline
         Takes the decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts orders.
     """
 
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -11,7 +11,6 @@
 from tillerlane.decisions import placing, queueing
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import (
-    advice,
     availability,
     exchanges,
     http_client,
@@ -25,6 +24,7 @@
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import endings as ends
+from tillerlane.gateway import feedback as feedbacks
 from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import startup as startups
 from tillerlane.gateway import usage as usages
@@ -137,7 +137,7 @@
         Chooses targets.
     available : availability.Availability
         Tells what keeps requests from a target.
-    taken : advice.Advice
+    feedback : feedbacks.TargetFeedback
         Takes what answers say of their targets.
     usage : usages.Usage
         Counts what is under way.
@@ -145,7 +145,7 @@
         Bounds retries.
     timeline : timelines.Timeline
         Takes the decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     startup : startups.Startup
         Tells whether targets may still be unheard of.
@@ -162,7 +162,7 @@
         dialect: dialects.Dialect,
         selector: selection.Selector,
         available: availability.Availability,
-        taken: advice.Advice,
+        feedback: feedbacks.TargetFeedback,
         usage: usages.Usage,
         budget: budgets.RetryBudget,
         timeline: timelines.Timeline,
@@ -178,7 +178,7 @@
         self._dialect = dialect
         self._selector = selector
         self._available = available
-        self._advice = taken
+        self._feedback = feedback
         self._usage = usage
         self._refusals = refusals.Refusals(available, usage)
         self._budget = budget
@@ -272,7 +272,7 @@
         facts = self._dialect.read_answer(head)
         is_of_request = facts.request_id == asked.facts.request_id
         if is_of_request and not facts.is_other_target:
-            self._advice.take(asked.facts.request_id, target, facts, exchange.sent_at)
+            self._feedback.handle_response(asked.facts.request_id, target, facts, exchange.sent_at)
         if not is_of_request:
             # Each answer of a target names its request; what does not is nobody's word on this one.
             named = facts.request_id or "none"
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -65,7 +65,7 @@
         Moves runs off runners that leave.
     timeline : timelines.Timeline
         Takes the decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     endings : ends.Endings
         Asks after runners that broke off.
