--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -476,7 +476,7 @@
             ``bad_request`` if a target of another pool has that id: then it is another writer's
             word, which may not end what that target does.
         """
-        name = incarnations.split_id(target.target_id).name
+        name = incarnations.parse_id(target.target_id).name
         present = self.directory.find(name)
         if present is not None and present.pool != target.pool:
             message = f"got pool {target.pool!r} for {name}, expected {present.pool!r}"
@@ -487,10 +487,13 @@
             return
         self._keeper_updates.add(known, is_urgent=changed)
 
-    def take_leave(self, name: str, born: int = 0) -> None:
+    def take_leave(self, name: str, started_ms: int = 0) -> None:
         """Take a target's word that it goes, of the start that it names or of the latest."""
         known = self.directory.find(name)
-        if known is None or born not in (0, incarnations.split_id(known.target_id).born):
+        if known is None or started_ms not in (
+            0,
+            incarnations.parse_id(known.target_id).started_ms,
+        ):
             return
         if self.directory.mark_gone(known.target_id):
             self._keeper_updates.add(known)
--- a/tillerlane/gateway/directory.py
+++ b/tillerlane/gateway/directory.py
@@ -183,10 +183,10 @@
 
     def _begin(self, told: Target) -> bool:
         """Take an incarnation that was not known; False for one that is over already."""
-        told_of = incarnations.split_id(told.target_id)
+        told_of = incarnations.parse_id(told.target_id)
         present = self._present.get(told_of.name)
         if present is not None:
-            if told_of.born < incarnations.split_id(present).born:
+            if told_of.started_ms < incarnations.parse_id(present).started_ms:
                 return False
             self._end(present)
         if len(self.targets) >= MAX_TARGETS:
@@ -245,7 +245,7 @@
         for target_id, item in list(self.targets.items()):
             if item.phase is not Phase.READY and now - item.heard_at > FORGET_SECONDS:
                 del self.targets[target_id]
-                self._present.pop(incarnations.split_id(target_id).name, None)
+                self._present.pop(incarnations.parse_id(target_id).name, None)
                 self._pools.clear()
 
     def _call(self, target: Target, former: Phase | None) -> None:
--- a/tillerlane/gateway/incarnations.py
+++ b/tillerlane/gateway/incarnations.py
@@ -11,7 +11,7 @@
 
 import dataclasses
 
-__all__ = ["Incarnation", "build_id", "split_id"]
+__all__ = ["Incarnation", "build_id", "parse_id"]
 
 _MARK = "#"
 
@@ -24,22 +24,22 @@
     ----------
     name : str
         The target's own id, which its later starts may have too.
-    born : int
+    started_ms : int
         Unix milliseconds of its start; 0 where it does not tell.
     """
 
     name: str
-    born: int
+    started_ms: int
 
 
-def build_id(name: str, born: int) -> str:
+def build_id(name: str, started_ms: int) -> str:
     """The id of an incarnation; the target's own one where it tells no start."""
-    return f"{name}{_MARK}{born}" if born or _MARK in name else name
+    return f"{name}{_MARK}{started_ms}" if started_ms or _MARK in name else name
 
 
-def split_id(target_id: str) -> Incarnation:
+def parse_id(target_id: str) -> Incarnation:
     """The incarnation that an id names."""
-    name, mark, born = target_id.rpartition(_MARK)
-    if not mark or not (born.isascii() and born.isdigit()):
+    name, mark, started_ms = target_id.rpartition(_MARK)
+    if not mark or not (started_ms.isascii() and started_ms.isdigit()):
         return Incarnation(target_id, 0)
-    return Incarnation(name, int(born))
+    return Incarnation(name, int(started_ms))
--- a/tillerlane/gateway/tests/test_incarnations.py
+++ b/tillerlane/gateway/tests/test_incarnations.py
@@ -32,9 +32,9 @@
 
     @profiles.choose(200)
     @given(strategies.text(max_size=8), strategies.integers(0, 2**63 - 1))
-    def test_ids_tell_both_again(self, name: str, born: int) -> None:
-        found = incarnations.split_id(incarnations.build_id(name, born))
-        self.assertEqual(found, incarnations.Incarnation(name, born))
+    def test_ids_tell_both_again(self, name: str, started_ms: int) -> None:
+        found = incarnations.parse_id(incarnations.build_id(name, started_ms))
+        self.assertEqual(found, incarnations.Incarnation(name, started_ms))
 
     def test_target_that_tells_no_start_keeps_its_id(self) -> None:
         self.assertEqual(incarnations.build_id("i-7", 0), "i-7")
@@ -55,32 +55,32 @@
     def read(self) -> dict[str, tuple[int, int, int]]:
         """What is believed, without counts of targets that leave."""
         return {
-            name: (born, 0 if finality else seq, finality)
-            for name, (born, seq, finality) in self.known.items()
+            name: (started_ms, 0 if finality else seq, finality)
+            for name, (started_ms, seq, finality) in self.known.items()
         }
 
-    def take(self, name: str, born: int, seq: int, finality: int) -> None:
+    def take(self, name: str, started_ms: int, seq: int, finality: int) -> None:
         """Take a word, whoever passed it on."""
         held = self.known.get(name)
-        if held is None or born > held[0]:
-            self.known[name] = (born, seq, finality)
-        elif born == held[0]:
-            self.known[name] = (born, max(seq, held[1]), max(finality, held[2]))
+        if held is None or started_ms > held[0]:
+            self.known[name] = (started_ms, seq, finality)
+        elif started_ms == held[0]:
+            self.known[name] = (started_ms, max(seq, held[1]), max(finality, held[2]))
 
     def take_all(self, other: "_Oracle") -> None:
         """Take all that another daemon believes."""
-        for name, (born, seq, finality) in other.known.items():
-            self.take(name, born, seq, finality)
+        for name, (started_ms, seq, finality) in other.known.items():
+            self.take(name, started_ms, seq, finality)
 
 
 def read_known(directory: directories.Directory) -> dict[str, tuple[int, int, int]]:
     """What a daemon believes, in the oracle's form."""
     found = {}
     for target_id, target in directory.targets.items():
-        told_of = incarnations.split_id(target_id)
+        told_of = incarnations.parse_id(target_id)
         assert told_of.name not in found, "two incarnations of one target"
         finality = PHASES.index(target.phase)
-        found[told_of.name] = (told_of.born, 0 if finality else target.sequence, finality)
+        found[told_of.name] = (told_of.started_ms, 0 if finality else target.sequence, finality)
     return found
 
 
@@ -99,9 +99,9 @@
                     self.pass_on(daemons[source], daemons[receiver], whole=whole)
                     oracles[receiver].take_all(oracles[source])
                     continue
-                number, name, born, seq, phase = step
-                daemons[number].take(self.build(name, born, seq, phase))
-                oracles[number].take(name, born, seq, PHASES.index(phase))
+                number, name, started_ms, seq, phase = step
+                daemons[number].take(self.build(name, started_ms, seq, phase))
+                oracles[number].take(name, started_ms, seq, PHASES.index(phase))
                 self.assertEqual(read_known(daemons[number]), oracles[number].read())
             for source in daemons * 2:
                 for receiver in daemons:
@@ -114,12 +114,14 @@
 
         lab.run_virtual(play())
 
-    def build(self, name: str, born: int, seq: int, phase: directories.Phase) -> directories.Target:
+    def build(
+        self, name: str, started_ms: int, seq: int, phase: directories.Phase
+    ) -> directories.Target:
         """A target's word, as a daemon takes it."""
-        target_id = incarnations.build_id(name, born)
+        target_id = incarnations.build_id(name, started_ms)
         heard_at = asyncio.get_running_loop().time()
         return directories.Target(
-            target_id, "app", f"10.0.9.{born}:9000", "hall-a", 6, phase, seq, heard_at
+            target_id, "app", f"10.0.9.{started_ms}:9000", "hall-a", 6, phase, seq, heard_at
         )
 
     def pass_on(
--- a/tillerlane/platform/wire.py
+++ b/tillerlane/platform/wire.py
@@ -103,7 +103,7 @@
 def write_forward(head: http_head.RequestHead, plan: dialect.ForwardPlan) -> http_head.RequestHead:
     """The head of a request for one target."""
     headers = http_head.list_end_to_end(head.headers, _OURS)
-    headers.append((TARGET_ID, incarnations.split_id(plan.target_id).name.encode()))
+    headers.append((TARGET_ID, incarnations.parse_id(plan.target_id).name.encode()))
     headers.append((DEADLINE, str(max(1, int(plan.wait_seconds * 1000))).encode()))
     if plan.workspace:
         headers.append((WORKSPACE, plan.workspace.encode()))
