--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -326,7 +326,7 @@
         self.timeline.record("config.in_force", version=table.version, routes=len(table.routes))
         self.homes.ask_again()
         if not table.workspaces:
-            self._startup.note_ready()
+            self._startup.mark_ready()
 
     def _note_orders(self, orders: stores.Store) -> None:
         """Put orders in force: which data halls and which requests get to no target."""
@@ -343,7 +343,7 @@
 
     def _note_fresh(self) -> None:
         if self._gate.table is not None and self._is_fresh():
-            self._startup.note_ready()
+            self._startup.mark_ready()
 
     def _is_fresh(self) -> bool:
         fresh = self._clock.read_age(self._loop.time()) < self._own.lease_seconds
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -411,7 +411,7 @@
 
     def _may_wait_for_targets(self, asked: admissions.Admission) -> bool:
         arrived = asked.request.arrived
-        return self._startup.may_wait_for_targets(arrived, asked.ends_at - arrived)
+        return self._startup.should_wait_for_targets(arrived, asked.ends_at - arrived)
 
     def _may_wait_for_bearing(self, asked: admissions.Admission, excluded: set[str]) -> bool:
         """Whether a target that gets nothing now may take a request in time."""
--- a/tillerlane/gateway/startup.py
+++ b/tillerlane/gateway/startup.py
@@ -10,14 +10,14 @@
 
 __all__ = ["Startup"]
 
-HOLD_SECONDS = 1.5
+MAX_WAIT_SECONDS = 1.5
 """Longest wait for the configuration: an election among keepers that have lost their former leader
 takes up to 1.1 s after their start, one with it 0.2 s."""
-HOLD_SHARE = 0.5
+MAX_WAIT_SHARE = 0.5
 """Share of a caller's time that is waited at most; the rest is for the answer or another try."""
-DEFAULT_WAIT_SECONDS = 1.0
+DEFAULT_TIMEOUT_SECONDS = 1.0
 """Time of a caller that names none."""
-TARGETS_SECONDS = 2.0
+TARGET_DISCOVERY_SECONDS = 2.0
 """How long after the configuration targets may still be unheard of: they tell of themselves each
 1.2 s, and at once where their last word failed."""
 
@@ -36,7 +36,7 @@
         self._ready = asyncio.Event()
         self._loop = asyncio.get_running_loop()
 
-    def note_ready(self) -> None:
+    def mark_ready(self) -> None:
         """Take note that the configuration is there; later losses of it change nothing."""
         if self.ready_at is None:
             self.ready_at = self._loop.time()
@@ -47,19 +47,21 @@
         if self._ready.is_set():
             return
         try:
-            async with asyncio.timeout_at(_read_hold_end(arrived, wait_seconds)):
+            async with asyncio.timeout_at(_compute_wait_end(arrived, wait_seconds)):
                 await self._ready.wait()
         except TimeoutError:
             return  # the caller is refused for want of a configuration, which is logged
 
-    def may_wait_for_targets(self, arrived: float, wait_seconds: float) -> bool:
+    def should_wait_for_targets(self, arrived: float, wait_seconds: float) -> bool:
         """Whether a request for which no target is known should wait for one."""
         if self.ready_at is None:
             return False
-        until = min(self.ready_at + TARGETS_SECONDS, _read_hold_end(arrived, wait_seconds))
+        until = min(
+            self.ready_at + TARGET_DISCOVERY_SECONDS, _compute_wait_end(arrived, wait_seconds)
+        )
         return self._loop.time() < until
 
 
-def _read_hold_end(arrived: float, wait_seconds: float | None) -> float:
-    seconds = DEFAULT_WAIT_SECONDS if wait_seconds is None else wait_seconds
-    return arrived + min(HOLD_SECONDS, seconds * HOLD_SHARE)
+def _compute_wait_end(arrived: float, wait_seconds: float | None) -> float:
+    seconds = DEFAULT_TIMEOUT_SECONDS if wait_seconds is None else wait_seconds
+    return arrived + min(MAX_WAIT_SECONDS, seconds * MAX_WAIT_SHARE)
--- a/tillerlane/gateway/tests/test_relay.py
+++ b/tillerlane/gateway/tests/test_relay.py
@@ -44,7 +44,7 @@
     def test_without_a_target_the_refusal_says_when_to_come_back(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             # Just after its start an entry waits for targets, which have not told of themselves.
-            await asyncio.sleep(startup.TARGETS_SECONDS)
+            await asyncio.sleep(startup.TARGET_DISCOVERY_SECONDS)
             answer = await stage.call("entry-1", "order", "r1")
             self.assertEqual(answer.status, 503)
             self.assertGreater(float(answer.headers["retry-after"]), 0)
