--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -52,14 +52,14 @@
 """How long all targets, once written, are told to new subscribers, together with what changed
 since: after a common start 118 entries subscribe within a second, and writing 3,001 targets takes
 20 ms.  Ages told so are too low by as much, a fourth of a heartbeat's interval."""
-URGENT_LOADS_SECONDS = 0.02
+URGENT_LOADS_INTERVAL_SECONDS = 0.02
 """Least pause between two batches for other keepers, and two digests of large changes."""
 MOST_DIGESTS = 1_000
 """Digests a second that a keeper sends at most: with more than 20 entries that it tells loads, the
 pause grows.  One costs it 35 us, so these are 3.5% of a core."""
-LOADS_SECONDS = 0.12
+LOADS_INTERVAL_SECONDS = 0.12
 """Least pause between two digests of smaller changes."""
-QUIET_LOADS_SECONDS = 1.0
+MAX_LOADS_INTERVAL_SECONDS = 1.0
 """Longest pause between two digests, and until small changes are told: a third of the time for
 which a digest counts."""
 
@@ -433,7 +433,7 @@
         whole_at = paced_at = 0.0
         while True:
             told = sum(asked.loads for asked in self._subscribers.values())
-            await asyncio.sleep(max(URGENT_LOADS_SECONDS, told / MOST_DIGESTS))
+            await asyncio.sleep(max(URGENT_LOADS_INTERVAL_SECONDS, told / MOST_DIGESTS))
             now = self._loop.time()
             dropped = self._loads.expire(now)
             if dropped:
@@ -441,8 +441,8 @@
             passed = self._loads.write_passed()
             if passed is not None:
                 self._send_to_keepers(passed)
-            is_due = now - whole_at > QUIET_LOADS_SECONDS
-            is_paced = now - paced_at > LOADS_SECONDS
+            is_due = now - whole_at > MAX_LOADS_INTERVAL_SECONDS
+            is_paced = now - paced_at > LOADS_INTERVAL_SECONDS
             least = loads.LEAST_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
             digest = self._loads.write_changes(least, is_due=is_due)
             if is_due:
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -45,11 +45,11 @@
 
 __all__ = ["Entry", "EntrySettings"]
 
-URGENT_LOADS_SECONDS = 0.02
+URGENT_LOADS_INTERVAL_SECONDS = 0.02
 """Least pause between two words about this entry's load, if a prompt was sent or read meanwhile."""
-LOADS_SECONDS = 0.15
+LOADS_INTERVAL_SECONDS = 0.15
 """Least pause between words of smaller changes."""
-QUIET_LOADS_SECONDS = 1.0
+MAX_LOADS_INTERVAL_SECONDS = 1.0
 """Longest pause between them: a third of the time for which a word counts, and what keepers count
 entries by."""
 STOP_CHECK_SECONDS = 0.05
@@ -233,7 +233,7 @@
             lambda: self.orders.version,
             self.timeline,
         )
-        self.homes.on_entries = self._note_entries
+        self.homes.on_entry_count = self._note_entries
         self.homes.on_fresh = self._note_fresh
         self._limits = http_server.ServerLimits()
         self._front = http_server.Server(self._relay.serve, self._limits, self._note_error)
@@ -305,7 +305,7 @@
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take the seeds of changed settings."""
-        self.homes.learn(seeds)
+        self.homes.add_addresses(seeds)
         self.timeline.record("daemon.reload", seeds=list(seeds))
 
     # Configuration
@@ -324,7 +324,7 @@
         self._limits.header_seconds = bounds.header_seconds
         self._limits.idle_seconds = bounds.idle_seconds
         self.timeline.record("config.in_force", version=table.version, routes=len(table.routes))
-        self.homes.ask_again()
+        self.homes.query_soon()
         if not table.workspaces:
             self._startup.mark_ready()
 
@@ -339,7 +339,7 @@
             halls=sorted(self.directory.evacuated),
             held=self.quarantine.count_held(),
         )
-        self.homes.ask_again()
+        self.homes.query_soon()
 
     def _note_fresh(self) -> None:
         if self._gate.table is not None and self._is_fresh():
@@ -366,7 +366,7 @@
 
     def _note_up(self, link: links.Link) -> None:
         """Follow a new link soon; a keeper that has started again knows nothing of targets."""
-        self.homes.look_soon()
+        self.homes.check_soon()
         ends = self.quarantine.suspects.list_all()
         if ends:
             links.try_send(link, suspects.write_ends(ends))
@@ -491,7 +491,7 @@
         taken = self.usage.take(digest, self._loop.time())
         if taken is usages.Taken.GAP:
             self.timeline.record("loads.gap", keeper=digest.keeper, sequence=digest.sequence)
-            self.homes.ask_loads_again()
+            self.homes.request_full_loads()
         elif taken is usages.Taken.GOOD and digest.whole:
             self.timeline.record("loads.whole", keeper=digest.keeper, sequence=digest.sequence)
 
@@ -506,7 +506,7 @@
             if self.usage.forget_others(now):
                 self.timeline.record("loads.lost", after_s=usages.OTHERS_SECONDS)
             link = self.homes.get_primary()
-            is_due = link is not told_to or now - told_at > QUIET_LOADS_SECONDS
+            is_due = link is not told_to or now - told_at > MAX_LOADS_INTERVAL_SECONDS
             if link is None or not (self.usage.changed or is_due):
                 continue
             told_at, told_to = now, link
@@ -514,9 +514,9 @@
 
     async def _pause_loads(self) -> None:
         """Wait until another word about this entry's load may go out."""
-        await asyncio.sleep(URGENT_LOADS_SECONDS)
+        await asyncio.sleep(URGENT_LOADS_INTERVAL_SECONDS)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LOADS_SECONDS - URGENT_LOADS_SECONDS):
+            async with asyncio.timeout(LOADS_INTERVAL_SECONDS - URGENT_LOADS_INTERVAL_SECONDS):
                 await self.usage.urgent.wait()
 
     # HTTP
--- a/tillerlane/gateway/tests/test_homes.py
+++ b/tillerlane/gateway/tests/test_homes.py
@@ -25,7 +25,7 @@
     entries = 6
     wished_voters = 5
 
-    @mock.patch.object(homes, "FEW_ENTRIES", 0)
+    @mock.patch.object(homes, "SMALL_FLEET_ENTRIES", 0)
     def test_entries_leave_keepers_that_are_cut_off_from_the_log(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for number, entry in enumerate(stage.entries.values(), 1):
--- a/tillerlane/gateway/tests/test_spread.py
+++ b/tillerlane/gateway/tests/test_spread.py
@@ -53,7 +53,7 @@
     return seen
 
 
-@mock.patch.object(homes, "FEW_ENTRIES", 0)
+@mock.patch.object(homes, "SMALL_FLEET_ENTRIES", 0)
 class SpreadTest(gateway_scenes.GatewayCase):
     """Five keepers, of which each of six entries knows two."""
 
@@ -152,7 +152,7 @@
                 task = await begin_run(stage)
             self.assertEqual(entry.usage.take, take)
             # The next digest, which shows the gap, comes within this time at the latest.
-            await asyncio.sleep(control.QUIET_LOADS_SECONDS + 0.1)
+            await asyncio.sleep(control.MAX_LOADS_INTERVAL_SECONDS + 0.1)
             self.assertEqual(count_requests(stage, "entry-6"), 1)
             task.cancel()
 
