--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -56,7 +56,7 @@
     directory = directories.Directory()
     for number in range(targets):
         address, phase = get_address(number), directories.Phase.READY
-        directory.take(
+        directory.merge(
             directories.Target(f"t{number}", "llm", address, "hall-a", 24, phase, 1, 0.0)
         )
     usage = usages.Usage("entry-own")
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -123,7 +123,7 @@
         clock = clocks.HybridClock(self._around.now)
         self.timeline = timelines.Timeline(own.name, clock, RING_EVENTS)
         self.directory = directories.Directory()
-        self.directory.listen(self._note_phase)
+        self.directory.add_listener(self._note_phase)
         self._subscribers: dict[links.Link, messages.Subscribe] = {}
         self._greeted: set[links.Link] = set()
         """Links of keepers that were told all targets."""
@@ -131,7 +131,7 @@
         self._loads = loads.Ledger(own.name, int(self._around.now() * 1000))
         self._keeper_updates = batching.UpdateBatcher(
             BATCH_INTERVAL_SECONDS,
-            lambda targets: self._send_to_keepers(directories.write_states(targets)),
+            lambda targets: self._send_to_keepers(directories.encode_states(targets)),
         )
         self._subscriber_updates = batching.UpdateBatcher(
             SUBSCRIBER_BATCH_INTERVAL_SECONDS, self._tell_subscribers
@@ -300,7 +300,7 @@
             await asyncio.sleep(SWEEP_SECONDS)
             now = self._loop.time()
             self.directory.mark_silent(now - self._own.silent_seconds)
-            self.directory.forget_old(now)
+            self.directory.expire_old(now)
             self.limits.table.forget_unknown(self.directory.targets, now)
             subscribed = {item.entry for item in self._subscribers.values()}
             for entry, heard_at in list(self._entries.items()):
@@ -332,7 +332,7 @@
             case messages.PublicationPull():
                 self._send_publication(link)
             case messages.TargetStates():
-                self._take_states(link, directories.read_states(body))
+                self._take_states(link, directories.decode_states(body))
             case messages.EntryLoads():
                 self._entries[body.entry] = self._loop.time()
                 self._loads.take_word(body, self._loop.time())
@@ -380,12 +380,12 @@
         """Tell all targets to a peer that is new."""
         now = self._loop.time()
         if self._whole is None or now - self._whole_at > WHOLE_SECONDS:
-            self._whole = directories.write_states(self.directory.targets.values(), whole=True)
+            self._whole = directories.encode_states(self.directory.targets.values(), full=True)
             self._whole_at = now
             self._changed_since_whole.clear()
         links.try_send(link, self._whole)
         if self._changed_since_whole:
-            links.try_send(link, directories.write_states(self._changed_since_whole.values()))
+            links.try_send(link, directories.encode_states(self._changed_since_whole.values()))
 
     def _send_publication(self, link: links.Link) -> None:
         current = self.replica.machine.published.current
@@ -481,7 +481,7 @@
         if present is not None and present.pool != target.pool:
             message = f"got pool {target.pool!r} for {name}, expected {present.pool!r}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
-        changed = self.directory.take(target)
+        changed = self.directory.merge(target)
         known = self.directory.targets.get(target.target_id)
         if known is None:
             return
@@ -502,7 +502,7 @@
         """Take word of targets; other keepers are told what an entry has learnt from answers."""
         is_of_entry = link in self._subscribers
         for target in states:
-            if self.directory.take(target) and is_of_entry:
+            if self.directory.merge(target) and is_of_entry:
                 self._keeper_updates.add(self.directory.targets[target.target_id], is_urgent=True)
 
     def _note_phase(self, target: directories.Target, former: directories.Phase | None) -> None:
@@ -519,17 +519,19 @@
         )
         if target.phase is directories.Phase.GONE:
             self.limits.table.forget(target.target_id)
-        if target.is_over and former is not None:
+        if target.is_superseded and former is not None:
             # Whoever hears of the present incarnation ends the former one, and first hears until
             # when that one lived: entries are not told each heartbeat.
             self._changed_since_whole.pop(target.target_id, None)
-            self._subscriber_updates.add(dataclasses.replace(target, phase=former, is_over=False))
+            self._subscriber_updates.add(
+                dataclasses.replace(target, phase=former, is_superseded=False)
+            )
             return
         self._changed_since_whole[target.target_id] = target
         self._subscriber_updates.add(target)
 
     def _tell_subscribers(self, targets: list[directories.Target]) -> None:
-        self._send_to_subscribers(directories.write_states(targets))
+        self._send_to_subscribers(directories.encode_states(targets))
 
     # Configuration
 
--- a/tillerlane/gateway/directory.py
+++ b/tillerlane/gateway/directory.py
@@ -16,15 +16,15 @@
 from tillerlane.gateway import incarnations
 from tillerlane.peers import codec, messages
 
-__all__ = ["Directory", "Phase", "Target", "read_states", "write_states"]
+__all__ = ["Directory", "Phase", "Target", "decode_states", "encode_states"]
 
-FORGET_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 """How long a target that is gone is remembered, so that late word does not bring it back."""
-TAKEN_BACK_COLD_SECONDS = 3.0
+REOPENED_COLD_SECONDS = 3.0
 """How long a target of a data hall that was taken back counts as cold at an entry, which is told
 that one turns cold and not that one is warm: heartbeats come each 1.2 s, at times seconds late."""
 MAX_AGE_MS = 2**31
-WHOLE_LEVEL = 1
+FULL_STATE_COMPRESSION_LEVEL = 1
 """Compression of all targets at once: 3,001 of them take 512 kB as structs and 56 kB so, which an
 entry's link of 5 Mbit/s carries in 0.8 and 0.1 s."""
 MAX_TABLE_BYTES = 8 * 1024 * 1024
@@ -61,7 +61,7 @@
         Time of the event loop of its last own word, as far as is known here.
     warm_at : float
         Until then it works slowly after its start.
-    is_over : bool
+    is_superseded : bool
         Whether it has started again, so that what ran there is lost; it is gone then.
     """
 
@@ -74,7 +74,7 @@
     sequence: int
     heard_at: float
     warm_at: float = 0.0
-    is_over: bool = False
+    is_superseded: bool = False
     leaving_at: float = 0.0
     """Time of the event loop of its word that it leaves, as far as is known here; 0 before."""
 
@@ -86,7 +86,7 @@
     @property
     def is_winding_down(self) -> bool:
         """Whether it leaves and what runs there still goes on: it has not started again."""
-        return self.is_leaving and not self.is_over
+        return self.is_leaving and not self.is_superseded
 
 
 _FINALITY = {Phase.READY: 0, Phase.SILENT: 0, Phase.DRAINING: 1, Phase.GONE: 2}
@@ -110,11 +110,11 @@
         self.evacuated: frozenset[str] = frozenset()
         self._pools: dict[str, list[Target]] = {}
         """Targets of each pool that take work, until one of them changes."""
-        self._present: dict[str, str] = {}
+        self._latest: dict[str, str] = {}
         """A target's own id to the id of its latest incarnation."""
         self._listeners: list[Listener] = []
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Call `listener` with (target, former phase) when one is new, leaves, or turns cold."""
         self._listeners.append(listener)
 
@@ -126,11 +126,11 @@
         """
         for target in self.targets.values():
             if target.data_hall in self.evacuated - halls:
-                target.warm_at = max(target.warm_at, now + TAKEN_BACK_COLD_SECONDS)
+                target.warm_at = max(target.warm_at, now + REOPENED_COLD_SECONDS)
         self.evacuated = halls
         self._pools.clear()
 
-    def takes_work(self, target: Target) -> bool:
+    def accepts_requests(self, target: Target) -> bool:
         """Whether new requests may go to a target; every way to one asks this."""
         return not target.is_leaving and target.data_hall not in self.evacuated
 
@@ -144,69 +144,69 @@
             listed = [
                 item
                 for item in self.targets.values()
-                if item.pool == pool and self.takes_work(item)
+                if item.pool == pool and self.accepts_requests(item)
             ]
             self._pools[pool] = listed
         return list(listed)
 
-    def take(self, told: Target) -> bool:
+    def merge(self, report: Target) -> bool:
         """Merge one word about a target; whether anything but its time changed."""
-        known = self.targets.get(told.target_id)
+        known = self.targets.get(report.target_id)
         if known is None:
-            if not self._begin(told):
+            if not self._add(report):
                 return False
-            self._call(told, None)
+            self._notify(report, None)
             return True
-        known.heard_at = max(known.heard_at, told.heard_at)
-        is_newer = told.sequence > known.sequence
-        if _FINALITY[told.phase] < _FINALITY[known.phase]:
+        known.heard_at = max(known.heard_at, report.heard_at)
+        is_newer = report.sequence > known.sequence
+        if _FINALITY[report.phase] < _FINALITY[known.phase]:
             return False
-        is_final = _FINALITY[told.phase] > _FINALITY[known.phase]
-        if not is_newer and not is_final and told.sequence < known.sequence:
+        is_final = _FINALITY[report.phase] > _FINALITY[known.phase]
+        if not is_newer and not is_final and report.sequence < known.sequence:
             return False
         former = known.phase
-        turns_cold = known.warm_at <= told.heard_at < told.warm_at
-        known.sequence = max(known.sequence, told.sequence)
-        known.warm_at = told.warm_at
+        turns_cold = known.warm_at <= report.heard_at < report.warm_at
+        known.sequence = max(known.sequence, report.sequence)
+        known.warm_at = report.warm_at
         if is_newer:
-            known.address, known.slots = told.address, told.slots
-        if told.phase is former:
+            known.address, known.slots = report.address, report.slots
+        if report.phase is former:
             if turns_cold:
-                self._call(known, former)
+                self._notify(known, former)
             return turns_cold
-        if not is_newer and not is_final and told.phase is Phase.READY:
+        if not is_newer and not is_final and report.phase is Phase.READY:
             return False
-        known.phase = told.phase
-        _note_leaving(known, told.heard_at)
-        self._call(known, former)
+        known.phase = report.phase
+        _record_leaving(known, report.heard_at)
+        self._notify(known, former)
         return True
 
-    def _begin(self, told: Target) -> bool:
+    def _add(self, report: Target) -> bool:
         """Take an incarnation that was not known; False for one that is over already."""
-        told_of = incarnations.parse_id(told.target_id)
-        present = self._present.get(told_of.name)
+        incarnation = incarnations.parse_id(report.target_id)
+        present = self._latest.get(incarnation.name)
         if present is not None:
-            if told_of.started_ms < incarnations.parse_id(present).started_ms:
+            if incarnation.started_ms < incarnations.parse_id(present).started_ms:
                 return False
-            self._end(present)
+            self._end_incarnation(present)
         if len(self.targets) >= MAX_TARGETS:
             return False
-        self._present[told_of.name] = told.target_id
-        _note_leaving(told, told.heard_at)
-        self.targets[told.target_id] = told
+        self._latest[incarnation.name] = report.target_id
+        _record_leaving(report, report.heard_at)
+        self.targets[report.target_id] = report
         return True
 
-    def _end(self, target_id: str) -> None:
+    def _end_incarnation(self, target_id: str) -> None:
         """End an incarnation whose target has started again."""
         former = self.targets.pop(target_id, None)
         if former is None:
             return
-        phase, former.phase, former.is_over = former.phase, Phase.GONE, True
-        self._call(former, phase)
+        phase, former.phase, former.is_superseded = former.phase, Phase.GONE, True
+        self._notify(former, phase)
 
     def find(self, name: str) -> Target | None:
         """The latest incarnation of a target, by the target's own id."""
-        target_id = self._present.get(name)
+        target_id = self._latest.get(name)
         return self.targets.get(target_id) if target_id is not None else None
 
     def mark_gone(self, target_id: str) -> bool:
@@ -214,14 +214,14 @@
         known = self.targets.get(target_id)
         if known is None or known.phase is Phase.GONE:
             return False
-        return self.take(dataclasses.replace(known, phase=Phase.GONE))
+        return self.merge(dataclasses.replace(known, phase=Phase.GONE))
 
     def mark_leaving(self, target_id: str, now: float) -> Target | None:
         """Take note that a target has said in an answer that it leaves; gives it if that is new."""
         known = self.targets.get(target_id)
         if known is None or known.is_leaving:
             return None
-        self.take(dataclasses.replace(known, phase=Phase.DRAINING, heard_at=now))
+        self.merge(dataclasses.replace(known, phase=Phase.DRAINING, heard_at=now))
         return known
 
     def list_leaving(self) -> list[Target]:
@@ -237,29 +237,29 @@
         ]
         for item in found:
             item.phase = Phase.SILENT
-            self._call(item, Phase.READY)
+            self._notify(item, Phase.READY)
         return found
 
-    def forget_old(self, now: float) -> None:
+    def expire_old(self, now: float) -> None:
         """Drop targets that have been gone or silent for long."""
         for target_id, item in list(self.targets.items()):
-            if item.phase is not Phase.READY and now - item.heard_at > FORGET_SECONDS:
+            if item.phase is not Phase.READY and now - item.heard_at > RETENTION_SECONDS:
                 del self.targets[target_id]
-                self._present.pop(incarnations.parse_id(target_id).name, None)
+                self._latest.pop(incarnations.parse_id(target_id).name, None)
                 self._pools.clear()
 
-    def _call(self, target: Target, former: Phase | None) -> None:
+    def _notify(self, target: Target, former: Phase | None) -> None:
         self._pools.clear()
         for listener in self._listeners:
             listener(target, former)
 
 
-def _note_leaving(target: Target, told_at: float) -> None:
+def _record_leaving(target: Target, reported_at: float) -> None:
     if target.is_leaving and not target.leaving_at:
-        target.leaving_at = told_at
+        target.leaving_at = reported_at
 
 
-def write_states(targets: Iterable[Target], *, whole: bool = False) -> messages.TargetStates:
+def encode_states(targets: Iterable[Target], *, full: bool = False) -> messages.TargetStates:
     """Targets as a message; ages are those of the moment of writing."""
     now = asyncio.get_running_loop().time()
     rows = list(targets)
@@ -275,10 +275,12 @@
         [min(max(0, int((now - item.heard_at) * 1000)), MAX_AGE_MS) for item in rows],
     )
     data = codec.write_table(table)
-    return messages.TargetStates(zlib.compress(data, WHOLE_LEVEL) if whole else data, whole)
+    return messages.TargetStates(
+        zlib.compress(data, FULL_STATE_COMPRESSION_LEVEL) if full else data, full
+    )
 
 
-def read_states(message: messages.TargetStates) -> list[Target]:
+def decode_states(message: messages.TargetStates) -> list[Target]:
     """Targets from a message.
 
     Raises
@@ -287,7 +289,7 @@
         Of kind ``bad_request`` if it can't be read.
     """
     now = asyncio.get_running_loop().time()
-    table = codec.read_table(_unpack(message), messages.StateTable)
+    table = codec.read_table(_decompress(message), messages.StateTable)
     rows = zip(
         table.target_ids,
         table.pools,
@@ -304,12 +306,12 @@
     return [Target(*row) for row in rows if row[5] is not None]
 
 
-def _unpack(message: messages.TargetStates) -> bytes:
+def _decompress(message: messages.TargetStates) -> bytes:
     if not message.whole:
         return message.table
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        return unpacker.decompress(message.table, MAX_TABLE_BYTES)
+        return decompressor.decompress(message.table, MAX_TABLE_BYTES)
     except zlib.error as error:
         fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"no table of targets: {error}")
         raise faults.FaultError(fault) from error
--- a/tillerlane/gateway/endings.py
+++ b/tillerlane/gateway/endings.py
@@ -90,7 +90,7 @@
             self._quarantine.note_end(asked.fingerprint, target)
 
     async def _probe(self, target: directories.Target) -> http_client.Reach:
-        if target.is_over:
+        if target.is_superseded:
             return http_client.Reach.REFUSED  # it has started again, so the former start has ended
         task = self._probing.get(target.target_id)
         if task is None:
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -195,7 +195,7 @@
             ends,
             self.quarantine,
         )
-        self.directory.listen(self._note_over)
+        self.directory.add_listener(self._note_over)
         relayed = streams.Streams(
             sender,
             selector,
@@ -372,7 +372,7 @@
             links.try_send(link, suspects.write_ends(ends))
         leaving = self.directory.list_leaving()
         if leaving:
-            links.try_send(link, directories.write_states(leaving))
+            links.try_send(link, directories.encode_states(leaving))
         if len(self.limits):
             links.try_send(link, limits.write_words(self.limits.list_all()))
 
@@ -386,7 +386,7 @@
 
     def _notify_leaving(self, target: directories.Target) -> None:
         """Tell all keepers listened to that a target has said that it leaves."""
-        self._tell_keepers(directories.write_states([target]))
+        self._tell_keepers(directories.encode_states([target]))
 
     def _tell_keepers(self, message: messages.Body) -> None:
         for link in self.homes.list_links():
@@ -438,7 +438,7 @@
 
     def _take_states(self, states: messages.TargetStates) -> None:
         """Take word of targets, and log what changed; of very many only how many they are."""
-        changed = [item for item in directories.read_states(states) if self.directory.take(item)]
+        changed = [item for item in directories.decode_states(states) if self.directory.merge(item)]
         if len(changed) > MAX_LOGGED_TARGETS:
             self.timeline.record("target.states", changed=len(changed), whole=states.whole)
             return
@@ -473,7 +473,7 @@
             self.limits.forget(target.target_id)
             self.permits.forget(target.target_id)
             self.backoffs.forget(target.target_id)
-        if not target.is_over:
+        if not target.is_superseded:
             return
         self.usage.forget_pace(target.address)
         self.timeline.record(
@@ -501,7 +501,7 @@
         while True:
             await self._pause_loads()
             now = self._loop.time()
-            self.directory.forget_old(now)
+            self.directory.expire_old(now)
             self.limits.forget_unknown(self.directory.targets, now)
             if self.usage.forget_others(now):
                 self.timeline.record("loads.lost", after_s=usages.OTHERS_SECONDS)
--- a/tillerlane/gateway/exchanges.py
+++ b/tillerlane/gateway/exchanges.py
@@ -27,7 +27,7 @@
 
     def __init__(self, directory: directories.Directory) -> None:
         self._open: dict[str, set[http_client.Exchange]] = collections.defaultdict(set)
-        directory.listen(self._note_phase)
+        directory.add_listener(self._note_phase)
 
     def add(self, target: directories.Target, exchange: http_client.Exchange) -> None:
         """Take an exchange that has begun; it is forgotten with its connection."""
@@ -44,7 +44,7 @@
             del self._open[target_id]
 
     def _note_phase(self, target: directories.Target, former: directories.Phase | None) -> None:
-        if not target.is_over:
+        if not target.is_superseded:
             return
         # The former incarnation lived when it last told of itself, so what was connected before
         # was connected to it.  A later connection may have reached the present one, which may have
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -142,7 +142,7 @@
         self._ordered: dict[str, int] = {}
         """Tokens of the copies under way from each source, by its id; none without a copy."""
         self._dropping: set[asyncio.Task[None]] = set()
-        directory.listen(self._note_phase)
+        directory.add_listener(self._note_phase)
 
     def add(self, run: Run) -> None:
         """Take a run that begins at a target."""
@@ -184,7 +184,7 @@
         self._lose_backups(lambda backup: backup.target_id == target.target_id)
         runs = sorted(self._runs.get(target.target_id, ()), key=lambda run: run.tokens)
         for run in runs:
-            if target.is_over:
+            if target.is_superseded:
                 self._stop_move(run)
             else:
                 self._start(run)
@@ -213,7 +213,7 @@
         engine = run.pool.engine
         if engine is None or not engine.can_move or run.moving is not None:
             return
-        if run.backup is not None and self._directory.takes_work(run.backup):
+        if run.backup is not None and self._directory.accepts_requests(run.backup):
             # It may end here yet, and goes on there at once if it does not.  An order would copy
             # all of its memory again, and hold up those runs that have no other copy.
             return
--- a/tillerlane/gateway/tests/test_directory.py
+++ b/tillerlane/gateway/tests/test_directory.py
@@ -26,9 +26,9 @@
     def test_leaving_is_never_taken_back(self, words: list[tuple[int, str]]) -> None:
         directory = directories.Directory()
         phases: list[directories.Phase] = []
-        directory.listen(lambda target, former: phases.append(target.phase))
+        directory.add_listener(lambda target, former: phases.append(target.phase))
         for sequence, phase in words:
-            directory.take(build_target(sequence, phase))
+            directory.merge(build_target(sequence, phase))
         order = ["ready", "draining", "gone"]
         ranks = [order.index(phase.value) for phase in phases]
         self.assertEqual(ranks, sorted(ranks))
@@ -37,26 +37,26 @@
 
     def test_silent_target_comes_back_only_with_newer_word(self) -> None:
         directory = directories.Directory()
-        directory.take(build_target(5))
+        directory.merge(build_target(5))
         self.assertEqual(len(directory.mark_silent(1.0)), 1)
-        directory.take(build_target(5))
+        directory.merge(build_target(5))
         self.assertEqual(directory.targets["t"].phase, directories.Phase.SILENT)
-        directory.take(build_target(6))
+        directory.merge(build_target(6))
         self.assertEqual(directory.targets["t"].phase, directories.Phase.READY)
 
     def test_next_incarnation_at_the_same_address_is_another_target(self) -> None:
         directory = directories.Directory()
-        directory.take(build_target(5, "gone"))
-        directory.take(build_target(1, "ready", "u"))
+        directory.merge(build_target(5, "gone"))
+        directory.merge(build_target(1, "ready", "u"))
         self.assertEqual([item.target_id for item in directory.list_pool("pool")], ["u"])
 
     def test_late_word_of_one_that_is_gone_is_not_believed_for_a_while(self) -> None:
         directory = directories.Directory()
-        directory.take(build_target(5))
+        directory.merge(build_target(5))
         self.assertTrue(directory.mark_gone("t"))
         self.assertFalse(directory.mark_gone("t"))
-        directory.forget_old(directories.FORGET_SECONDS - 1)
-        directory.take(build_target(6))
+        directory.expire_old(directories.RETENTION_SECONDS - 1)
+        directory.merge(build_target(6))
         self.assertEqual(directory.list_pool("pool"), [])
 
 
--- a/tillerlane/gateway/tests/test_incarnations.py
+++ b/tillerlane/gateway/tests/test_incarnations.py
@@ -95,17 +95,17 @@
             oracles = [_Oracle() for _ in range(DAEMONS)]
             for step in steps:
                 if len(step) == 3:
-                    source, receiver, whole = step
-                    self.pass_on(daemons[source], daemons[receiver], whole=whole)
+                    source, receiver, full = step
+                    self.pass_on(daemons[source], daemons[receiver], full=full)
                     oracles[receiver].take_all(oracles[source])
                     continue
                 number, name, started_ms, seq, phase = step
-                daemons[number].take(self.build(name, started_ms, seq, phase))
+                daemons[number].merge(self.build(name, started_ms, seq, phase))
                 oracles[number].take(name, started_ms, seq, PHASES.index(phase))
                 self.assertEqual(read_known(daemons[number]), oracles[number].read())
             for source in daemons * 2:
                 for receiver in daemons:
-                    self.pass_on(source, receiver, whole=True)
+                    self.pass_on(source, receiver, full=True)
             everything = _Oracle()
             for oracle in oracles:
                 everything.take_all(oracle)
@@ -129,12 +129,12 @@
         source: directories.Directory,
         receiver: directories.Directory,
         *,
-        whole: bool,
+        full: bool,
     ) -> None:
         """Have a daemon tell another one all that it believes."""
-        told = directories.write_states(source.targets.values(), whole=whole)
-        for target in directories.read_states(told):
-            receiver.take(target)
+        told = directories.encode_states(source.targets.values(), full=full)
+        for target in directories.decode_states(told):
+            receiver.merge(target)
 
 
 class EndTest(unittest.TestCase):
@@ -144,12 +144,14 @@
         async def play() -> None:
             directory = directories.Directory()
             told: list[tuple[str, directories.Phase, bool]] = []
-            directory.listen(
-                lambda target, former: told.append((target.target_id, target.phase, target.is_over))
+            directory.add_listener(
+                lambda target, former: told.append(
+                    (target.target_id, target.phase, target.is_superseded)
+                )
             )
             build = OrderTest().build
-            directory.take(build("a", 1, 9, directories.Phase.READY))
-            directory.take(build("a", 2, 1, directories.Phase.READY))
+            directory.merge(build("a", 1, 9, directories.Phase.READY))
+            directory.merge(build("a", 2, 1, directories.Phase.READY))
             self.assertEqual(
                 told,
                 [
@@ -167,9 +169,9 @@
         async def play() -> None:
             build = OrderTest().build
             rows = [build(name, 1, 1, directories.Phase.READY) for name in "ab"]
-            message = directories.write_states(rows)
+            message = directories.encode_states(rows)
             message.table = message.table.replace(b"ready\x00", b"resty\x00", 1)
-            self.assertEqual(len(directories.read_states(message)), 1)
+            self.assertEqual(len(directories.decode_states(message)), 1)
 
         lab.run_virtual(play())
 
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -110,7 +110,7 @@
             target = directories.Target(
                 f"t{number}", "pool", f"a{number}", "hall-a", 48, directories.Phase.READY, 1, 10.0
             )
-            self.directory.take(target)
+            self.directory.merge(target)
 
     def choose(self) -> str:
         """Id of the target chosen for a run of 3,000 tokens."""
--- a/tillerlane/gateway/tests/test_selection.py
+++ b/tillerlane/gateway/tests/test_selection.py
@@ -31,7 +31,7 @@
         self.now = 10.0
         self.directory = directories.Directory()
         for number in range(RUNNERS):
-            self.directory.take(
+            self.directory.merge(
                 directories.Target(
                     f"t{number}",
                     "llm",
--- a/tillerlane/gateway/tests/test_spread.py
+++ b/tillerlane/gateway/tests/test_spread.py
@@ -114,7 +114,7 @@
             await asyncio.sleep(SETTLE_SECONDS)
             told: list[str] = []
             for daemon in [*stage.entries.values(), *stage.keepers.values()]:
-                daemon.directory.listen(lambda target, former: told.append(target.target_id))
+                daemon.directory.add_listener(lambda target, former: told.append(target.target_id))
             for keeper in stage.keeper_names * 3:
                 stage.beat("t1", "llm", keeper=keeper)
                 await asyncio.sleep(0.2)
