--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -34,7 +34,7 @@
 from tillerlane.timeline import clock as clocks
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Control", "ControlSettings", "Surroundings"]
+__all__ = ["Control", "ControlSettings", "Dependencies"]
 
 RING_EVENTS = 2_000
 MAX_HALL_LETTERS = 100
@@ -78,9 +78,9 @@
         Its folder on the disk.
     plan : formation.Plan
         How the keepers find each other.
-    silent_seconds : float
+    heartbeat_timeout_seconds : float
         A target whose last heartbeat is older gets work only where nothing else is left.
-    read_seconds : float
+    max_read_lag_seconds : float
         A read is answered only if all that was committed so long ago is surely held here.
     """
 
@@ -90,12 +90,12 @@
     metrics_address: str
     data_folder: str
     plan: formation.Plan
-    silent_seconds: float
-    read_seconds: float
+    heartbeat_timeout_seconds: float
+    max_read_lag_seconds: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class Dependencies:
     """What a keeper needs of the world; tests put stand-ins here."""
 
     open_disk: Callable[[str], disks.Disk] = disks.open_folder
@@ -112,15 +112,15 @@
     ----------
     own : ControlSettings
         Its settings.
-    around : Surroundings, optional
+    dependencies : Dependencies, optional
         What it needs of the world.
     """
 
-    def __init__(self, own: ControlSettings, around: Surroundings | None = None) -> None:
+    def __init__(self, own: ControlSettings, dependencies: Dependencies | None = None) -> None:
         self._own = own
-        self._around = around or Surroundings()
+        self._dependencies = dependencies or Dependencies()
         self._loop = asyncio.get_running_loop()
-        clock = clocks.HybridClock(self._around.now)
+        clock = clocks.HybridClock(self._dependencies.now)
         self.timeline = timelines.Timeline(own.name, clock, RING_EVENTS)
         self.directory = directories.Directory()
         self.directory.add_listener(self._note_phase)
@@ -128,7 +128,7 @@
         self._greeted: set[links.Link] = set()
         """Links of keepers that were told all targets."""
         self._entries: dict[str, float] = {}
-        self._loads = loads.Ledger(own.name, int(self._around.now() * 1000))
+        self._loads = loads.Ledger(own.name, int(self._dependencies.now() * 1000))
         self._keeper_updates = batching.UpdateBatcher(
             BATCH_INTERVAL_SECONDS,
             lambda targets: self._send_to_keepers(directories.encode_states(targets)),
@@ -146,13 +146,13 @@
         self._pushing: asyncio.Handle | None = None
         self.node = nodes.Node(
             self._build_local(clock),
-            open_connection=self._around.open_connection,
+            open_connection=self._dependencies.open_connection,
             dialing=homes.DIALING,
         )
         self.formation = formation.Formation(
             own.plan, own.name, own.peer_address, self.node, self.timeline
         )
-        storage = storages.Storage(self._around.open_disk(own.data_folder), own.name)
+        storage = storages.Storage(self._dependencies.open_disk(own.data_folder), own.name)
         state = machines.Machine()
         self.replica = replica.Replica(
             own.name,
@@ -161,13 +161,13 @@
             state,
             self.timeline,
             self._get_link,
-            self._around.run_blocking,
-            self._around.rng,
+            self._dependencies.run_blocking,
+            self._dependencies.rng,
             self.formation.list_founders,
         )
         self.formation.attach(self.replica)
         self.keeper = server.Keeper(
-            self.replica, self._get_link, lambda: [], lambda: int(self._around.now() * 1000)
+            self.replica, self._get_link, lambda: [], lambda: int(self._dependencies.now() * 1000)
         )
         self.freshness = freshness.KeeperFreshness(
             self.replica,
@@ -181,7 +181,7 @@
             self.keeper.propose,
             self._send_to_keepers,
             self._send_to_subscribers,
-            lambda: int(self._around.now() * 1000),
+            lambda: int(self._dependencies.now() * 1000),
             self.timeline,
         )
         self.grants = grants.Grants(
@@ -201,7 +201,7 @@
             daemon_id=self._own.name,
             fleet="fleet",
             address=self._own.peer_address,
-            incarnation=int(self._around.now() * 1000),
+            incarnation=int(self._dependencies.now() * 1000),
             clock=clock,
             get_config_version=lambda: max(0, self.replica.machine.published.version),
             on_peer_version=lambda link, version: None,
@@ -299,7 +299,7 @@
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
             now = self._loop.time()
-            self.directory.mark_silent(now - self._own.silent_seconds)
+            self.directory.mark_silent(now - self._own.heartbeat_timeout_seconds)
             self.directory.expire_old(now)
             self.limits.table.forget_unknown(self.directory.targets, now)
             subscribed = {item.entry for item in self._subscribers.values()}
@@ -547,7 +547,7 @@
         if version <= held:
             return {"taken": False, "version": held}
         content = zlib.compress(document, 6)
-        at_ms = int(self._around.now() * 1000)
+        at_ms = int(self._dependencies.now() * 1000)
         command = commands.encode(commands.Publish(version, content, at_ms))
         answer = await self.keeper.propose(command)
         self.timeline.record("config.published", version=version, answer=answer)
@@ -572,7 +572,7 @@
         self._check_hall(data_hall)
         against = self.replica.machine.store.version
         while True:
-            at_ms = int(self._around.now() * 1000)
+            at_ms = int(self._dependencies.now() * 1000)
             command = commands.Evacuate(data_hall, evacuated, against, "platform", at_ms)
             answer = await self.keeper.propose(commands.encode(command))
             self.timeline.record(
@@ -604,7 +604,7 @@
             ``no_quorum`` if a newer one may be in force, ``not_found`` if there is none.
         """
         age = self.freshness.read_age()
-        if age is None or age > self._own.read_seconds:
+        if age is None or age > self._own.max_read_lag_seconds:
             raise proposals.build_no_quorum(f"got word of age {age} s from the leader")
         current = self.replica.machine.published.current
         if current is None:
--- a/tillerlane/platform/settings.py
+++ b/tillerlane/platform/settings.py
@@ -163,6 +163,6 @@
             patience_seconds=own.bounds.catch_up_s * PATIENCE_SHARE,
             may_found=own.bootstrap and is_first_seed,
         ),
-        silent_seconds=own.heartbeat_ms / 1000 * SILENT_HEARTBEATS,
-        read_seconds=own.bounds.config_ms / 1000 * READ_SHARE,
+        heartbeat_timeout_seconds=own.heartbeat_ms / 1000 * SILENT_HEARTBEATS,
+        max_read_lag_seconds=own.bounds.config_ms / 1000 * READ_SHARE,
     )
--- a/tillerlane/testing/gateway_lab.py
+++ b/tillerlane/testing/gateway_lab.py
@@ -155,17 +155,17 @@
                 patience_seconds=2.0,
                 may_found=is_first and address == self.seeds[0],
             ),
-            silent_seconds=4.0,
-            read_seconds=1.4,
+            heartbeat_timeout_seconds=4.0,
+            max_read_lag_seconds=1.4,
         )
-        around = control.Surroundings(
+        dependencies = control.Dependencies(
             open_disk=lambda folder: disk.as_disk(),
             run_blocking=lab.run_directly,
             open_connection=self.network.connect_as(name),
             now=lambda: lab.WALL_BEGIN + loop.time(),
             rng=random.Random(name),
         )
-        daemon = control.Control(own, around)
+        daemon = control.Control(own, dependencies)
         self.keepers[name] = daemon
         await daemon.start()
         return daemon
