--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -37,24 +37,24 @@
 __all__ = ["Control", "ControlSettings", "Dependencies"]
 
 RING_EVENTS = 2_000
-MAX_HALL_LETTERS = 100
+MAX_HALL_CHARACTERS = 100
 MAX_EVACUATED_HALLS = 100
 """Bounds on what operators' orders take; the users' target has 16 data halls."""
-SWEEP_SECONDS = 0.5
-ENTRY_SECONDS = 5.0
+SWEEP_INTERVAL_SECONDS = 0.5
+ENTRY_TTL_SECONDS = 5.0
 """How long an entry counts after its last word about its load; others tell of it."""
 BATCH_INTERVAL_SECONDS = 0.05
 """How long heartbeats wait for others to share their message to other keepers."""
 SUBSCRIBER_BATCH_INTERVAL_SECONDS = 0.05
 """How long changes of targets wait to share their message to subscribers: a thirtieth of the
 shortest notice with which a runner leaves."""
-WHOLE_SECONDS = 0.3
+FULL_STATE_TTL_SECONDS = 0.3
 """How long all targets, once written, are told to new subscribers, together with what changed
 since: after a common start 118 entries subscribe within a second, and writing 3,001 targets takes
 20 ms.  Ages told so are too low by as much, a fourth of a heartbeat's interval."""
 URGENT_LOADS_INTERVAL_SECONDS = 0.02
 """Least pause between two batches for other keepers, and two digests of large changes."""
-MOST_DIGESTS = 1_000
+MAX_DIGESTS_PER_SECOND = 1_000
 """Digests a second that a keeper sends at most: with more than 20 entries that it tells loads, the
 pause grows.  One costs it 35 us, so these are 3.5% of a core."""
 LOADS_INTERVAL_SECONDS = 0.12
@@ -110,53 +110,55 @@
 
     Parameters
     ----------
-    own : ControlSettings
+    settings : ControlSettings
         Its settings.
     dependencies : Dependencies, optional
         What it needs of the world.
     """
 
-    def __init__(self, own: ControlSettings, dependencies: Dependencies | None = None) -> None:
-        self._own = own
+    def __init__(self, settings: ControlSettings, dependencies: Dependencies | None = None) -> None:
+        self._settings = settings
         self._dependencies = dependencies or Dependencies()
         self._loop = asyncio.get_running_loop()
         clock = clocks.HybridClock(self._dependencies.now)
-        self.timeline = timelines.Timeline(own.name, clock, RING_EVENTS)
+        self.timeline = timelines.Timeline(settings.name, clock, RING_EVENTS)
         self.directory = directories.Directory()
-        self.directory.add_listener(self._note_phase)
+        self.directory.add_listener(self._handle_target_change)
         self._subscribers: dict[links.Link, messages.Subscribe] = {}
-        self._greeted: set[links.Link] = set()
+        self._synchronized: set[links.Link] = set()
         """Links of keepers that were told all targets."""
         self._entries: dict[str, float] = {}
-        self._loads = loads.Ledger(own.name, int(self._dependencies.now() * 1000))
+        self._loads = loads.Ledger(settings.name, int(self._dependencies.now() * 1000))
         self._keeper_updates = batching.UpdateBatcher(
             BATCH_INTERVAL_SECONDS,
             lambda targets: self._send_to_keepers(directories.encode_states(targets)),
         )
         self._subscriber_updates = batching.UpdateBatcher(
-            SUBSCRIBER_BATCH_INTERVAL_SECONDS, self._tell_subscribers
+            SUBSCRIBER_BATCH_INTERVAL_SECONDS, self._send_targets_to_subscribers
         )
         self._backoffs = backoff_news.BackoffNews(
             BATCH_INTERVAL_SECONDS, self._send_to_all, self._loop.time
         )
         self.limits = limit_news.LimitNews(BATCH_INTERVAL_SECONDS, self._send_to_all, self.timeline)
-        self._whole: messages.TargetStates | None = None
-        self._whole_at = 0.0
-        self._changed_since_whole: dict[str, directories.Target] = {}
-        self._pushing: asyncio.Handle | None = None
+        self._full_state: messages.TargetStates | None = None
+        self._full_state_at = 0.0
+        self._changed_since_full_state: dict[str, directories.Target] = {}
+        self._pending_push: asyncio.Handle | None = None
         self.node = nodes.Node(
             self._build_local(clock),
             open_connection=self._dependencies.open_connection,
             dialing=homes.DIALING,
         )
         self.formation = formation.Formation(
-            own.plan, own.name, own.peer_address, self.node, self.timeline
+            settings.plan, settings.name, settings.peer_address, self.node, self.timeline
+        )
+        storage = storages.Storage(
+            self._dependencies.open_disk(settings.data_folder), settings.name
         )
-        storage = storages.Storage(self._dependencies.open_disk(own.data_folder), own.name)
         state = machines.Machine()
         self.replica = replica.Replica(
-            own.name,
-            {own.name: own.peer_address},
+            settings.name,
+            {settings.name: settings.peer_address},
             storage,
             state,
             self.timeline,
@@ -185,12 +187,12 @@
             self.timeline,
         )
         self.grants = grants.Grants(
-            self.limits.table, self._read_leading_term, self._get_leader, self._loop.time
+            self.limits.table, self._get_leading_term, self._get_leader, self._loop.time
         )
-        self._told_orders = 0
+        self._sent_orders_version = 0
         """Version of the orders that subscribers were told."""
-        state.published.listen(self._note_publication)
-        state.store.listen(self._note_orders)
+        state.published.listen(self._handle_publication)
+        state.store.listen(self._handle_orders)
         self.metrics = metrics.build_control_metrics()
         self._set_gauges()
         self._metrics_server = metrics.build_server(self.metrics.registry)
@@ -198,22 +200,22 @@
 
     def _build_local(self, clock: clocks.HybridClock) -> links.Local:
         return links.Local(
-            daemon_id=self._own.name,
+            daemon_id=self._settings.name,
             fleet="fleet",
-            address=self._own.peer_address,
+            address=self._settings.peer_address,
             incarnation=int(self._dependencies.now() * 1000),
             clock=clock,
             get_config_version=lambda: max(0, self.replica.machine.published.version),
             on_peer_version=lambda link, version: None,
             serve=self._serve_peer,
-            notify=self._take_message,
-            on_down=self._note_down,
+            notify=self._handle_message,
+            on_down=self._handle_link_down,
         )
 
     def _get_link(self, address: str) -> links.Link | None:
         return self.node.dial(address).link
 
-    def _read_leading_term(self) -> int | None:
+    def _get_leading_term(self) -> int | None:
         """The term in which this keeper leads; None without the lease."""
         is_leading = self.replica.is_leading and self.replica.has_lease
         return self.replica.storage.term if is_leading else None
@@ -221,39 +223,39 @@
     def _get_leader(self) -> links.Link | None:
         """Link to the keeper that leads; None without one, or if it is this one."""
         leader = self.replica.voters.get(self.replica.leader)
-        is_own = self.replica.leader == self._own.name
+        is_own = self.replica.leader == self._settings.name
         return self._get_link(leader.address) if leader is not None and not is_own else None
 
     # Life
 
     async def start(self) -> None:
         """Listen to peers and begin."""
-        await self.node.listen(self._own.peer_listen_address)
-        await self._metrics_server.listen(self._own.metrics_address)
+        await self.node.listen(self._settings.peer_listen_address)
+        await self._metrics_server.listen(self._settings.metrics_address)
         self.replica.begin()
         self._tasks = [
             self._loop.create_task(self.formation.run()),
             self._loop.create_task(self.formation.turnover.run()),
             self._loop.create_task(self.freshness.run()),
             self._loop.create_task(self._sweep()),
-            self._loop.create_task(self._tell_loads()),
+            self._loop.create_task(self._send_loads()),
             self._loop.create_task(self.verdicts.run()),
         ]
         self.timeline.record(
             "daemon.start",
             role="keeper",
-            seeds=list(self._own.plan.seeds),
-            may_found=self._own.plan.may_found,
+            seeds=list(self._settings.plan.seeds),
+            may_found=self._settings.plan.may_found,
             last_index=self.replica.storage.last_index,
             version=self.replica.machine.published.version,
         )
 
     def _set_gauges(self) -> None:
         """Have the gauges read what they show when they are asked."""
-        own = self.replica
-        self.metrics.is_leader.set_function(lambda: own.is_leading)
-        self.metrics.term.set_function(lambda: own.storage.term)
-        self.metrics.version.set_function(lambda: own.machine.published.version)
+        replica = self.replica
+        self.metrics.is_leader.set_function(lambda: replica.is_leading)
+        self.metrics.term.set_function(lambda: replica.storage.term)
+        self.metrics.version.set_function(lambda: replica.machine.published.version)
         self.metrics.leader_contact_age.set_function(lambda: self.freshness.read_age() or 0.0)
         self.metrics.entries.set_function(lambda: len(self._entries))
         self.metrics.targets.set_function(lambda: len(self.directory.targets))
@@ -297,14 +299,14 @@
     async def _sweep(self) -> None:
         """Look after targets that fell silent and entries that went."""
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
+            await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self._loop.time()
-            self.directory.mark_silent(now - self._own.heartbeat_timeout_seconds)
+            self.directory.mark_silent(now - self._settings.heartbeat_timeout_seconds)
             self.directory.expire_old(now)
             self.limits.table.forget_unknown(self.directory.targets, now)
             subscribed = {item.entry for item in self._subscribers.values()}
             for entry, heard_at in list(self._entries.items()):
-                if now - heard_at > ENTRY_SECONDS and entry not in subscribed:
+                if now - heard_at > ENTRY_TTL_SECONDS and entry not in subscribed:
                     del self._entries[entry]
 
     # Messages
@@ -320,10 +322,10 @@
             message = f"keepers serve no {type(body).__name__}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
 
-    def _take_message(self, link: links.Link, body: messages.Body) -> None:
+    def _handle_message(self, link: links.Link, body: messages.Body) -> None:
         match body:
             case messages.KeeperAnnounce():
-                self._greet(link)
+                self._synchronize(link)
                 self.formation.take(link, body)
             case messages.Subscribe():
                 self._subscribe(link, body)
@@ -332,7 +334,7 @@
             case messages.PublicationPull():
                 self._send_publication(link)
             case messages.TargetStates():
-                self._take_states(link, directories.decode_states(body))
+                self._merge_states(link, directories.decode_states(body))
             case messages.EntryLoads():
                 self._entries[body.entry] = self._loop.time()
                 self._loads.take_word(body, self._loop.time())
@@ -346,16 +348,16 @@
             case messages.TargetBackoffs():
                 self._backoffs.take(body)
 
-    def _greet(self, link: links.Link) -> None:
+    def _synchronize(self, link: links.Link) -> None:
         """Tell a keeper whose link is new all that is known; it may have been cut off."""
-        if link not in self._greeted:
-            self._greeted.add(link)
-            self._send_whole(link)
+        if link not in self._synchronized:
+            self._synchronized.add(link)
+            self._send_full_state(link)
             links.try_send(link, self.verdicts.write_for_keeper())
             links.try_send(link, self.limits.write_all())
 
-    def _note_down(self, link: links.Link) -> None:
-        self._greeted.discard(link)
+    def _handle_link_down(self, link: links.Link) -> None:
+        self._synchronized.discard(link)
         lost = self._subscribers.pop(link, None)
         if lost is not None:
             self.timeline.record("entry.lost", entry=lost.entry)
@@ -374,50 +376,50 @@
         links.try_send(link, self.verdicts.write_for_entry())
         links.try_send(link, self.limits.write_all())
         self._send_publication(link)
-        self._send_whole(link)
+        self._send_full_state(link)
 
-    def _send_whole(self, link: links.Link) -> None:
+    def _send_full_state(self, link: links.Link) -> None:
         """Tell all targets to a peer that is new."""
         now = self._loop.time()
-        if self._whole is None or now - self._whole_at > WHOLE_SECONDS:
-            self._whole = directories.encode_states(self.directory.targets.values(), full=True)
-            self._whole_at = now
-            self._changed_since_whole.clear()
-        links.try_send(link, self._whole)
-        if self._changed_since_whole:
-            links.try_send(link, directories.encode_states(self._changed_since_whole.values()))
+        if self._full_state is None or now - self._full_state_at > FULL_STATE_TTL_SECONDS:
+            self._full_state = directories.encode_states(self.directory.targets.values(), full=True)
+            self._full_state_at = now
+            self._changed_since_full_state.clear()
+        links.try_send(link, self._full_state)
+        if self._changed_since_full_state:
+            links.try_send(link, directories.encode_states(self._changed_since_full_state.values()))
 
     def _send_publication(self, link: links.Link) -> None:
         current = self.replica.machine.published.current
         if current is not None:
             links.try_send(link, current)
 
-    def _note_publication(self, publication: messages.Publication) -> None:
+    def _handle_publication(self, publication: messages.Publication) -> None:
         """Push a committed publication; of several that are applied in a row only the last.
 
         After a restart of all keepers the first commit applies every version since the last
         snapshot, and each one that an entry puts in force costs it the reading of a table.
         """
         self.timeline.record("config.committed", version=publication.version)
-        if self._pushing is None:
-            self._pushing = self._loop.call_soon(self._push_publication)
+        if self._pending_push is None:
+            self._pending_push = self._loop.call_soon(self._push_publication)
 
     def _push_publication(self) -> None:
         """Send the publication in force to all subscribers, if that is still to be done."""
-        if self._pushing is None:
+        if self._pending_push is None:
             return
-        self._pushing.cancel()
-        self._pushing = None
+        self._pending_push.cancel()
+        self._pending_push = None
         for link in list(self._subscribers):
             self._send_publication(link)
 
-    def _note_orders(self, store: stores.Store) -> None:
+    def _handle_orders(self, store: stores.Store) -> None:
         """Push the orders that changed to all subscribers; who misses some asks for them."""
         halls = sorted(store.list_names(stores.EVACUATIONS))
         held = len(store.list_names(stores.QUARANTINE))
         self.timeline.record("orders.committed", version=store.version, halls=halls, held=held)
-        self._send_to_subscribers(store.build_delta(self._told_orders))
-        self._told_orders = store.version
+        self._send_to_subscribers(store.build_delta(self._sent_orders_version))
+        self._sent_orders_version = store.version
 
     def _send_to_all(self, body: messages.Body) -> None:
         """Send a message to all other keepers and all subscribers."""
@@ -428,12 +430,12 @@
         for link in list(self._subscribers):
             links.try_send(link, body)
 
-    async def _tell_loads(self) -> None:
+    async def _send_loads(self) -> None:
         """Pass on to other keepers what entries told here, and tell subscribers the sums."""
         whole_at = paced_at = 0.0
         while True:
             told = sum(asked.loads for asked in self._subscribers.values())
-            await asyncio.sleep(max(URGENT_LOADS_INTERVAL_SECONDS, told / MOST_DIGESTS))
+            await asyncio.sleep(max(URGENT_LOADS_INTERVAL_SECONDS, told / MAX_DIGESTS_PER_SECOND))
             now = self._loop.time()
             dropped = self._loads.expire(now)
             if dropped:
@@ -467,7 +469,7 @@
 
     # Targets
 
-    def take_heartbeat(self, target: directories.Target) -> None:
+    def handle_heartbeat(self, target: directories.Target) -> None:
         """Take a target's own word and spread it.
 
         Raises
@@ -487,7 +489,7 @@
             return
         self._keeper_updates.add(known, is_urgent=changed)
 
-    def take_leave(self, name: str, started_ms: int = 0) -> None:
+    def handle_leave(self, name: str, started_ms: int = 0) -> None:
         """Take a target's word that it goes, of the start that it names or of the latest."""
         known = self.directory.find(name)
         if known is None or started_ms not in (
@@ -498,14 +500,16 @@
         if self.directory.mark_gone(known.target_id):
             self._keeper_updates.add(known)
 
-    def _take_states(self, link: links.Link, states: list[directories.Target]) -> None:
+    def _merge_states(self, link: links.Link, states: list[directories.Target]) -> None:
         """Take word of targets; other keepers are told what an entry has learnt from answers."""
         is_of_entry = link in self._subscribers
         for target in states:
             if self.directory.merge(target) and is_of_entry:
                 self._keeper_updates.add(self.directory.targets[target.target_id], is_urgent=True)
 
-    def _note_phase(self, target: directories.Target, former: directories.Phase | None) -> None:
+    def _handle_target_change(
+        self, target: directories.Target, former: directories.Phase | None
+    ) -> None:
         """Tell the entries of a change, whoever told it here."""
         self.timeline.record(
             "target.state",
@@ -522,15 +526,15 @@
         if target.is_superseded and former is not None:
             # Whoever hears of the present incarnation ends the former one, and first hears until
             # when that one lived: entries are not told each heartbeat.
-            self._changed_since_whole.pop(target.target_id, None)
+            self._changed_since_full_state.pop(target.target_id, None)
             self._subscriber_updates.add(
                 dataclasses.replace(target, phase=former, is_superseded=False)
             )
             return
-        self._changed_since_whole[target.target_id] = target
+        self._changed_since_full_state[target.target_id] = target
         self._subscriber_updates.add(target)
 
-    def _tell_subscribers(self, targets: list[directories.Target]) -> None:
+    def _send_targets_to_subscribers(self, targets: list[directories.Target]) -> None:
         self._send_to_subscribers(directories.encode_states(targets))
 
     # Configuration
@@ -589,13 +593,13 @@
 
     def _check_hall(self, data_hall: str) -> None:
         """Refuse what can't be a data hall; one without targets at present may get some later."""
-        is_name = 0 < len(data_hall) <= MAX_HALL_LETTERS and data_hall.isprintable()
+        is_name = 0 < len(data_hall) <= MAX_HALL_CHARACTERS and data_hall.isprintable()
         is_many = len(self.list_evacuated() - {data_hall}) >= MAX_EVACUATED_HALLS
         if not is_name or is_many:
-            message = f"got data hall {data_hall[:MAX_HALL_LETTERS]!r}, expected the name of one"
+            message = f"got data hall {data_hall[:MAX_HALL_CHARACTERS]!r}, expected the name of one"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
 
-    def read_publication(self) -> bytes:
+    def get_publication(self) -> bytes:
         """The document in force.
 
         Raises
@@ -604,7 +608,7 @@
             ``no_quorum`` if a newer one may be in force, ``not_found`` if there is none.
         """
         age = self.freshness.read_age()
-        if age is None or age > self._own.max_read_lag_seconds:
+        if age is None or age > self._settings.max_read_lag_seconds:
             raise proposals.build_no_quorum(f"got word of age {age} s from the leader")
         current = self.replica.machine.published.current
         if current is None:
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -52,7 +52,7 @@
 MAX_LOADS_INTERVAL_SECONDS = 1.0
 """Longest pause between them: a third of the time for which a word counts, and what keepers count
 entries by."""
-STOP_CHECK_SECONDS = 0.05
+STOP_CHECK_INTERVAL_SECONDS = 0.05
 MAX_LOGGED_TARGETS = 60
 """Changes of targets in one message that are logged one by one; keepers log each.  A line costs a
 thin entry 50 us, and after a common start it is told thousands."""
@@ -104,7 +104,7 @@
 
     Parameters
     ----------
-    own : EntrySettings
+    settings : EntrySettings
         Its settings.
     dialect : dialects.Dialect
         How callers and targets speak.
@@ -118,35 +118,35 @@
 
     def __init__(
         self,
-        own: EntrySettings,
+        settings: EntrySettings,
         dialect: dialects.Dialect,
         open_connection: nodes.Open = asyncio.open_connection,
         rng: random.Random | None = None,
         listener: socket.socket | None = None,
     ) -> None:
-        self._own = own
+        self._settings = settings
         self._listener = listener
         self._dialect = dialect
         self._loop = asyncio.get_running_loop()
         self._started_ms = int(time.time() * 1000)
         clock = clocks.HybridClock(time.time)
-        self.timeline = timelines.Timeline(own.name, clock, RING_EVENTS)
+        self.timeline = timelines.Timeline(settings.name, clock, RING_EVENTS)
         self.published = publications.Publisher()
-        self.published.listen(self._put_in_force)
+        self.published.listen(self._apply_publication)
         self.orders = stores.Store()
-        self.orders.listen(self._note_orders)
+        self.orders.listen(self._apply_orders)
         self.directory = directories.Directory()
-        self.usage = usages.Usage(own.name)
-        self._budget = budgets.RetryBudget(own.retries, entries=0)
+        self.usage = usages.Usage(settings.name)
+        self._budget = budgets.RetryBudget(settings.retries, entries=0)
         self.limits = limits.Limits()
-        self.permits = permits.Permits(own.name, self.limits, self._loop.time)
-        self.permits.ask = self._ask_permits
-        self.permits.on_answered = self._note_permits
+        self.permits = permits.Permits(settings.name, self.limits, self._loop.time)
+        self.permits.ask = self._request_permits
+        self.permits.on_answered = self._log_permits
         self.backoffs = backoffs.Backoffs(self._loop.time)
         available = availability.Availability(
             self.directory,
             self.usage,
-            colds.ColdSends(own.name, own.cold),
+            colds.ColdSends(settings.name, settings.cold),
             self.permits,
             self.backoffs,
             self._loop.time,
@@ -155,7 +155,7 @@
             self.directory,
             self.usage,
             available,
-            own.data_hall,
+            settings.data_hall,
             rng or random.Random(),
             self._loop.time,
         )
@@ -165,7 +165,7 @@
         )
         self._startup = startup.Startup()
         self.quarantine = quarantine.Quarantine(self.timeline, self._loop.time)
-        self.quarantine.tell = self._tell_ends
+        self.quarantine.tell = self._send_exits
         self._gate = admission.Gate(dialect, selector.draw_pool)
         self._gate.is_fresh = self._is_fresh
         feedback = feedbacks.TargetFeedback(
@@ -195,7 +195,7 @@
             ends,
             self.quarantine,
         )
-        self.directory.add_listener(self._note_over)
+        self.directory.add_listener(self._handle_target_change)
         relayed = streams.Streams(
             sender,
             selector,
@@ -225,20 +225,20 @@
         )
         self._clock = freshness.FreshnessClock()
         self.homes = homes.Homes(
-            own.name,
-            own.seeds,
+            settings.name,
+            settings.seeds,
             self.node,
             self._clock,
             lambda: self.published.version,
             lambda: self.orders.version,
             self.timeline,
         )
-        self.homes.on_entry_count = self._note_entries
-        self.homes.on_fresh = self._note_fresh
-        self._limits = http_server.ServerLimits()
-        self._front = http_server.Server(self._relay.serve, self._limits, self._note_error)
+        self.homes.on_entry_count = self._set_entry_count
+        self.homes.on_fresh = self._handle_fresh
+        self._server_limits = http_server.ServerLimits()
+        self._front = http_server.Server(self._relay.serve, self._server_limits, self._log_error)
         self._ready = http_server.Server(
-            self._answer_ready, http_server.ServerLimits(), self._note_error
+            self._answer_ready, http_server.ServerLimits(), self._log_error
         )
         self._metrics_server = metrics.build_server(self._metrics.registry)
         self._set_gauges()
@@ -248,42 +248,42 @@
 
     def _build_local(self, clock: clocks.HybridClock) -> links.Local:
         return links.Local(
-            daemon_id=self._own.name,
+            daemon_id=self._settings.name,
             fleet="fleet",
-            address=self._own.peer_address,
+            address=self._settings.peer_address,
             incarnation=self._started_ms,
             clock=clock,
             get_config_version=lambda: max(0, self.published.version),
-            on_peer_version=self._note_peer_version,
+            on_peer_version=self._handle_peer_version,
             serve=self._serve_peer,
-            notify=self._take_message,
-            on_up=self._note_up,
+            notify=self._handle_message,
+            on_up=self._handle_link_up,
         )
 
     # Life
 
     async def start(self) -> None:
         """Listen and begin to follow the keepers."""
-        await self._ready.listen(self._own.ready_address)
-        await self._front.listen(self._own.front_address, self._listener)
-        await self._metrics_server.listen(self._own.metrics_address)
+        await self._ready.listen(self._settings.ready_address)
+        await self._front.listen(self._settings.front_address, self._listener)
+        await self._metrics_server.listen(self._settings.metrics_address)
         self._tasks = [
             self._loop.create_task(self.homes.run()),
-            self._loop.create_task(self._tell_loads()),
+            self._loop.create_task(self._send_loads()),
             self._loop.create_task(self.permits.run()),
         ]
-        self.timeline.record("daemon.start", role="entry", seeds=list(self._own.seeds))
+        self.timeline.record("daemon.start", role="entry", seeds=list(self._settings.seeds))
 
     async def stop(self) -> None:
         """Planned stop: go unready, serve on for a while, finish what runs, end."""
         self._stopping = True
         began = self._loop.time()
         self.timeline.record("daemon.leaving", busy=self._front.count_busy())
-        await asyncio.sleep(self._own.accept_seconds)
+        await asyncio.sleep(self._settings.accept_seconds)
         self._front.stop_accepting()
         self._front.close_idle()
-        while self._front.count_busy() and self._loop.time() - began < self._own.stop_seconds:
-            await asyncio.sleep(STOP_CHECK_SECONDS)
+        while self._front.count_busy() and self._loop.time() - began < self._settings.stop_seconds:
+            await asyncio.sleep(STOP_CHECK_INTERVAL_SECONDS)
         self.timeline.record("daemon.stop", busy=self._front.count_busy())
         self._front.abort_all()
         for task in self._tasks:
@@ -310,7 +310,7 @@
 
     # Configuration
 
-    def _put_in_force(self, publication: messages.Publication) -> None:
+    def _apply_publication(self, publication: messages.Publication) -> None:
         try:
             table = self._dialect.read_table(publication.content)
         except faults.FaultError as error:
@@ -319,16 +319,16 @@
             return
         self._gate.table = table
         bounds = table.limits
-        self._limits.header_bytes = bounds.max_header_bytes
-        self._limits.body_bytes = bounds.max_body_bytes
-        self._limits.header_seconds = bounds.header_seconds
-        self._limits.idle_seconds = bounds.idle_seconds
+        self._server_limits.header_bytes = bounds.max_header_bytes
+        self._server_limits.body_bytes = bounds.max_body_bytes
+        self._server_limits.header_seconds = bounds.header_seconds
+        self._server_limits.idle_seconds = bounds.idle_seconds
         self.timeline.record("config.in_force", version=table.version, routes=len(table.routes))
         self.homes.query_soon()
         if not table.workspaces:
             self._startup.mark_ready()
 
-    def _note_orders(self, orders: stores.Store) -> None:
+    def _apply_orders(self, orders: stores.Store) -> None:
         """Put orders in force: which data halls and which requests get to no target."""
         self.quarantine.set_held(orders.list_names(stores.QUARANTINE))
         self.directory.set_evacuated(orders.list_names(stores.EVACUATIONS), self._loop.time())
@@ -341,30 +341,30 @@
         )
         self.homes.query_soon()
 
-    def _note_fresh(self) -> None:
+    def _handle_fresh(self) -> None:
         if self._gate.table is not None and self._is_fresh():
             self._startup.mark_ready()
 
     def _is_fresh(self) -> bool:
-        fresh = self._clock.read_age(self._loop.time()) < self._own.lease_seconds
+        fresh = self._clock.read_age(self._loop.time()) < self._settings.lease_seconds
         if fresh != self._was_fresh:
             self._was_fresh = fresh
             self.timeline.record("config.lease", held=fresh, version=self.published.version)
         return fresh
 
-    def _note_entries(self, number: int) -> None:
+    def _set_entry_count(self, number: int) -> None:
         self._budget.entries = number
         self.usage.entries = number
         self.permits.entries = number
 
-    def _note_peer_version(self, link: links.Link, version: int) -> None:
+    def _handle_peer_version(self, link: links.Link, version: int) -> None:
         """Pull the publication from a peer that is ahead."""
         if version > max(0, self.published.version):
             links.try_send(link, messages.PublicationPull(max(0, self.published.version)))
 
     # Messages
 
-    def _note_up(self, link: links.Link) -> None:
+    def _handle_link_up(self, link: links.Link) -> None:
         """Follow a new link soon; a keeper that has started again knows nothing of targets."""
         self.homes.check_soon()
         ends = self.quarantine.suspects.list_all()
@@ -376,19 +376,19 @@
         if len(self.limits):
             links.try_send(link, limits.write_words(self.limits.list_all()))
 
-    def _tell_ends(self, ends: list[suspects.End]) -> None:
+    def _send_exits(self, ends: list[suspects.End]) -> None:
         """Tell all keepers listened to, since any of them may be cut off."""
-        self._tell_keepers(suspects.write_ends(ends))
+        self._send_to_keepers(suspects.write_ends(ends))
 
     def _notify_limit(self, word: limits.Word) -> None:
         """Tell all keepers listened to what a target has named."""
-        self._tell_keepers(limits.write_words([word]))
+        self._send_to_keepers(limits.write_words([word]))
 
     def _notify_leaving(self, target: directories.Target) -> None:
         """Tell all keepers listened to that a target has said that it leaves."""
-        self._tell_keepers(directories.encode_states([target]))
+        self._send_to_keepers(directories.encode_states([target]))
 
-    def _tell_keepers(self, message: messages.Body) -> None:
+    def _send_to_keepers(self, message: messages.Body) -> None:
         for link in self.homes.list_links():
             links.try_send(link, message)
 
@@ -398,10 +398,12 @@
         if link is not None:
             links.try_send(link, backoffs.write_hints([(word.target_id, word.until)]))
 
-    def _note_permits(self, is_answered: bool, reason: str) -> None:
+    def _log_permits(self, is_answered: bool, reason: str) -> None:
         self.timeline.record("permits.owner", answers=is_answered, reason=reason)
 
-    async def _ask_permits(self, wishes: list[messages.PermitWish]) -> list[messages.PermitGrant]:
+    async def _request_permits(
+        self, wishes: list[messages.PermitWish]
+    ) -> list[messages.PermitGrant]:
         """Ask for permits through the keeper that is told this entry's load.
 
         Raises
@@ -419,24 +421,24 @@
     async def _serve_peer(self, exchange: links.Exchange, body: messages.Body) -> None:
         return None
 
-    def _take_message(self, link: links.Link, body: messages.Body) -> None:
+    def _handle_message(self, link: links.Link, body: messages.Body) -> None:
         match body:
             case messages.Publication():
                 self.published.take(body)
             case messages.ConfigDelta():
                 self.orders.apply_delta(body)
             case messages.TargetStates():
-                self._take_states(body)
+                self._merge_states(body)
             case messages.LoadDigest():
-                self._take_digest(link, body)
+                self._merge_digest(link, body)
             case messages.TargetEnds():
                 self.quarantine.take(suspects.read_ends(body))
             case messages.TargetLimits():
-                self._take_limits(limits.read_words(body))
+                self._merge_limits(limits.read_words(body))
             case messages.TargetBackoffs():
                 self.backoffs.take_hints(backoffs.read_hints(body))
 
-    def _take_states(self, states: messages.TargetStates) -> None:
+    def _merge_states(self, states: messages.TargetStates) -> None:
         """Take word of targets, and log what changed; of very many only how many they are."""
         changed = [item for item in directories.decode_states(states) if self.directory.merge(item)]
         if len(changed) > MAX_LOGGED_TARGETS:
@@ -455,7 +457,7 @@
                 cold_ms=max(0, int((target.warm_at - now) * 1000)),
             )
 
-    def _take_limits(self, words: list[limits.Word]) -> None:
+    def _merge_limits(self, words: list[limits.Word]) -> None:
         """Take what keepers tell of limits that targets have named."""
         for word in self.limits.take(words):
             self.timeline.record(
@@ -467,7 +469,9 @@
                 age_ms=int((self._loop.time() - word.named_at) * 1000),
             )
 
-    def _note_over(self, target: directories.Target, former: directories.Phase | None) -> None:
+    def _handle_target_change(
+        self, target: directories.Target, former: directories.Phase | None
+    ) -> None:
         """Forget what was learned of a target that has ended or started again."""
         if target.phase is directories.Phase.GONE:
             self.limits.forget(target.target_id)
@@ -484,7 +488,7 @@
             age_ms=int((self._loop.time() - target.heard_at) * 1000),
         )
 
-    def _take_digest(self, link: links.Link, digest: messages.LoadDigest) -> None:
+    def _merge_digest(self, link: links.Link, digest: messages.LoadDigest) -> None:
         """Take a keeper's sums, if it is the one that is told this entry's load."""
         if link is not self.homes.get_primary():
             return  # on its way when another keeper was chosen; only one of the two is in sequence
@@ -495,11 +499,11 @@
         elif taken is usages.Taken.GOOD and digest.whole:
             self.timeline.record("loads.whole", keeper=digest.keeper, sequence=digest.sequence)
 
-    async def _tell_loads(self) -> None:
+    async def _send_loads(self) -> None:
         """Tell a keeper what is under way here: on change, now and then, and when it is new."""
         told_at, told_to = 0.0, None
         while True:
-            await self._pause_loads()
+            await self._wait_for_loads()
             now = self._loop.time()
             self.directory.expire_old(now)
             self.limits.forget_unknown(self.directory.targets, now)
@@ -512,7 +516,7 @@
             told_at, told_to = now, link
             links.try_send(link, self.usage.write(self._started_ms, now))
 
-    async def _pause_loads(self) -> None:
+    async def _wait_for_loads(self) -> None:
         """Wait until another word about this entry's load may go out."""
         await asyncio.sleep(URGENT_LOADS_INTERVAL_SECONDS)
         with contextlib.suppress(TimeoutError):
@@ -531,6 +535,6 @@
         head = http_head.AnswerHead(200 if is_ready else 503, [])
         await responder.send_whole(head, b"")
 
-    def _note_error(self, error: Exception) -> None:
+    def _log_error(self, error: Exception) -> None:
         links.log_exception("gateway", error)
         self.timeline.record("internal.error", error=repr(error)[:200])
--- a/tillerlane/gateway/tests/test_named_limits.py
+++ b/tillerlane/gateway/tests/test_named_limits.py
@@ -128,7 +128,7 @@
             rates = dict.fromkeys(stage.entry_names, 5.0)
             await self.ask(stage, rates, 3.0)
             stage.runners["app-1"].crash()
-            stage.keepers["keeper-1"].take_leave("app-1")
+            stage.keepers["keeper-1"].handle_leave("app-1")
             await stage.add_runner("app-9", "app", pace=0.02)
             await asyncio.sleep(0.2)
             answers = await self.ask(stage, rates, 2.0)
--- a/tillerlane/gateway/tests/test_relay.py
+++ b/tillerlane/gateway/tests/test_relay.py
@@ -65,7 +65,7 @@
                 9,
                 asyncio.get_running_loop().time(),
             )
-            stage.keepers["keeper-1"].take_heartbeat(late)
+            stage.keepers["keeper-1"].handle_heartbeat(late)
             await asyncio.sleep(0.5)
             statuses = []
             for number in range(10):
--- a/tillerlane/gateway/tests/test_spread.py
+++ b/tillerlane/gateway/tests/test_spread.py
@@ -262,7 +262,7 @@
                 1,
                 now,
             )
-            keepers[number % len(keepers)].take_heartbeat(target)
+            keepers[number % len(keepers)].handle_heartbeat(target)
         await asyncio.sleep(0.3)
 
     def test_target_that_turns_cold_is_told_to_all(self) -> None:
@@ -276,7 +276,7 @@
             told = dataclasses.replace(
                 known, sequence=known.sequence + 1, heard_at=now, warm_at=now + 2.0
             )
-            keeper.take_heartbeat(told)
+            keeper.handle_heartbeat(told)
             await asyncio.sleep(0.3)
             for entry in stage.entries.values():
                 self.assertAlmostEqual(entry.directory.targets["t1"].warm_at, now + 2.0, delta=0.1)
--- a/tillerlane/platform/control_api.py
+++ b/tillerlane/platform/control_api.py
@@ -60,14 +60,14 @@
             _take_heartbeat(keeper, wire.check_target_name(argument), told)
             return 200, b"{}"
         case b"POST", "Instances.Leave" if argument:
-            keeper.take_leave(argument, wire.read_leave(request.body).born)
+            keeper.handle_leave(argument, wire.read_leave(request.body).born)
             return 200, b"{}"
         case b"POST", "Config.Put":
             return await _publish(keeper, request.body)
         case b"POST", "Evacuate.Start" | "Evacuate.End" if argument:
             return await _evacuate(keeper, argument, name == "Evacuate.Start")
         case b"GET", "Config.Get":
-            return 200, keeper.read_publication()
+            return 200, keeper.get_publication()
     return 404, b""
 
 
@@ -84,7 +84,7 @@
         heard_at=now,
         warm_at=now + told.cold_left_ms / 1000 if told.cold_left_ms > 0 else 0.0,
     )
-    keeper.take_heartbeat(target)
+    keeper.handle_heartbeat(target)
 
 
 async def _evacuate(keeper: control.Control, data_hall: str, evacuated: bool) -> tuple[int, bytes]:
--- a/tillerlane/testing/gateway_lab.py
+++ b/tillerlane/testing/gateway_lab.py
@@ -261,7 +261,7 @@
             asyncio.get_running_loop().time() + cold_seconds,
         )
         daemon = self.keepers[keeper] if keeper else next(iter(self.keepers.values()))
-        daemon.take_heartbeat(told)
+        daemon.handle_heartbeat(told)
 
     # Operators and callers
 
