--- a/tillerlane/platform/early.py
+++ b/tillerlane/platform/front_listener.py
@@ -9,16 +9,16 @@
 import socket
 import tomllib
 
-__all__ = ["VARIABLE", "open_front_listener"]
+__all__ = ["SETTINGS_VARIABLE", "open_front_listener"]
 
-VARIABLE = "TILLERLANE_SETTINGS"
+SETTINGS_VARIABLE = "TILLERLANE_SETTINGS"
 """Environment variable with the path of the settings file."""
 
 
 def open_front_listener() -> socket.socket | None:
     """Listen where the settings say; None if that cannot be done, which the program finds anew."""
     try:
-        with open(os.environ.get(VARIABLE, ""), "rb") as file:
+        with open(os.environ.get(SETTINGS_VARIABLE, ""), "rb") as file:
             address = tomllib.load(file)["listen"]["front"]
         host, _, port = address.rpartition(":")
         return socket.create_server((host, int(port)))
--- a/tillerlane/platform/main.py
+++ b/tillerlane/platform/main.py
@@ -5,14 +5,14 @@
 
 import sys
 
-from tillerlane.platform import early
+from tillerlane.platform import front_listener
 
 __all__ = ["main"]
 
 
 def main() -> None:
     """Entry point."""
-    listener = early.open_front_listener() if sys.argv[1:] == ["entry"] else None
+    listener = front_listener.open_front_listener() if sys.argv[1:] == ["entry"] else None
     from tillerlane.platform import programs
 
     programs.main(listener)
--- a/tillerlane/platform/programs.py
+++ b/tillerlane/platform/programs.py
@@ -15,7 +15,7 @@
 import structlog
 
 from tillerlane.faults import core as faults
-from tillerlane.platform import early, settings
+from tillerlane.platform import front_listener, settings
 from tillerlane.timeline import loops
 
 __all__ = ["main"]
@@ -55,7 +55,7 @@
         was_told = changed.is_set()
         changed.clear()
         try:
-            found = settings.read_settings(os.environ.get(early.VARIABLE, ""))
+            found = settings.read_settings(os.environ.get(front_listener.SETTINGS_VARIABLE, ""))
         except faults.FaultError as error:
             structlog.get_logger().warning("settings.unreadable", message=error.fault.message)
             continue
@@ -116,7 +116,7 @@
 
     arguments = build_parser().parse_args()
     try:
-        own = settings.read_settings(os.environ.get(early.VARIABLE, ""))
+        own = settings.read_settings(os.environ.get(front_listener.SETTINGS_VARIABLE, ""))
         if arguments.check:
             print(f"settings of {own.daemon_id} are valid")
             return
--- a/tillerlane/platform/tests/test_early.py
+++ b/tillerlane/platform/tests/test_front_listener.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from tillerlane.gateway import http_head, http_server
-from tillerlane.platform import early
+from tillerlane.platform import front_listener
 
 ROOT = pathlib.Path(__file__).resolve().parents[3]
 REQUEST = b"GET /early HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -24,8 +24,8 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "settings.toml")
             path.write_text(text)
-            with mock.patch.dict(os.environ, {early.VARIABLE: str(path)}):
-                return early.open_front_listener()
+            with mock.patch.dict(os.environ, {front_listener.SETTINGS_VARIABLE: str(path)}):
+                return front_listener.open_front_listener()
 
     def test_request_sent_before_the_program_runs_is_answered_by_it(self) -> None:
         listener = self.open_listener('[listen]\nfront = "127.0.0.1:0"')
@@ -55,7 +55,7 @@
 
     def test_only_the_smallest_modules_come_before_it(self) -> None:
         program = (
-            "import sys, tillerlane.platform.early;"
+            "import sys, tillerlane.platform.front_listener;"
             "print([name for name in sys.modules if name in"
             " ('asyncio', 'structlog', 'msgspec', 'capnp', 'prometheus_client')])"
         )
