--- a/tillerlane/platform/programs.py
+++ b/tillerlane/platform/programs.py
@@ -70,7 +70,9 @@
     from tillerlane.platform import adapter
 
     stop = _watch_signals()
-    daemon = entry.Entry(settings.build_entry(own), adapter.build_dialect(), listener=listener)
+    daemon = entry.Entry(
+        settings.build_entry_settings(own), adapter.build_dialect(), listener=listener
+    )
     await daemon.start()
     following = asyncio.create_task(_follow_settings(own, daemon.set_seeds))
     await stop.wait()
@@ -90,7 +92,7 @@
     from tillerlane.platform import control_api
 
     try:
-        daemon = control.Control(settings.build_control(own))
+        daemon = control.Control(settings.build_control_settings(own))
     except faults.FaultError as error:
         structlog.get_logger().error("disk.unreadable", message=error.fault.message)
         await asyncio.sleep(DISK_RETRY_SECONDS)
--- a/tillerlane/platform/settings.py
+++ b/tillerlane/platform/settings.py
@@ -12,7 +12,7 @@
 from tillerlane.keeper import formation
 from tillerlane.peers import node as nodes
 
-__all__ = ["Settings", "build_control", "build_entry", "read_settings"]
+__all__ = ["Settings", "build_control_settings", "build_entry_settings", "read_settings"]
 
 METRICS_PORT = 9464
 """Where figures are served; `deploy/system.toml` names it too."""
@@ -121,7 +121,7 @@
         ) from error
 
 
-def build_entry(own: Settings) -> entry.EntrySettings:
+def build_entry_settings(own: Settings) -> entry.EntrySettings:
     """Settings of an entry."""
     bounds = own.bounds
     return entry.EntrySettings(
@@ -143,7 +143,7 @@
     )
 
 
-def build_control(own: Settings) -> control.ControlSettings:
+def build_control_settings(own: Settings) -> control.ControlSettings:
     """Settings of a keeper.
 
     The lowest seed founds the log, on the first start of all only: every daemon is given the same
--- a/tillerlane/platform/tests/test_settings.py
+++ b/tillerlane/platform/tests/test_settings.py
@@ -37,16 +37,16 @@
             return settings.read_settings(str(path))
 
     def test_first_seed_founds_on_the_first_start_only(self) -> None:
-        own = settings.build_control(self.read(TEXT))
+        own = settings.build_control_settings(self.read(TEXT))
         self.assertEqual(own.plan.seeds, ("10.1.0.20:7200", "10.2.0.14:7200"))
         self.assertEqual((own.plan.wished_voters, own.plan.may_found), (5, True))
         later = self.read(TEXT.replace("bootstrap = true", "bootstrap = false"))
-        self.assertFalse(settings.build_control(later).plan.may_found)
+        self.assertFalse(settings.build_control_settings(later).plan.may_found)
         other = self.read(TEXT.replace('ip = "10.1.0.20"', 'ip = "10.2.0.14"'))
-        self.assertFalse(settings.build_control(other).plan.may_found)
+        self.assertFalse(settings.build_control_settings(other).plan.may_found)
 
     def test_lease_ends_before_a_revoked_key_must_fail(self) -> None:
-        own = settings.build_entry(self.read(TEXT))
+        own = settings.build_entry_settings(self.read(TEXT))
         self.assertEqual(own.lease_seconds, 3.0)
         self.assertLess(own.stop_seconds, 8.0)
 
