--- a/tillerlane/platform/control_api.py
+++ b/tillerlane/platform/control_api.py
@@ -56,11 +56,11 @@
     argument = urllib.parse.unquote(argument)
     match request.head.method, name:
         case b"POST", "Instances.Heartbeat" if argument:
-            told = wire.read_heartbeat(request.body)
+            told = wire.decode_heartbeat(request.body)
             _take_heartbeat(keeper, wire.check_target_name(argument), told)
             return 200, b"{}"
         case b"POST", "Instances.Leave" if argument:
-            keeper.handle_leave(argument, wire.read_leave(request.body).born)
+            keeper.handle_leave(argument, wire.decode_leave(request.body).born)
             return 200, b"{}"
         case b"POST", "Config.Put":
             return await _publish(keeper, request.body)
--- a/tillerlane/platform/wire.py
+++ b/tillerlane/platform/wire.py
@@ -14,15 +14,15 @@
 __all__ = [
     "Heartbeat",
     "Leave",
+    "build_forward",
+    "build_refusal",
     "check_document",
     "check_target_name",
-    "read_answer",
-    "read_heartbeat",
-    "read_leave",
-    "read_request",
-    "read_table",
-    "write_forward",
-    "write_refusal",
+    "decode_heartbeat",
+    "decode_leave",
+    "decode_request",
+    "decode_response",
+    "parse_table",
 ]
 
 REQUEST_ID = b"Request-Id"
@@ -38,11 +38,11 @@
 RATE_LIMIT = b"server-limit"
 RETRY_AFTER = b"retry-after"
 LEAVING = b"server-leaving"
-LONGEST_WAIT_MS = 24 * 3600 * 1000
+MAX_WAIT_MS = 24 * 3600 * 1000
 """Bound on a number that a caller sends."""
-MAX_NAME_LETTERS = 200
+MAX_NAME_CHARACTERS = 200
 """Bound on names and addresses that targets tell; the longest met has 24."""
-MAX_NUMBER_LETTERS = 20
+MAX_NUMBER_CHARACTERS = 20
 """Bound on a number that a target tells."""
 MAX_COLD_MS = 3600 * 1000
 """Bound on how long a target says that it works slowly; the longest met is some seconds."""
@@ -75,10 +75,10 @@
     """A number in a header; None if there is none that can be read."""
     if value is None or not value.strip().isdigit():
         return None
-    return min(int(value), LONGEST_WAIT_MS)
+    return min(int(value), MAX_WAIT_MS)
 
 
-def read_request(head: http_head.RequestHead) -> dialect.RequestFacts:
+def decode_request(head: http_head.RequestHead) -> dialect.RequestFacts:
     """Facts of a caller's request."""
     found = {name.lower(): value for name, value in head.headers}
 
@@ -100,7 +100,7 @@
     )
 
 
-def write_forward(head: http_head.RequestHead, plan: dialect.ForwardPlan) -> http_head.RequestHead:
+def build_forward(head: http_head.RequestHead, plan: dialect.ForwardPlan) -> http_head.RequestHead:
     """The head of a request for one target."""
     headers = http_head.list_end_to_end(head.headers, _OURS)
     headers.append((TARGET_ID, incarnations.parse_id(plan.target_id).name.encode()))
@@ -119,7 +119,7 @@
     return http_head.RequestHead(head.method, head.target, headers)
 
 
-def read_answer(head: http_head.AnswerHead) -> dialect.AnswerFacts:
+def decode_response(head: http_head.AnswerHead) -> dialect.AnswerFacts:
     """Facts of a target's answer."""
     request_id = http_head.get_header(head.headers, REQUEST_ID.lower())
     is_other = head.status == 421
@@ -146,7 +146,7 @@
 def _read_decimal(headers: http_head.Headers, name: bytes) -> float | str | None:
     """A header that holds one plain decimal number; its text if it does not, None without one."""
     text = _join_values(headers, name)
-    if text is None or len(text) > MAX_NUMBER_LETTERS or not _DECIMAL.fullmatch(text):
+    if text is None or len(text) > MAX_NUMBER_CHARACTERS or not _DECIMAL.fullmatch(text):
         return text
     return float(text)
 
@@ -154,10 +154,10 @@
 def _join_values(headers: http_head.Headers, name: bytes) -> str | None:
     """All different values of a header, which may stand more than once; None without one."""
     values = [value.strip().decode("latin-1") for known, value in headers if known.lower() == name]
-    return ", ".join(dict.fromkeys(values))[:MAX_NAME_LETTERS] if values else None
+    return ", ".join(dict.fromkeys(values))[:MAX_NAME_CHARACTERS] if values else None
 
 
-def write_refusal(status: int, retry_after: float | None) -> http_head.AnswerHead:
+def build_refusal(status: int, retry_after: float | None) -> http_head.AnswerHead:
     """The head of an answer of our own."""
     headers: http_head.Headers = []
     if retry_after is not None:
@@ -325,7 +325,7 @@
     return table
 
 
-def read_table(content: bytes) -> routes.RoutingTable:
+def parse_table(content: bytes) -> routes.RoutingTable:
     """The routing table of a published document, as keepers hold it."""
     return check_document(zlib.decompress(content))
 
@@ -333,7 +333,7 @@
 # Targets
 
 
-_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LETTERS)]
+_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 """What fits a column of the messages between our daemons."""
 
@@ -375,13 +375,13 @@
     faults.FaultError
         Of kind ``bad_request``.
     """
-    if 0 < len(name) <= MAX_NAME_LETTERS and name.isascii() and name.isprintable():
+    if 0 < len(name) <= MAX_NAME_CHARACTERS and name.isascii() and name.isprintable():
         return name
-    message = f"got target id {name[:MAX_NAME_LETTERS]!r}, expected printable ASCII"
+    message = f"got target id {name[:MAX_NAME_CHARACTERS]!r}, expected printable ASCII"
     raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
 
 
-def read_heartbeat(data: bytes) -> Heartbeat:
+def decode_heartbeat(data: bytes) -> Heartbeat:
     """A target's heartbeat.
 
     Raises
@@ -403,10 +403,10 @@
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 2**16):
-        raise ValueError(f"got address {address[:MAX_NAME_LETTERS]!r}, expected IP:port")
+        raise ValueError(f"got address {address[:MAX_NAME_CHARACTERS]!r}, expected IP:port")
 
 
-def read_leave(data: bytes) -> Leave:
+def decode_leave(data: bytes) -> Leave:
     """A target's word that it goes now.
 
     Raises
