--- a/tillerlane/gateway/endings.py
+++ b/tillerlane/gateway/endings.py
@@ -12,7 +12,7 @@
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import http_client, quarantine
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
@@ -35,7 +35,7 @@
         Takes the requests under which targets ended.
     timeline : timelines.Timeline
         Takes what was found.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts it.
     """
 
@@ -44,12 +44,12 @@
         usage: usages.Usage,
         quarantined: quarantine.Quarantine,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._usage = usage
         self._quarantine = quarantined
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
         self._probing: dict[str, asyncio.Task[http_client.Reach]] = {}
         """Probes under way by target: all answers that break off with one share it."""
@@ -74,7 +74,7 @@
             return
         now = self._loop.time()
         reach = await self._probe(target)
-        self._meters.broken_answers.labels(reach.value).inc()
+        self._metrics.broken_answers.labels(reach.value).inc()
         self._timeline.record(
             "target.broke_off",
             request_id=asked.facts.request_id,
@@ -90,7 +90,7 @@
             self._quarantine.note_end(asked.fingerprint, target)
 
     async def _probe(self, target: directories.Target) -> http_client.Reach:
-        if target.is_over:
+        if target.is_superseded:
             return http_client.Reach.REFUSED  # it has started again, so the former start has ended
         task = self._probing.get(target.target_id)
         if task is None:
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -15,7 +15,7 @@
 from tillerlane.decisions import placing
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import routes, selection
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
@@ -119,7 +119,7 @@
         Tells of targets that leave.
     timeline : timelines.Timeline
         Takes the decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts orders.
     """
 
@@ -130,19 +130,19 @@
         usage: usages.Usage,
         directory: directories.Directory,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._dialect = dialect
         self._selector = selector
         self._usage = usage
         self._directory = directory
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._runs: dict[str, set[Run]] = collections.defaultdict(set)
         self._ordered: dict[str, int] = {}
         """Tokens of the copies under way from each source, by its id; none without a copy."""
         self._dropping: set[asyncio.Task[None]] = set()
-        directory.listen(self._note_phase)
+        directory.add_listener(self._note_phase)
 
     def add(self, run: Run) -> None:
         """Take a run that begins at a target."""
@@ -184,7 +184,7 @@
         self._lose_backups(lambda backup: backup.target_id == target.target_id)
         runs = sorted(self._runs.get(target.target_id, ()), key=lambda run: run.tokens)
         for run in runs:
-            if target.is_over:
+            if target.is_superseded:
                 self._stop_move(run)
             else:
                 self._start(run)
@@ -213,7 +213,7 @@
         engine = run.pool.engine
         if engine is None or not engine.can_move or run.moving is not None:
             return
-        if run.backup is not None and self._directory.takes_work(run.backup):
+        if run.backup is not None and self._directory.accepts_requests(run.backup):
             # It may end here yet, and goes on there at once if it does not.  An order would copy
             # all of its memory again, and hold up those runs that have no other copy.
             return
@@ -326,7 +326,7 @@
             run.target.address, run.request_id, destination.address, COPY_SECONDS
         )
         run.may_be_copying = result.outcome.is_without_answer
-        self._meters.moves.labels(result.outcome.value).inc()
+        self._metrics.moves.labels(result.outcome.value).inc()
         self._timeline.record(
             "run.move",
             request_id=run.request_id,
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -11,7 +11,6 @@
 from tillerlane.decisions import placing, queueing
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import (
-    advice,
     availability,
     exchanges,
     http_client,
@@ -25,7 +24,8 @@
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import endings as ends
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import feedback as feedbacks
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import startup as startups
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
@@ -137,7 +137,7 @@
         Chooses targets.
     available : availability.Availability
         Tells what keeps requests from a target.
-    taken : advice.Advice
+    feedback : feedbacks.TargetFeedback
         Takes what answers say of their targets.
     usage : usages.Usage
         Counts what is under way.
@@ -145,7 +145,7 @@
         Bounds retries.
     timeline : timelines.Timeline
         Takes the decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     startup : startups.Startup
         Tells whether targets may still be unheard of.
@@ -162,11 +162,11 @@
         dialect: dialects.Dialect,
         selector: selection.Selector,
         available: availability.Availability,
-        taken: advice.Advice,
+        feedback: feedbacks.TargetFeedback,
         usage: usages.Usage,
         budget: budgets.RetryBudget,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         startup: startups.Startup,
         directory: directories.Directory,
         endings: ends.Endings,
@@ -178,12 +178,12 @@
         self._dialect = dialect
         self._selector = selector
         self._available = available
-        self._advice = taken
+        self._feedback = feedback
         self._usage = usage
         self._refusals = refusals.Refusals(available, usage)
         self._budget = budget
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._exchanges = exchanges.Exchanges(directory)
         self._loop = asyncio.get_running_loop()
 
@@ -272,7 +272,7 @@
         facts = self._dialect.read_answer(head)
         is_of_request = facts.request_id == asked.facts.request_id
         if is_of_request and not facts.is_other_target:
-            self._advice.take(asked.facts.request_id, target, facts, exchange.sent_at)
+            self._feedback.handle_response(asked.facts.request_id, target, facts, exchange.sent_at)
         if not is_of_request:
             # Each answer of a target names its request; what does not is nobody's word on this one.
             named = facts.request_id or "none"
@@ -411,7 +411,7 @@
 
     def _may_wait_for_targets(self, asked: admissions.Admission) -> bool:
         arrived = asked.request.arrived
-        return self._startup.may_wait_for_targets(arrived, asked.ends_at - arrived)
+        return self._startup.should_wait_for_targets(arrived, asked.ends_at - arrived)
 
     def _may_wait_for_bearing(self, asked: admissions.Admission, excluded: set[str]) -> bool:
         """Whether a target that gets nothing now may take a request in time."""
@@ -464,7 +464,7 @@
         waited: float,
     ) -> None:
         kind = type(outcome).__name__.strip("_").lower()
-        self._meters.sends.labels(asked.pool.name, kind).inc()
+        self._metrics.sends.labels(asked.pool.name, kind).inc()
         if isinstance(outcome, Whole) and outcome.head.status < 500:
             return
         use = self._usage.read(target.address)
--- a/tillerlane/platform/control_api.py
+++ b/tillerlane/platform/control_api.py
@@ -37,8 +37,8 @@
         call = request.head.path.decode("latin-1").split("/")[1][:40]
         if status != 404:
             seconds = asyncio.get_running_loop().time() - began
-            keeper.meters.seconds.labels(call).observe(seconds)
-            keeper.meters.calls.labels(call, str(status)).inc()
+            keeper.metrics.seconds.labels(call).observe(seconds)
+            keeper.metrics.calls.labels(call, str(status)).inc()
         headers = list(_JSON) if body else []
         await responder.send_whole(http_head.AnswerHead(status, headers), body)
 
@@ -56,18 +56,18 @@
     argument = urllib.parse.unquote(argument)
     match request.head.method, name:
         case b"POST", "Instances.Heartbeat" if argument:
-            told = wire.read_heartbeat(request.body)
+            told = wire.decode_heartbeat(request.body)
             _take_heartbeat(keeper, wire.check_target_name(argument), told)
             return 200, b"{}"
         case b"POST", "Instances.Leave" if argument:
-            keeper.take_leave(argument, wire.read_leave(request.body).born)
+            keeper.handle_leave(argument, wire.decode_leave(request.body).born)
             return 200, b"{}"
         case b"POST", "Config.Put":
             return await _publish(keeper, request.body)
         case b"POST", "Evacuate.Start" | "Evacuate.End" if argument:
             return await _evacuate(keeper, argument, name == "Evacuate.Start")
         case b"GET", "Config.Get":
-            return 200, keeper.read_publication()
+            return 200, keeper.get_publication()
     return 404, b""
 
 
@@ -84,7 +84,7 @@
         heard_at=now,
         warm_at=now + told.cold_left_ms / 1000 if told.cold_left_ms > 0 else 0.0,
     )
-    keeper.take_heartbeat(target)
+    keeper.handle_heartbeat(target)
 
 
 async def _evacuate(keeper: control.Control, data_hall: str, evacuated: bool) -> tuple[int, bytes]:
