--- a/tillerlane/gateway/admission.py
+++ b/tillerlane/gateway/admission.py
@@ -112,7 +112,7 @@
     ----------
     dialect : dialects.Dialect
         Reads requests.
-    draw_pool : callable
+    pick_pool : callable
         Gives one of a route's pools.
 
     Attributes
@@ -123,11 +123,11 @@
         Whether keys may be trusted: the table is known to be the newest, or was lately.
     """
 
-    def __init__(self, dialect: dialects.Dialect, draw_pool: Callable[[routes.Route], str]) -> None:
+    def __init__(self, dialect: dialects.Dialect, pick_pool: Callable[[routes.Route], str]) -> None:
         self.table: routes.RoutingTable | None = None
         self.is_fresh: Callable[[], bool] = lambda: True
         self._dialect = dialect
-        self._draw_pool = draw_pool
+        self._pick_pool = pick_pool
 
     def admit(self, request: http_server.Request) -> Admission | Refusal:
         """Judge a request."""
@@ -150,7 +150,7 @@
                 return Refusal(401, f"unknown key in version {table.version}")
         waits = [facts.wait_seconds, route.timeout_seconds]
         wait = min([item for item in waits if item is not None], default=DEFAULT_WAIT_SECONDS)
-        pool = table.pools[self._draw_pool(route)]
+        pool = table.pools[self._pick_pool(route)]
         ends_at = request.arrived + wait
         owner = workspace.name if workspace is not None else ""
         fingerprint = fingerprints.compute(request.head, request.body, owner)
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -166,7 +166,7 @@
         self._startup = startup.Startup()
         self.quarantine = quarantine.Quarantine(self.timeline, self._loop.time)
         self.quarantine.tell = self._tell_ends
-        self._gate = admission.Gate(dialect, selector.draw_pool)
+        self._gate = admission.Gate(dialect, selector.pick_pool)
         self._gate.is_fresh = self._is_fresh
         taken = advice.Advice(
             self.directory,
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -264,8 +264,8 @@
             return True
         waited = asyncio.get_running_loop().time() - run.leaving_since
         left = max(0.0, NOTICE_SECONDS - waited)
-        share = self._selector.read_own_share(run.target)
-        return self._selector.read_copy_seconds(run.pool, ordered + run.tokens) <= left * share
+        share = self._selector.compute_own_share(run.target)
+        return self._selector.estimate_copy_seconds(run.pool, ordered + run.tokens) <= left * share
 
     async def _copy(self, run: Run, destination: directories.Target) -> dialects.MoveResult:
         """Copy a run's memory while it goes on, and count the copy as memory meanwhile."""
--- a/tillerlane/gateway/selection.py
+++ b/tillerlane/gateway/selection.py
@@ -9,37 +9,37 @@
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import usage as usages
 
-__all__ = ["Caution", "Selector"]
+__all__ = ["FailureTracker", "Selector"]
 
-FIRST_AVOID_SECONDS = 1.0
+MIN_AVOIDANCE_SECONDS = 1.0
 """How long a target that could not be reached is avoided: a heartbeat's interval, by which time
 its keepers know more."""
-MOST_AVOID_SECONDS = 5.0
-TURNED_AWAY_SECONDS = 0.5
+MAX_AVOIDANCE_SECONDS = 5.0
+REJECTION_AVOIDANCE_SECONDS = 0.5
 """How long a target is avoided that turned a request away.  With nothing under way it would seem
 the least loaded one."""
-FORGET_SECONDS = 30.0
+FAILURE_RETENTION_SECONDS = 30.0
 """How long a failure counts for the next one, and bounds what is kept of targets long gone."""
-OTHER_HALL_COST = 0.02
+CROSS_HALL_COST_SECONDS = 0.02
 """Seconds of waiting that staying within the data hall is worth: breaks ties only."""
-BETWEEN_HALLS = 2.0
+CROSS_HALL_COPY_FACTOR = 2.0
 """A copy between data halls takes twice the time of the link (the platform's page)."""
-MOVE_HALL_COST = 0.15
+CROSS_HALL_MOVE_COST_SECONDS = 0.15
 """Seconds of waiting that a copy within the data hall is worth, for each runner there: it takes
 half the time of the link, of which a leaving runner's runs need all; but where few can take them,
 all entries choose the same ones before they hear of each other."""
-MOST_MOVE_HALL_COST = 0.6
+MAX_CROSS_HALL_MOVE_COST_SECONDS = 0.6
 """Bound on that, in seconds of a caller's waiting as `placing.weigh` counts: a run of 3,500 tokens
 takes 0.19 s of a link of 19 Gbit/s within the hall and 0.39 s between halls, so that of the runs of
 one runner seven in place of three are copied in the shortest notice met, 1.5 s.  Pairs of whole
 days with 0.15, 0.6 and 2.0 stand in ``docs/design/decisions.md``."""
-FULL_SHARE = 0.9
+FULL_MEMORY_SHARE = 0.9
 """Share of its memory above which a runner counts as full: what runs there still grows."""
-COLD_COST = 0.5
+COLD_COST_SECONDS = 0.5
 """Seconds of waiting that a target still slow from its start counts as."""
-POOL_PACE_SECONDS = 1.0
+POOL_SPEED_INTERVAL_SECONDS = 1.0
 """How long a pool's pace is used before it is read again; it is smoothed over 20 s."""
-FIRST_RANK = (False, False, False, False)
+BEST_RANK = (False, False, False, False)
 """Neither silent nor avoided nor held up nor full."""
 
 
@@ -49,28 +49,28 @@
     avoid_until: float
 
 
-class Caution:
+class FailureTracker:
     """Targets that lately failed this entry, by id."""
 
     def __init__(self) -> None:
         self._failures: dict[str, _Failures] = {}
 
-    def note_failure(self, target_id: str, now: float) -> None:
+    def record_failure(self, target_id: str, now: float) -> None:
         """Avoid a target for a while, longer with each failure in a row."""
         for other, failures in list(self._failures.items()):
-            if now - failures.avoid_until > FORGET_SECONDS:
+            if now - failures.avoid_until > FAILURE_RETENTION_SECONDS:
                 del self._failures[other]
         known = self._failures.setdefault(target_id, _Failures(0, now))
         known.count += 1
-        seconds = min(MOST_AVOID_SECONDS, FIRST_AVOID_SECONDS * 2 ** (known.count - 1))
+        seconds = min(MAX_AVOIDANCE_SECONDS, MIN_AVOIDANCE_SECONDS * 2 ** (known.count - 1))
         known.avoid_until = now + seconds
 
-    def note_turned_away(self, target_id: str, now: float) -> None:
+    def record_rejection(self, target_id: str, now: float) -> None:
         """Avoid a target for a short while; this does not count as a failure."""
         known = self._failures.setdefault(target_id, _Failures(0, now))
-        known.avoid_until = max(known.avoid_until, now + TURNED_AWAY_SECONDS)
+        known.avoid_until = max(known.avoid_until, now + REJECTION_AVOIDANCE_SECONDS)
 
-    def note_success(self, target_id: str) -> None:
+    def record_success(self, target_id: str) -> None:
         """Forget a target's failures."""
         self._failures.pop(target_id, None)
 
@@ -108,7 +108,7 @@
         rng: random.Random,
         now: Callable[[], float],
     ) -> None:
-        self.caution = Caution()
+        self.failures = FailureTracker()
         self._directory = directory
         self._usage = usage
         self._available = available
@@ -118,7 +118,7 @@
         self._paces: dict[str, tuple[float, float]] = {}
         """Pace of each pool, and when it was read."""
 
-    def draw_pool(self, route: routes.Route) -> str:
+    def pick_pool(self, route: routes.Route) -> str:
         """A pool of the route, by weight."""
         names = [name for name, _ in route.pools]
         if len(names) == 1:
@@ -160,7 +160,9 @@
         pace = self._read_pace(pool, listed, now)
         costs = [self._read_cost(pool, target, use, work, pace, now) for target, use in found]
         if source_hall is not None:
-            far_cost = min(MOST_MOVE_HALL_COST, MOVE_HALL_COST * len(groups[0]))
+            far_cost = min(
+                MAX_CROSS_HALL_MOVE_COST_SECONDS, CROSS_HALL_MOVE_COST_SECONDS * len(groups[0])
+            )
             is_far = [target.data_hall != source_hall for target, _ in found]
             costs = [cost + far_cost * far for cost, far in zip(costs, is_far, strict=True)]
         return found[costs.index(min(costs))][0]
@@ -197,7 +199,7 @@
             wished = placing.count_candidates(len(group), unheard)
             drawn = 0
             for target in _draw_in_turn(group, self._rng):
-                if drawn >= wished and best == FIRST_RANK:
+                if drawn >= wished and best == BEST_RANK:
                     break
                 if target.target_id in excluded:
                     continue
@@ -217,7 +219,7 @@
                     target.phase is directories.Phase.SILENT,
                     self._is_avoided(target, now),
                     obstacle is not None,
-                    not _has_room(pool, use, work.memory_tokens, FULL_SHARE),
+                    not _has_room(pool, use, work.memory_tokens, FULL_MEMORY_SHARE),
                 )
                 if rank > best:
                     continue
@@ -229,14 +231,14 @@
 
     def _is_avoided(self, target: directories.Target, now: float) -> bool:
         """Whether a target has failed this entry lately, or turns others away."""
-        if self.caution.is_avoided(target.target_id, now):
+        if self.failures.is_avoided(target.target_id, now):
             return True
         return self._available.is_busy_elsewhere(target)
 
     def _read_pace(self, pool: routes.Pool, listed: list[directories.Target], now: float) -> float:
         """Seconds an event over all runners of a pool, looked up now and then."""
         known = self._paces.get(pool.name)
-        if known is not None and now - known[1] < POOL_PACE_SECONDS:
+        if known is not None and now - known[1] < POOL_SPEED_INTERVAL_SECONDS:
             return known[0]
         uses = [self._usage.read(target.address) for target in listed]
         pace = placing.read_pool_pace((use.events, use.event_ms) for use in uses)
@@ -265,25 +267,25 @@
             )
             cost = placing.weigh(work, standing, pace)
         if target.data_hall != self._data_hall:
-            cost += OTHER_HALL_COST
+            cost += CROSS_HALL_COST_SECONDS
         if target.warm_at > now:
-            cost += COLD_COST
+            cost += COLD_COST_SECONDS
         return cost
 
-    def read_evacuation(self, pool: routes.Pool, target: directories.Target) -> float:
+    def estimate_evacuation_seconds(self, pool: routes.Pool, target: directories.Target) -> float:
         """Seconds that a runner's link needs to copy all runs that have no copy yet."""
         use = self._usage.read(target.address)
-        return self.read_copy_seconds(pool, use.unsaved)
+        return self.estimate_copy_seconds(pool, use.unsaved)
 
-    def read_copy_seconds(self, pool: routes.Pool, tokens: int) -> float:
+    def estimate_copy_seconds(self, pool: routes.Pool, tokens: int) -> float:
         """Seconds that a runner's link needs to copy so many tokens to another data hall."""
         engine = pool.engine
         if engine is None or engine.link_mbps <= 0:
             return 0.0
         bits = tokens * engine.token_bytes * 8
-        return bits / (engine.link_mbps * 1e6) * BETWEEN_HALLS
+        return bits / (engine.link_mbps * 1e6) * CROSS_HALL_COPY_FACTOR
 
-    def read_own_share(self, target: directories.Target) -> float:
+    def compute_own_share(self, target: directories.Target) -> float:
         """This entry's share of the runs at a target that have no copy elsewhere."""
         use = self._usage.read(target.address)
         own = self._usage.read_own(target.address)
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -235,10 +235,10 @@
             if not sent:
                 return refusals.NotRun(f"{address}: out of time before it was sent", sent=False)
             if self._loop.time() - began > SILENT_SECONDS:
-                self._selector.caution.note_failure(target.target_id, self._loop.time())
+                self._selector.failures.record_failure(target.target_id, self._loop.time())
             return Unknown(f"{address}: no answer in time", is_late=True)
         except http_client.AnswerBroken as error:
-            self._selector.caution.note_failure(target.target_id, self._loop.time())
+            self._selector.failures.record_failure(target.target_id, self._loop.time())
             if not error.sent:
                 return refusals.NotRun(str(error), sent=False)
             assert exchange is not None
@@ -295,11 +295,11 @@
         One that has no copy of a run that `goes_on` may have room for others.
         """
         if not isinstance(outcome, refusals.NotRun):
-            self._selector.caution.note_success(target.target_id)
+            self._selector.failures.record_success(target.target_id)
         elif outcome.is_other_target:
-            self._selector.caution.note_failure(target.target_id, self._loop.time())
+            self._selector.failures.record_failure(target.target_id, self._loop.time())
         elif outcome.sent and not goes_on:
-            self._selector.caution.note_turned_away(target.target_id, self._loop.time())
+            self._selector.failures.record_rejection(target.target_id, self._loop.time())
 
     def plan(
         self,
@@ -327,7 +327,7 @@
         engine = asked.pool.engine
         if engine is None or not engine.can_back_up or not asked.is_long:
             return None
-        if self._selector.read_evacuation(asked.pool, target) < EVACUATION_SECONDS:
+        if self._selector.estimate_evacuation_seconds(asked.pool, target) < EVACUATION_SECONDS:
             return None
         backup = self._selector.choose(
             asked.pool, placing.Work(asked.tokens), {target.target_id}, is_sent_now=False
--- a/tillerlane/gateway/tests/test_backoff.py
+++ b/tillerlane/gateway/tests/test_backoff.py
@@ -237,8 +237,8 @@
             while not other.turned_away:
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.02)
-            caution = stage.entries["entry-1"]._relay._sender._selector.caution
-            self.assertFalse(caution.is_avoided("llm-9", asyncio.get_running_loop().time()))
+            failures = stage.entries["entry-1"]._relay._sender._selector.failures
+            self.assertFalse(failures.is_avoided("llm-9", asyncio.get_running_loop().time()))
             call.cancel()
 
         self.play(scene)
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -140,7 +140,7 @@
 
     def test_full_avoided_and_silent_come_last(self) -> None:
         self.usage.add("a1", tokens=33_000)
-        self.selector.caution.note_failure("t2", 10.0)
+        self.selector.failures.record_failure("t2", 10.0)
         self.assertEqual(self.choose(), "t3")
         self.directory.targets["t3"].phase = directories.Phase.SILENT
         self.assertEqual(self.choose(), "t1")
@@ -155,7 +155,9 @@
         ledger.write_changes()
         self.usage.take(ledger.write_whole(), 10.0)
         target = self.directory.targets["t1"]
-        self.assertAlmostEqual(self.selector.read_evacuation(POOL, target), 0.8, places=2)
+        self.assertAlmostEqual(
+            self.selector.estimate_evacuation_seconds(POOL, target), 0.8, places=2
+        )
 
 
 class SplitterTest(unittest.TestCase):
