--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -63,10 +63,10 @@
     ledger = build_ledger(entries, targets)
     while ledger.write_changes() is not None:
         pass  # what is told is bounded a digest
-    usage.take(ledger.write_whole(), 0.0)
+    usage.handle_digest(ledger.write_whole(), 0.0)
     usage.entries = entries + 1
     for _ in range(REQUESTS):
-        usage.note_request("llm", 0.0)
+        usage.record_request("llm", 0.0)
     return selectors.build_selector(directory, usage, "hall-a", 0.0)
 
 
@@ -89,7 +89,7 @@
     def take() -> None:
         body = codec.decode(frame).body
         assert isinstance(body, messages.LoadDigest)
-        usages.Usage("entry-own").take(body, 0.0)
+        usages.Usage("entry-own").handle_digest(body, 0.0)
 
     uses = list(loads.read_uses(table).items())
     writing = timeit.repeat(lambda: loads.write_uses(uses), number=CALLS, repeat=ROUNDS)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -21,7 +21,7 @@
 SECONDS = 40.0
 PRESS = 3.0
 """Requests that come, as a multiple of the limit."""
-WORD_SECONDS = 0.2
+REPORT_AGE_SECONDS = 0.2
 """Age of other entries' word of what comes to them."""
 WAY_SECONDS = 0.005
 """Time from a wish to the owner's answer."""
@@ -115,7 +115,7 @@
     for at, entry in arrivals:
         came[entry].append(at)
         times.append(at)
-        heard = at - WORD_SECONDS
+        heard = at - REPORT_AGE_SECONDS
         others = count_since(times, heard - DEMAND_SECONDS) - count_since(times, heard)
         demand = max(others / DEMAND_SECONDS, 1 / DEMAND_SECONDS)
         if rng.random() < load.limit / demand:
--- a/tillerlane/decisions/tests/test_placing.py
+++ b/tillerlane/decisions/tests/test_placing.py
@@ -141,7 +141,7 @@
         pool = [engine_play.RunnerSpec((1.0, 1.0, 1.3)[number % 3]) for number in range(RUNNERS)]
         rates = (LETTERS_A_SECOND * load, VERDICTS_A_SECOND * load)
         if unheard is None:
-            unheard = sum(rates) * engine_play.WORD_SECONDS
+            unheard = sum(rates) * engine_play.REPORT_AGE_SECONDS
         paces, shares, wholes = [], [], []
         for seed in SEEDS:
             arrivals = engine_play.draw_arrivals(
--- a/tillerlane/gateway/endings.py
+++ b/tillerlane/gateway/endings.py
@@ -84,7 +84,7 @@
             reach=reach.value,
             ran_ms=int((now - sent_at) * 1000),
             events=events,
-            requests_there=self._usage.read(target.address).requests,
+            requests_there=self._usage.get(target.address).requests,
         )
         if reach is http_client.Reach.REFUSED:
             self._quarantine.note_end(asked.fingerprint, target)
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -294,7 +294,9 @@
         """Have the gauges read what they show when they are asked."""
         self._meters.version.set_function(lambda: self.published.version)
         self._meters.lease_age.set_function(lambda: self._clock.read_age(self._loop.time()))
-        self._meters.loads_age.set_function(lambda: self.usage.read_age(self._loop.time()) or 0.0)
+        self._meters.loads_age.set_function(
+            lambda: self.usage.compute_age(self._loop.time()) or 0.0
+        )
         self._meters.busy.set_function(self._front.count_busy)
         self._meters.quarantined.set_function(self.quarantine.count_held)
         self._meters.limits.set_function(lambda: self.limits.count_in_force(self._loop.time()))
@@ -475,7 +477,7 @@
             self.backoffs.forget(target.target_id)
         if not target.is_over:
             return
-        self.usage.forget_pace(target.address)
+        self.usage.discard_event_times(target.address)
         self.timeline.record(
             "target.over",
             target=target.target_id,
@@ -488,11 +490,11 @@
         """Take a keeper's sums, if it is the one that is told this entry's load."""
         if link is not self.homes.get_primary():
             return  # on its way when another keeper was chosen; only one of the two is in sequence
-        taken = self.usage.take(digest, self._loop.time())
-        if taken is usages.Taken.GAP:
+        taken = self.usage.handle_digest(digest, self._loop.time())
+        if taken is usages.DigestResult.GAP:
             self.timeline.record("loads.gap", keeper=digest.keeper, sequence=digest.sequence)
             self.homes.ask_loads_again()
-        elif taken is usages.Taken.GOOD and digest.whole:
+        elif taken is usages.DigestResult.APPLIED and digest.whole:
             self.timeline.record("loads.whole", keeper=digest.keeper, sequence=digest.sequence)
 
     async def _tell_loads(self) -> None:
@@ -503,14 +505,14 @@
             now = self._loop.time()
             self.directory.forget_old(now)
             self.limits.forget_unknown(self.directory.targets, now)
-            if self.usage.forget_others(now):
-                self.timeline.record("loads.lost", after_s=usages.OTHERS_SECONDS)
+            if self.usage.expire_others(now):
+                self.timeline.record("loads.lost", after_s=usages.DIGEST_TTL_SECONDS)
             link = self.homes.get_primary()
             is_due = link is not told_to or now - told_at > QUIET_LOADS_SECONDS
             if link is None or not (self.usage.changed or is_due):
                 continue
             told_at, told_to = now, link
-            links.try_send(link, self.usage.write(self._started_ms, now))
+            links.try_send(link, self.usage.build_report(self._started_ms, now))
 
     async def _pause_loads(self) -> None:
         """Wait until another word about this entry's load may go out."""
--- a/tillerlane/gateway/selection.py
+++ b/tillerlane/gateway/selection.py
@@ -147,7 +147,7 @@
         """
         now = self._now()
         listed = self._directory.list_pool(pool.name)
-        unheard = self._usage.read_unheard(pool.name, now)
+        unheard = self._usage.estimate_unreported(pool.name, now)
         if source_hall is None:
             groups = [listed]
         else:
@@ -175,7 +175,7 @@
         memory, and runs there paused for 4 s (log lines `run.move` and `stream.end`).
         """
         return sum(
-            self._usage.read(target.address).requests
+            self._usage.get(target.address).requests
             for target in self._directory.targets.values()
             if target.pool == pool.name and target.data_hall == hall and target.is_leaving
         )
@@ -214,7 +214,7 @@
                         wishes -= 1
                 if obstacle is not None and is_sent_now:
                     continue
-                use = self._usage.read(target.address)
+                use = self._usage.get(target.address)
                 rank = (
                     target.phase is directories.Phase.SILENT,
                     self._is_avoided(target, now),
@@ -240,7 +240,7 @@
         known = self._paces.get(pool.name)
         if known is not None and now - known[1] < POOL_SPEED_INTERVAL_SECONDS:
             return known[0]
-        uses = [self._usage.read(target.address) for target in listed]
+        uses = [self._usage.get(target.address) for target in listed]
         pace = placing.read_pool_pace((use.events, use.event_ms) for use in uses)
         self._paces[pool.name] = (pace, now)
         return pace
@@ -274,7 +274,7 @@
 
     def estimate_evacuation_seconds(self, pool: routes.Pool, target: directories.Target) -> float:
         """Seconds that a runner's link needs to copy all runs that have no copy yet."""
-        use = self._usage.read(target.address)
+        use = self._usage.get(target.address)
         return self.estimate_copy_seconds(pool, use.unsaved)
 
     def estimate_copy_seconds(self, pool: routes.Pool, tokens: int) -> float:
@@ -287,15 +287,15 @@
 
     def compute_own_share(self, target: directories.Target) -> float:
         """This entry's share of the runs at a target that have no copy elsewhere."""
-        use = self._usage.read(target.address)
-        own = self._usage.read_own(target.address)
+        use = self._usage.get(target.address)
+        own = self._usage.get_own(target.address)
         return min(1.0, own.unsaved / use.unsaved) if use.unsaved > 0 else 1.0
 
     def has_room(
         self, pool: routes.Pool, target: directories.Target, tokens: int, share: float
     ) -> bool:
         """Whether so many tokens more leave a target's memory below a share of it."""
-        return _has_room(pool, self._usage.read(target.address), tokens, share)
+        return _has_room(pool, self._usage.get(target.address), tokens, share)
 
 
 def _draw_in_turn(
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -210,7 +210,7 @@
         tokens = asked.tokens if tokens is None else tokens
         unsaved = tokens if asked.is_long and not plan.backup_address else 0
         self._usage.add(address, requests=1, tokens=tokens, unread=unread, unsaved=unsaved)
-        self._usage.note_request(asked.pool.name, began)
+        self._usage.record_request(asked.pool.name, began)
         exchange: http_client.Exchange | None = None
         keep = False
         try:
@@ -432,7 +432,7 @@
         aim_seconds = asked.route.aim_seconds
         if waited > aim_seconds * READING_WAIT_SHARE:
             return True
-        unread = self._usage.read(target.address).unread
+        unread = self._usage.get(target.address).unread
         prompt_tokens = asked.facts.prompt_tokens
         return queueing.may_begin(unread, prompt_tokens, aim_seconds, is_long=asked.is_long)
 
@@ -467,7 +467,7 @@
         self._meters.sends.labels(asked.pool.name, kind).inc()
         if isinstance(outcome, Whole) and outcome.head.status < 500:
             return
-        use = self._usage.read(target.address)
+        use = self._usage.get(target.address)
         reason = getattr(outcome, "reason", "")
         status = outcome.head.status if isinstance(outcome, Whole | Stream) else 0
         limit = self._available.read_limit(target)
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -147,7 +147,7 @@
 
     def _note_events(self, run: runs.Run, events_now: int, seconds: float) -> None:
         """Keep the pace at which a runner's events come."""
-        self._usage.note_events(run.target.address, events_now, seconds, self._loop.time())
+        self._usage.record_events(run.target.address, events_now, seconds, self._loop.time())
 
     def _note_growth(self, run: runs.Run, tokens: int) -> None:
         """Keep count of a run's memory, and of its copy's."""
--- a/tillerlane/gateway/tests/test_loads.py
+++ b/tillerlane/gateway/tests/test_loads.py
@@ -75,9 +75,9 @@
         entry, started_again = usages.Usage("entry-1"), usages.Usage("entry-1")
         entry.add(ADDRESS, tokens=900)
         for _ in range(5):
-            word = entry.write(1_000, 0.0)
+            word = entry.build_report(1_000, 0.0)
         self.first.take_word(word, 0.0)
-        self.assertTrue(self.first.take_word(started_again.write(2_000, 0.1), 0.1))
+        self.assertTrue(self.first.take_word(started_again.build_report(2_000, 0.1), 0.1))
         self.assertEqual(read_tokens(self.first), 0)
 
     def test_keeper_that_started_again_learns_from_the_entries_next_words(self) -> None:
@@ -185,16 +185,16 @@
         self.ledger = loads.Ledger("keeper-1", 1)
         self.usage = usages.Usage("entry-1")
         self.usage.add(ADDRESS, requests=1, tokens=3_000)
-        self.ledger.take_word(self.usage.write(1, 0.0), 0.0)
+        self.ledger.take_word(self.usage.build_report(1, 0.0), 0.0)
         self.ledger.take_word(build_word("entry-2", 1, 5_000), 0.0)
         self.ledger.write_changes()
         self.hear(self.ledger.write_whole())
 
-    def hear(self, digest: messages.LoadDigest | None, now: float = 0.0) -> usages.Taken:
+    def hear(self, digest: messages.LoadDigest | None, now: float = 0.0) -> usages.DigestResult:
         """Take a digest as the keeper addresses it."""
         assert digest is not None
         digest.included = self.ledger.read_included("entry-1")
-        return self.usage.take(digest, now)
+        return self.usage.handle_digest(digest, now)
 
     def tell_other(self, sequence: int, tokens: int) -> messages.LoadDigest | None:
         """The digest after another entry's word."""
@@ -202,71 +202,71 @@
         return self.ledger.write_changes()
 
     def test_own_load_counts_once_and_at_once(self) -> None:
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 8_000)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
         self.usage.add(ADDRESS, tokens=500)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 8_500)
-        word = self.usage.write(1, 0.1)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 8_500)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
+        word = self.usage.build_report(1, 0.1)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
         self.ledger.take_word(word, 0.1)
-        self.assertEqual(self.hear(self.ledger.write_changes()), usages.Taken.GOOD)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 8_500)
+        self.assertEqual(self.hear(self.ledger.write_changes()), usages.DigestResult.APPLIED)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
         self.usage.add(ADDRESS, requests=-1, tokens=-3_500)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 5_000)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 5_000)
 
     def test_digest_without_its_own_word_leaves_nothing_off(self) -> None:
         other = loads.Ledger("keeper-2", 1)
         other.take_word(build_word("entry-2", 1, 5_000), 0.0)
         other.write_changes()
-        self.usage.take(other.write_whole(), 0.0)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 8_000)
+        self.usage.handle_digest(other.write_whole(), 0.0)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
 
     def test_digest_that_comes_out_of_order_changes_nothing(self) -> None:
         early = self.tell_other(2, 6_000)
         late = self.tell_other(3, 7_000)
         self.hear(early)
         self.hear(late)
-        self.assertEqual(self.hear(early), usages.Taken.OLD)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 10_000)
+        self.assertEqual(self.hear(early), usages.DigestResult.STALE)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 10_000)
 
     def test_missing_digest_is_noticed_and_made_good_by_a_whole_one(self) -> None:
         self.tell_other(2, 6_000)
-        self.assertEqual(self.hear(self.tell_other(3, 7_000)), usages.Taken.GAP)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 8_000)
-        self.assertEqual(self.hear(self.ledger.write_whole()), usages.Taken.GOOD)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 10_000)
+        self.assertEqual(self.hear(self.tell_other(3, 7_000)), usages.DigestResult.GAP)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
+        self.assertEqual(self.hear(self.ledger.write_whole()), usages.DigestResult.APPLIED)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 10_000)
 
     def test_keeper_that_started_again_is_heard(self) -> None:
         self.ledger = loads.Ledger("keeper-1", 2)
         self.ledger.take_word(build_word("entry-2", 2, 400), 1.0)
         self.ledger.write_changes()
-        self.assertEqual(self.hear(self.ledger.write_whole(), 1.0), usages.Taken.GOOD)
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 3_400)
+        self.assertEqual(self.hear(self.ledger.write_whole(), 1.0), usages.DigestResult.APPLIED)
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 3_400)
 
     def test_target_that_all_have_left_is_struck_out(self) -> None:
         self.usage.add(ADDRESS, requests=-1, tokens=-3_000)
-        self.ledger.take_word(self.usage.write(1, 0.1), 0.1)
+        self.ledger.take_word(self.usage.build_report(1, 0.1), 0.1)
         self.hear(self.tell_other(2, 0))
-        self.assertTrue(self.usage.read(ADDRESS).is_empty)
+        self.assertTrue(self.usage.get(ADDRESS).is_empty)
 
     def test_cut_off_entry_goes_by_what_it_knows_itself(self) -> None:
-        self.assertFalse(self.usage.forget_others(usages.OTHERS_SECONDS - 0.1))
-        self.assertTrue(self.usage.forget_others(usages.OTHERS_SECONDS + 0.1))
-        self.assertFalse(self.usage.forget_others(usages.OTHERS_SECONDS + 0.2))
-        self.assertEqual(self.usage.read(ADDRESS).tokens, 3_000)
+        self.assertFalse(self.usage.expire_others(usages.DIGEST_TTL_SECONDS - 0.1))
+        self.assertTrue(self.usage.expire_others(usages.DIGEST_TTL_SECONDS + 0.1))
+        self.assertFalse(self.usage.expire_others(usages.DIGEST_TTL_SECONDS + 0.2))
+        self.assertEqual(self.usage.get(ADDRESS).tokens, 3_000)
 
     def test_pace_is_that_of_all_entries(self) -> None:
-        self.usage.note_events(ADDRESS, 10, 0.3, 0.0)
-        self.ledger.take_word(self.usage.write(1, 0.0), 0.0)
+        self.usage.record_events(ADDRESS, 10, 0.3, 0.0)
+        self.ledger.take_word(self.usage.build_report(1, 0.0), 0.0)
         rows = [messages.TargetUse(ADDRESS, 1, 5_000, 0, 0, 30, 1_500)]
         self.ledger.take_word(messages.EntryLoads("entry-2", 2, rows), 0.0)
         self.hear(self.ledger.write_changes(is_due=True))
-        use = self.usage.read(ADDRESS)
+        use = self.usage.get(ADDRESS)
         self.assertEqual((use.events, use.event_ms), (40, 1_800))
 
     def test_pace_of_a_target_that_started_again_is_told_no_more(self) -> None:
-        self.usage.note_events(ADDRESS, 10, 0.3, 0.0)
-        self.usage.forget_pace(ADDRESS)
-        rows = {row.address: row.events for row in self.usage.write(1, 0.0).uses}
+        self.usage.record_events(ADDRESS, 10, 0.3, 0.0)
+        self.usage.discard_event_times(ADDRESS)
+        rows = {row.address: row.events for row in self.usage.build_report(1, 0.0).uses}
         self.assertEqual(rows.get(ADDRESS, 0), 0)
 
 
--- a/tillerlane/gateway/tests/test_moves.py
+++ b/tillerlane/gateway/tests/test_moves.py
@@ -70,9 +70,9 @@
             self.assertEqual([name for name in tasks if name == "Mover._move"], [])
             # The runners make the copy all the same, and keep it for a while.
             usage = stage.entries["entry-1"].usage
-            self.assertGreater(usage.read(second.address).tokens, 3_000)
+            self.assertGreater(usage.get(second.address).tokens, 3_000)
             await asyncio.sleep(5.2)
-            self.assertTrue(usage.read(second.address).is_empty)
+            self.assertTrue(usage.get(second.address).is_empty)
 
         self.play(scene)
 
@@ -89,9 +89,9 @@
             first.crash()
             await call
             usage = stage.entries["entry-1"].usage
-            self.assertGreater(usage.read(second.address).tokens, 3_000)
+            self.assertGreater(usage.get(second.address).tokens, 3_000)
             await asyncio.sleep(5.2)
-            self.assertTrue(usage.read(second.address).is_empty)
+            self.assertTrue(usage.get(second.address).is_empty)
 
         self.play(scene)
 
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -123,14 +123,14 @@
         word = messages.EntryLoads("entry-1", 1, [messages.TargetUse("a2", 3, 20_000)])
         ledger.take_word(word, 9.0)
         ledger.write_changes()
-        self.usage.take(ledger.write_whole(), 9.0)
+        self.usage.handle_digest(ledger.write_whole(), 9.0)
         self.assertEqual(self.choose(), "t3")
         self.usage.add("a3", requests=1, tokens=12_000)
         self.assertEqual(self.choose(), "t1")
-        self.assertFalse(self.usage.forget_others(9.5))
-        self.assertEqual(self.usage.read("a2").tokens, 20_000)
-        self.assertTrue(self.usage.forget_others(20.0))
-        self.assertEqual(self.usage.read("a2").tokens, 0)
+        self.assertFalse(self.usage.expire_others(9.5))
+        self.assertEqual(self.usage.get("a2").tokens, 20_000)
+        self.assertTrue(self.usage.expire_others(20.0))
+        self.assertEqual(self.usage.get("a2").tokens, 0)
 
     def test_unread_prompts_weigh_more_than_free_memory(self) -> None:
         self.usage.add("a1", requests=1, tokens=3_000, unread=3_000)
@@ -153,7 +153,7 @@
         for entry in ("entry-1", "entry-3"):
             ledger.take_word(messages.EntryLoads(entry, 1, told), 10.0)
         ledger.write_changes()
-        self.usage.take(ledger.write_whole(), 10.0)
+        self.usage.handle_digest(ledger.write_whole(), 10.0)
         target = self.directory.targets["t1"]
         self.assertAlmostEqual(
             self.selector.estimate_evacuation_seconds(POOL, target), 0.8, places=2
--- a/tillerlane/gateway/tests/test_selection.py
+++ b/tillerlane/gateway/tests/test_selection.py
@@ -51,9 +51,9 @@
         for number in range(1, RUNNERS):
             self.usage.add(f"10.0.9.{number}:9000", requests=1, tokens=1_000)
         self.usage.entries = entries
-        self.usage.note_request("llm", self.now - 60.0)  # it has run for long
+        self.usage.record_request("llm", self.now - 60.0)  # it has run for long
         for _ in range(prompts):
-            self.usage.note_request("llm", self.now)
+            self.usage.record_request("llm", self.now)
         selector = selectors.build_selector(self.directory, self.usage, "hall-a", self.now)
         chosen: collections.Counter[str] = collections.Counter()
         for _ in range(200):
@@ -81,12 +81,12 @@
         """Two requests a second for 1.5 s: 9 unheard, not 27, with a rate counted from nothing."""
         self.usage.entries = 68
         for number in range(4):
-            self.usage.note_request("llm", 0.5 * number)
-        self.assertAlmostEqual(self.usage.read_unheard("llm", 1.5), 2 * 67 * 0.2, delta=13)
+            self.usage.record_request("llm", 0.5 * number)
+        self.assertAlmostEqual(self.usage.estimate_unreported("llm", 1.5), 2 * 67 * 0.2, delta=13)
         for number in range(4, 100):
-            self.usage.note_request("llm", 0.5 * number)
-        self.assertAlmostEqual(self.usage.read_unheard("llm", 49.5), 2 * 67 * 0.2, delta=2)
-        self.assertLess(self.usage.read_unheard("llm", 69.5), 1.0)
+            self.usage.record_request("llm", 0.5 * number)
+        self.assertAlmostEqual(self.usage.estimate_unreported("llm", 49.5), 2 * 67 * 0.2, delta=2)
+        self.assertLess(self.usage.estimate_unreported("llm", 69.5), 1.0)
 
     def choose_destination(self, near: int) -> str:
         """Hall of a copy where the first `near` runners, busier, are in the source's hall."""
--- a/tillerlane/gateway/tests/test_spread.py
+++ b/tillerlane/gateway/tests/test_spread.py
@@ -31,7 +31,7 @@
 
 def count_requests(stage: gateway_lab.GatewayLab, name: str) -> int:
     """Requests at the runner, as an entry knows them."""
-    return stage.entries[name].usage.read(stage.runners["t1"].address).requests
+    return stage.entries[name].usage.get(stage.runners["t1"].address).requests
 
 
 def read_primary(stage: gateway_lab.GatewayLab, name: str) -> str:
@@ -66,7 +66,7 @@
             task = await begin_run(stage)
             self.assertEqual({count_requests(stage, name) for name in stage.entry_names}, {1})
             await asyncio.sleep(1.0)
-            use = stage.entries["entry-6"].usage.read(stage.runners["t1"].address)
+            use = stage.entries["entry-6"].usage.get(stage.runners["t1"].address)
             self.assertGreater(use.tokens, PROMPT_TOKENS)
             self.assertGreater(use.events, 0)
             task.cancel()
@@ -98,7 +98,7 @@
             self.assertEqual([item for item in seen if item[0] > 3.6 and item[1] != 0], [])
             cut_off = stage.entries["entry-1"].usage
             self.assertEqual(count_requests(stage, "entry-1"), 1)
-            self.assertIsNone(cut_off.read_age(asyncio.get_running_loop().time()))
+            self.assertIsNone(cut_off.compute_age(asyncio.get_running_loop().time()))
             stage.network.heal()
             await asyncio.sleep(2)
             self.assertEqual({count_requests(stage, name) for name in stage.entry_names}, {1})
@@ -136,8 +136,8 @@
                 await asyncio.sleep(0.06)
                 known = {count_requests(stage, name) for name in stage.entry_names}
                 self.assertEqual(known, {number + 1})
-            ages = [entry.usage.read_word_seconds() for entry in stage.entries.values()]
-            self.assertLess(min(ages), usages.WORD_SECONDS)
+            ages = [entry.usage.get_report_age() for entry in stage.entries.values()]
+            self.assertLess(min(ages), usages.INITIAL_REPORT_AGE_SECONDS)
             for task in tasks:
                 task.cancel()
 
@@ -147,10 +147,12 @@
     def test_digest_that_was_missed_is_asked_for(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             entry = stage.entries["entry-6"]
-            take = entry.usage.take
-            with mock.patch.object(entry.usage, "take", return_value=usages.Taken.GOOD):
+            take = entry.usage.handle_digest
+            with mock.patch.object(
+                entry.usage, "handle_digest", return_value=usages.DigestResult.APPLIED
+            ):
                 task = await begin_run(stage)
-            self.assertEqual(entry.usage.take, take)
+            self.assertEqual(entry.usage.handle_digest, take)
             # The next digest, which shows the gap, comes within this time at the latest.
             await asyncio.sleep(control.QUIET_LOADS_SECONDS + 0.1)
             self.assertEqual(count_requests(stage, "entry-6"), 1)
@@ -190,7 +192,7 @@
                 self.assertIsNotNone(link)
                 self.assertEqual(entry.published.version, 1)
                 self.assertIn("t1", entry.directory.targets)
-                self.assertIsNotNone(entry.usage.read_age(0.0))
+                self.assertIsNotNone(entry.usage.compute_age(0.0))
             await asyncio.sleep(1.5)
             self.assertEqual({entry.usage.entries for entry in stage.entries.values()}, {68})
 
--- a/tillerlane/gateway/usage.py
+++ b/tillerlane/gateway/usage.py
@@ -9,36 +9,36 @@
 from tillerlane.gateway import loads
 from tillerlane.peers import messages
 
-__all__ = ["Taken", "Usage"]
+__all__ = ["DigestResult", "Usage"]
 
-OTHERS_SECONDS = 3.0
+DIGEST_TTL_SECONDS = 3.0
 """How long a keeper's digest counts; it comes at least once a second."""
 RATE_SECONDS = 5.0
 """Time over which this entry's own rate of requests is smoothed: a thin entry sends two prompts in
 it."""
-LEAST_RATE_SECONDS = 1.0
+MIN_RATE_SECONDS = 1.0
 """Time over which a rate is taken at least, so that one request alone is one a second."""
-WORD_SECONDS = 0.2
+INITIAL_REPORT_AGE_SECONDS = 0.2
 """Age of other entries' word until it was measured."""
-WORD_WAYS = 2.0
+REPORT_AGE_FACTOR = 2.0
 """Another entry's word takes as many times as long as the own one takes back to this entry: it
 waits once more, for its keeper's batch to this entry's keeper."""
 AGE_WEIGHT = 0.1
 """Weight of one more measurement of that time: smoothed over some ten sends of a prompt."""
-PACE_SECONDS = 20.0
+EVENT_TIMES_SECONDS = 20.0
 """Time over which a runner's pace is smoothed: one run writes for some 8 s, and the pace is told
 from all entries' runs there."""
-MOST_TOLD = 160
+MAX_SENT_REPORTS = 160
 """Own words kept to take them off the keepers' sums: three seconds of them, at the fastest pace."""
 
 _NOTHING = loads.Use()
 
 
-class Taken(enum.Enum):
+class DigestResult(enum.Enum):
     """What became of a digest."""
 
-    GOOD = "good"
-    OLD = "old"
+    APPLIED = "good"
+    STALE = "old"
     GAP = "gap"
     """One before it is missing, so that all of it has to be asked for."""
 
@@ -80,7 +80,7 @@
         After a common start all callers come back at once, and entries that took their rate for
         low would all follow each other to the same runners.
         """
-        counted = max(LEAST_RATE_SECONDS, now - self.began_at)
+        counted = max(MIN_RATE_SECONDS, now - self.began_at)
         return self._decay(now) / (1 - math.exp(-counted / RATE_SECONDS))
 
     def _decay(self, now: float) -> float:
@@ -115,9 +115,9 @@
         """That own word."""
         self._others: dict[str, loads.Use] = {}
         """The total without it, but for the pace, which is that of all entries."""
-        self._told: collections.deque[_Told] = collections.deque(maxlen=MOST_TOLD)
+        self._told: collections.deque[_Told] = collections.deque(maxlen=MAX_SENT_REPORTS)
         self._included_sequence = 0
-        self._way_seconds = WORD_SECONDS / WORD_WAYS
+        self._way_seconds = INITIAL_REPORT_AGE_SECONDS / REPORT_AGE_FACTOR
         """Time from an urgent own word to the digest that has it."""
         self._keeper = ""
         self._digest_sequence = 0
@@ -151,22 +151,22 @@
         if max(abs(tokens), abs(unread)) >= loads.URGENT_CHANGE_TOKENS:
             self.urgent.set()
 
-    def forget_pace(self, address: str) -> None:
+    def discard_event_times(self, address: str) -> None:
         """Forget how fast a target wrote that has started again."""
         self._paces.pop(address, None)
 
-    def note_events(self, address: str, events: int, seconds: float, now: float) -> None:
+    def record_events(self, address: str, events: int, seconds: float, now: float) -> None:
         """Count events of a stream that came from a target after a wait."""
         pace = self._paces.get(address)
         if pace is None:
             self._paces[address] = _Pace(events, seconds, now)
             return
-        kept = math.exp((pace.at - now) / PACE_SECONDS)
+        kept = math.exp((pace.at - now) / EVENT_TIMES_SECONDS)
         pace.events = pace.events * kept + events
         pace.seconds = pace.seconds * kept + seconds
         pace.at = now
 
-    def read_own(self, address: str) -> loads.Use:
+    def get_own(self, address: str) -> loads.Use:
         """What this entry has under way at a target."""
         return dataclasses.replace(self._own.get(address, _NOTHING))
 
@@ -179,26 +179,26 @@
         """This entry's requests under way."""
         return sum(use.requests for use in self._own.values())
 
-    def note_request(self, pool: str, now: float) -> None:
+    def record_request(self, pool: str, now: float) -> None:
         """Count a request that this entry sends to a pool."""
         self._rates.setdefault(pool, _Rate(now)).note(now)
 
-    def read_unheard(self, pool: str, now: float) -> float:
+    def estimate_unreported(self, pool: str, now: float) -> float:
         """Requests that other entries have probably sent to a pool unheard of by this one.
 
         Callers are spread over the entries, so that the others send as often as this one.
         """
         rate = self._rates.get(pool)
         others = max(0, self.entries - 1)
-        return rate.read(now) * others * self.read_word_seconds() if rate is not None else 0.0
+        return rate.read(now) * others * self.get_report_age() if rate is not None else 0.0
 
-    def read_word_seconds(self) -> float:
+    def get_report_age(self) -> float:
         """Age of other entries' word when it comes here, as far as it was seen."""
-        return self._way_seconds * WORD_WAYS
+        return self._way_seconds * REPORT_AGE_FACTOR
 
     # All entries'
 
-    def read(self, address: str) -> loads.Use:
+    def get(self, address: str) -> loads.Use:
         """All that is known to be under way at a target; not to be changed.
 
         It takes the same time however many entries there are, and makes nothing anew where this
@@ -212,7 +212,7 @@
         total.add(own)
         return total
 
-    def take(self, digest: messages.LoadDigest, now: float) -> Taken:
+    def handle_digest(self, digest: messages.LoadDigest, now: float) -> DigestResult:
         """Take a keeper's digest.
 
         Raises
@@ -222,9 +222,9 @@
         """
         is_same = digest.keeper == self._keeper
         if is_same and digest.sequence < self._digest_sequence + (not digest.whole):
-            return Taken.OLD
+            return DigestResult.STALE
         if not digest.whole and not (is_same and digest.sequence == self._digest_sequence + 1):
-            return Taken.GAP
+            return DigestResult.GAP
         uses = loads.read_uses(digest.table)
         if digest.whole:
             self._total = {}
@@ -241,7 +241,7 @@
             self._others = {}
         for address in {*uses, *former, *self._included}:
             self._note_others(address)
-        return Taken.GOOD
+        return DigestResult.APPLIED
 
     def _find_own_word(self, sequence: int, now: float) -> dict[str, loads.Use]:
         """The own word that is in the total; one of a former start is not known any more."""
@@ -271,20 +271,20 @@
             total.event_ms,
         )
 
-    def read_age(self, now: float) -> float | None:
+    def compute_age(self, now: float) -> float | None:
         """Seconds since the last digest; None without one that counts."""
         return None if self._heard_at is None else now - self._heard_at
 
-    def forget_others(self, now: float) -> bool:
+    def expire_others(self, now: float) -> bool:
         """Go by what is known here alone after a long silence; whether that begins now."""
-        if self._heard_at is None or now - self._heard_at < OTHERS_SECONDS:
+        if self._heard_at is None or now - self._heard_at < DIGEST_TTL_SECONDS:
             return False
         self._heard_at = None
         self._keeper = ""
         self._total, self._included, self._others = {}, {}, {}
         return True
 
-    def write(self, started_ms: int, now: float) -> messages.EntryLoads:
+    def build_report(self, started_ms: int, now: float) -> messages.EntryLoads:
         """This entry's word; sequences of a later start of the process are higher."""
         self.changed = False
         is_urgent = self.urgent.is_set()
@@ -293,7 +293,7 @@
         sequence = started_ms * 1_000_000 + self._sequence
         uses = {address: dataclasses.replace(use) for address, use in self._own.items()}
         for address, pace in list(self._paces.items()):
-            kept = math.exp((pace.at - now) / PACE_SECONDS)
+            kept = math.exp((pace.at - now) / EVENT_TIMES_SECONDS)
             events, event_ms = round(pace.events * kept), round(pace.seconds * kept * 1000)
             if events < 1:
                 del self._paces[address]
--- a/tillerlane/testing/engine_play.py
+++ b/tillerlane/testing/engine_play.py
@@ -36,7 +36,7 @@
 TOKENS_A_SECOND = 14_000
 """Prompt tokens that are read in a second of reading."""
 EVENT_TOKENS = 4
-WORD_SECONDS = 0.2
+REPORT_AGE_SECONDS = 0.2
 """Age of what the chooser sees, unless a play says otherwise."""
 TICK_SECONDS = 0.05
 """Pause between two looks at the runners; with fresher word, as long as that is old."""
@@ -197,7 +197,7 @@
     choose: Choose,
     *,
     knows_pace: bool = True,
-    word_seconds: float = WORD_SECONDS,
+    word_seconds: float = REPORT_AGE_SECONDS,
 ) -> list[Outcome]:
     """Play a load to its end.
 
