--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -36,10 +36,10 @@
     return f"10.{number // 250}.{number % 250}.9:9000"
 
 
-def build_ledger(entries: int, targets: int) -> loads.Ledger:
+def build_ledger(entries: int, targets: int) -> loads.LoadAggregator:
     """A keeper that was told the loads of so many entries."""
     rng = random.Random(1)
-    ledger = loads.Ledger("keeper-1", 1)
+    ledger = loads.LoadAggregator("keeper-1", 1)
     for entry in range(entries):
         uses = [
             messages.TargetUse(
@@ -47,7 +47,7 @@
             )
             for number in rng.sample(range(targets), TARGETS_AN_ENTRY)
         ]
-        ledger.take_word(messages.EntryLoads(f"entry-{entry}", 1, uses), 0.0)
+        ledger.handle_report(messages.EntryLoads(f"entry-{entry}", 1, uses), 0.0)
     return ledger
 
 
@@ -61,9 +61,9 @@
         )
     usage = usages.Usage("entry-own")
     ledger = build_ledger(entries, targets)
-    while ledger.write_changes() is not None:
+    while ledger.build_delta_digest() is not None:
         pass  # what is told is bounded a digest
-    usage.handle_digest(ledger.write_whole(), 0.0)
+    usage.handle_digest(ledger.build_full_digest(), 0.0)
     usage.entries = entries + 1
     for _ in range(REQUESTS):
         usage.record_request("llm", 0.0)
@@ -80,8 +80,8 @@
 def measure_digest(targets: int) -> tuple[float, float, int]:
     """Microseconds to write a digest and to take it in, and its bytes on the wire."""
     ledger = build_ledger(targets * 4, targets)
-    table = loads.write_uses(
-        (get_address(number), ledger.read(get_address(number))) for number in range(targets)
+    table = loads.encode_loads(
+        (get_address(number), ledger.get(get_address(number))) for number in range(targets)
     )
     digest = messages.LoadDigest("keeper-1", 1, 0, True, table)
     frame = codec.encode(messages.Envelope(1, 1, 0, digest))
@@ -91,8 +91,8 @@
         assert isinstance(body, messages.LoadDigest)
         usages.Usage("entry-own").handle_digest(body, 0.0)
 
-    uses = list(loads.read_uses(table).items())
-    writing = timeit.repeat(lambda: loads.write_uses(uses), number=CALLS, repeat=ROUNDS)
+    uses = list(loads.decode_loads(table).items())
+    writing = timeit.repeat(lambda: loads.encode_loads(uses), number=CALLS, repeat=ROUNDS)
     taking = timeit.repeat(take, number=CALLS, repeat=ROUNDS)
     return min(writing) / CALLS * 1e6, min(taking) / CALLS * 1e6, len(frame)
 
@@ -103,7 +103,7 @@
     for entries, targets in SIZES:
         print(f"| {entries} | {targets} | {measure_choice(entries, targets):.0f} |")
     print("\n| targets told | us to write | us to take | bytes |\n| --- | --- | --- | --- |")
-    for targets in (10, 30, loads.MOST_ROWS):
+    for targets in (10, 30, loads.MAX_ROWS):
         writing, taking, size = measure_digest(targets)
         print(f"| {targets} | {writing:.0f} | {taking:.0f} | {size} |")
 
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -128,7 +128,7 @@
         self._greeted: set[links.Link] = set()
         """Links of keepers that were told all targets."""
         self._entries: dict[str, float] = {}
-        self._loads = loads.Ledger(own.name, int(self._around.now() * 1000))
+        self._loads = loads.LoadAggregator(own.name, int(self._around.now() * 1000))
         self._to_keepers = news.News(
             SPREAD_SECONDS,
             lambda targets: self._send_to_keepers(directories.write_states(targets)),
@@ -333,10 +333,10 @@
                 self._take_states(link, directories.read_states(body))
             case messages.EntryLoads():
                 self._entries[body.entry] = self._loop.time()
-                self._loads.take_word(body, self._loop.time())
+                self._loads.handle_report(body, self._loop.time())
             case messages.PassedLoads():
                 self._entries.update(dict.fromkeys(body.entries, self._loop.time()))
-                self._loads.take_passed(body, self._loop.time())
+                self._loads.handle_forwarded(body, self._loop.time())
             case messages.TargetEnds():
                 self.verdicts.take(suspects.read_ends(body))
             case messages.TargetLimits():
@@ -363,7 +363,7 @@
         self._subscribers[link] = body
         self._entries[body.entry] = self._loop.time()
         if body.loads:
-            self._send_digest(link, self._loads.write_whole())
+            self._send_digest(link, self._loads.build_full_digest())
         if not is_new:
             return
         self.timeline.record("entry.subscribed", entry=body.entry, version=body.have)
@@ -435,14 +435,16 @@
             now = self._loop.time()
             dropped = self._loads.expire(now)
             if dropped:
-                self.timeline.record("loads.expired", entries=dropped, after_s=loads.WORD_SECONDS)
-            passed = self._loads.write_passed()
+                self.timeline.record(
+                    "loads.expired", entries=dropped, after_s=loads.REPORT_TTL_SECONDS
+                )
+            passed = self._loads.build_forwarded()
             if passed is not None:
                 self._send_to_keepers(passed)
             is_due = now - whole_at > QUIET_LOADS_SECONDS
             is_paced = now - paced_at > LOADS_SECONDS
-            least = loads.LEAST_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
-            digest = self._loads.write_changes(least, is_due=is_due)
+            least = loads.MIN_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
+            digest = self._loads.build_delta_digest(least, is_due=is_due)
             if is_due:
                 whole_at = now
             if is_paced:
@@ -454,7 +456,7 @@
                     self._send_digest(link, digest)
 
     def _send_digest(self, link: links.Link, digest: messages.LoadDigest) -> None:
-        included = self._loads.read_included(self._subscribers[link].entry)
+        included = self._loads.get_included_sequence(self._subscribers[link].entry)
         links.try_send(link, dataclasses.replace(digest, included=included))
 
     def _send_to_keepers(self, body: messages.Body) -> None:
--- a/tillerlane/gateway/loads.py
+++ b/tillerlane/gateway/loads.py
@@ -15,17 +15,25 @@
 
 from tillerlane.peers import codec, messages
 
-__all__ = ["FIELDS", "MOST_ROWS", "WORD_SECONDS", "Ledger", "Use", "read_uses", "write_uses"]
-
-WORD_SECONDS = 3.0
+__all__ = [
+    "FIELDS",
+    "MAX_ROWS",
+    "REPORT_TTL_SECONDS",
+    "LoadAggregator",
+    "TargetLoad",
+    "decode_loads",
+    "encode_loads",
+]
+
+REPORT_TTL_SECONDS = 3.0
 """How long a word counts; entries tell theirs at least once a second.  What an entry that died had
 under way is counted for so long, and no longer."""
-MOST_ROWS = 120
+MAX_ROWS = 120
 """Targets of one digest at most, those first that changed most; the rest follow with the next.
 It bounds what an entry hears however many targets there are: 5.9 kB a digest, 1.6 kB with 30
 targets (`benchmarks/choices.py`), of which 50 come a second at most."""
 
-LEAST_CHANGE_TOKENS = 128
+MIN_CHANGE_TOKENS = 128
 """Change of a target that is told at the usual pace; what is less waits for the next digest that is
 due (a second at most).  A run writes that much in a second, 0.4 in 100 of a runner's memory."""
 URGENT_CHANGE_TOKENS = 1_000
@@ -34,7 +42,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Use:
+class TargetLoad:
     """What is under way at a target.
 
     Attributes
@@ -64,7 +72,7 @@
         most = max(self.requests, self.tokens, self.unread, self.unsaved, self.events)
         return most <= 0
 
-    def add(self, other: "Use", sign: int = 1) -> None:
+    def add(self, other: "TargetLoad", sign: int = 1) -> None:
         """Add another use, or with `sign` -1 take it off."""
         self.requests += sign * other.requests
         self.tokens += sign * other.tokens
@@ -73,7 +81,7 @@
         self.events += sign * other.events
         self.event_ms += sign * other.event_ms
 
-    def read_change(self, former: "Use") -> int:
+    def compute_change(self, former: "TargetLoad") -> int:
         """How much it differs from a former use, in tokens of memory."""
         # A request counts as a short prompt, so that plain services' targets rank beside runners.
         return (
@@ -85,18 +93,18 @@
 
 FIELDS = ("requests", "tokens", "unread", "unsaved", "events", "event_ms")
 _REQUEST_TOKENS = 1_000
-_NOTHING = Use()
-Uses = dict[str, Use]
+_NOTHING = TargetLoad()
+Loads = dict[str, TargetLoad]
 
 
-def write_uses(uses: Iterable[tuple[str, Use]]) -> bytes:
+def encode_loads(uses: Iterable[tuple[str, TargetLoad]]) -> bytes:
     """Uses by address as a table; what can't be (below 0) is told as 0."""
     rows = list(uses)
     columns = [[max(0, getattr(use, name)) for _, use in rows] for name in FIELDS]
     return codec.write_table(messages.UseTable([address for address, _ in rows], *columns))
 
 
-def read_uses(data: bytes) -> Uses:
+def decode_loads(data: bytes) -> Loads:
     """Uses by address from a table.
 
     Raises
@@ -107,11 +115,12 @@
     return dict(_read_rows(data))
 
 
-def _read_rows(data: bytes) -> list[tuple[str, Use]]:
+def _read_rows(data: bytes) -> list[tuple[str, TargetLoad]]:
     table = codec.read_table(data, messages.UseTable)
     columns = [getattr(table, name) for name in FIELDS]
     return [
-        (address, Use(*values)) for address, *values in zip(table.addresses, *columns, strict=True)
+        (address, TargetLoad(*values))
+        for address, *values in zip(table.addresses, *columns, strict=True)
     ]
 
 
@@ -121,10 +130,10 @@
 
     sequence: int
     heard_at: float
-    uses: Uses
+    uses: Loads
 
 
-class Ledger:
+class LoadAggregator:
     """Loads of all entries, as one keeper knows them.
 
     Parameters
@@ -142,16 +151,16 @@
         self._words: dict[str, _Word] = {}
         self._unpassed: set[str] = set()
         """Entries whose own word came here since the last batch."""
-        self._total: Uses = collections.defaultdict(Use)
+        self._total: Loads = collections.defaultdict(TargetLoad)
         self._changed: set[str] = set()
-        self._told: Uses = {}
+        self._told: Loads = {}
 
     # What is heard
 
-    def take_word(self, word: messages.EntryLoads, now: float) -> bool:
+    def handle_report(self, word: messages.EntryLoads, now: float) -> bool:
         """Take an entry's own word; False if a later one is held."""
         uses = {
-            item.address: Use(
+            item.address: TargetLoad(
                 item.requests, item.tokens, item.unread, item.unsaved, item.events, item.event_ms
             )
             for item in word.uses
@@ -161,7 +170,7 @@
             self._unpassed.add(word.entry)
         return is_later
 
-    def take_passed(self, passed: messages.PassedLoads, now: float) -> None:
+    def handle_forwarded(self, passed: messages.PassedLoads, now: float) -> None:
         """Take words that another keeper was told.
 
         Raises
@@ -181,7 +190,7 @@
     def expire(self, now: float) -> list[str]:
         """Drop the words of entries that told nothing for long; gives the entries."""
         dropped = [
-            entry for entry, word in self._words.items() if now - word.heard_at > WORD_SECONDS
+            entry for entry, word in self._words.items() if now - word.heard_at > REPORT_TTL_SECONDS
         ]
         for entry in dropped:
             self._count(self._words.pop(entry), None)
@@ -212,16 +221,16 @@
 
     # What is told
 
-    def read(self, address: str) -> Use:
+    def get(self, address: str) -> TargetLoad:
         """All that is known to be under way at a target."""
         return dataclasses.replace(self._total.get(address, _NOTHING))
 
-    def read_included(self, entry: str) -> int:
+    def get_included_sequence(self, entry: str) -> int:
         """Sequence of the entry's word that is in the sums; 0 if none is."""
         word = self._words.get(entry)
         return word.sequence if word is not None else 0
 
-    def write_passed(self) -> messages.PassedLoads | None:
+    def build_forwarded(self) -> messages.PassedLoads | None:
         """The words that came here from entries since the last batch; None if none did."""
         words = [(entry, self._words[entry]) for entry in self._unpassed if entry in self._words]
         self._unpassed.clear()
@@ -231,22 +240,22 @@
             [entry for entry, _ in words],
             [word.sequence for _, word in words],
             [len(word.uses) for _, word in words],
-            write_uses(row for _, word in words for row in word.uses.items()),
+            encode_loads(row for _, word in words for row in word.uses.items()),
         )
 
-    def write_changes(
-        self, least: int = LEAST_CHANGE_TOKENS, *, is_due: bool = False
+    def build_delta_digest(
+        self, min_change: int = MIN_CHANGE_TOKENS, *, is_due: bool = False
     ) -> messages.LoadDigest | None:
         """What changed since the last digest, for all subscribers; None if nothing did.
 
-        Targets that changed by less than `least` tokens are left for later.  With `is_due` it is
-        written all the same, and small changes are told too.  For each subscriber,
-        `read_included` is put in.
+        Targets that changed by less than `min_change` tokens are left for later.  With `is_due` it
+        is written all the same, and small changes are told too.  For each subscriber,
+        `get_included_sequence` is put in.
         """
-        addresses = self._pick_rows(0 if is_due else least)
+        addresses = self._pick_rows(0 if is_due else min_change)
         if not addresses and not is_due:
             return None
-        rows = [(address, self.read(address)) for address in addresses]
+        rows = [(address, self.get(address)) for address in addresses]
         for address, use in rows:
             self._changed.discard(address)
             if use.is_empty:
@@ -254,21 +263,27 @@
             else:
                 self._told[address] = use
         self._digest_sequence += 1
-        return self._build_digest(rows, whole=False)
+        return self._encode_digest(rows, whole=False)
 
-    def _pick_rows(self, least: int) -> list[str]:
+    def _pick_rows(self, min_change: int) -> list[str]:
         """Targets that changed by so many tokens at least, those first that changed most."""
 
-        def read_change(address: str) -> int:
-            return self._total.get(address, _NOTHING).read_change(self._told.get(address, _NOTHING))
+        def compute_change(address: str) -> int:
+            return self._total.get(address, _NOTHING).compute_change(
+                self._told.get(address, _NOTHING)
+            )
 
-        changes = [(read_change(address), address) for address in self._changed]
-        found = sorted((item for item in changes if item[0] >= least), reverse=True)
-        return [address for _, address in found[:MOST_ROWS]]
+        changes = [(compute_change(address), address) for address in self._changed]
+        found = sorted((item for item in changes if item[0] >= min_change), reverse=True)
+        return [address for _, address in found[:MAX_ROWS]]
 
-    def write_whole(self) -> messages.LoadDigest:
+    def build_full_digest(self) -> messages.LoadDigest:
         """All that the subscribers were told, for one that is new or missed a digest."""
-        return self._build_digest(list(self._told.items()), whole=True)
+        return self._encode_digest(list(self._told.items()), whole=True)
 
-    def _build_digest(self, rows: list[tuple[str, Use]], *, whole: bool) -> messages.LoadDigest:
-        return messages.LoadDigest(self._keeper, self._digest_sequence, 0, whole, write_uses(rows))
+    def _encode_digest(
+        self, rows: list[tuple[str, TargetLoad]], *, whole: bool
+    ) -> messages.LoadDigest:
+        return messages.LoadDigest(
+            self._keeper, self._digest_sequence, 0, whole, encode_loads(rows)
+        )
--- a/tillerlane/gateway/selection.py
+++ b/tillerlane/gateway/selection.py
@@ -189,10 +189,10 @@
         unheard: float,
         is_sent_now: bool,
         may_ask: bool,
-    ) -> list[tuple[directories.Target, loads.Use]]:
+    ) -> list[tuple[directories.Target, loads.TargetLoad]]:
         """Draw some targets of each group, with what is under way at each; the best rank only."""
         now = self._now()
-        found: list[tuple[directories.Target, loads.Use]] = []
+        found: list[tuple[directories.Target, loads.TargetLoad]] = []
         best = (True, True, True, True)
         wishes = permits.MOST_WISHES if is_sent_now else 0
         for group in groups:
@@ -249,7 +249,7 @@
         self,
         pool: routes.Pool,
         target: directories.Target,
-        use: loads.Use,
+        use: loads.TargetLoad,
         work: placing.Work,
         pace: float,
         now: float,
@@ -308,5 +308,5 @@
         yield targets[position]
 
 
-def _has_room(pool: routes.Pool, use: loads.Use, tokens: int, share: float) -> bool:
+def _has_room(pool: routes.Pool, use: loads.TargetLoad, tokens: int, share: float) -> bool:
     return pool.engine is None or use.tokens + tokens <= pool.engine.memory_tokens * share
--- a/tillerlane/gateway/tests/test_loads.py
+++ b/tillerlane/gateway/tests/test_loads.py
@@ -21,16 +21,16 @@
     return messages.EntryLoads(entry, sequence, rows)
 
 
-def pass_words(giver: loads.Ledger, taker: loads.Ledger, now: float) -> None:
+def pass_words(giver: loads.LoadAggregator, taker: loads.LoadAggregator, now: float) -> None:
     """Pass on to another keeper what came since the last batch."""
-    passed = giver.write_passed()
+    passed = giver.build_forwarded()
     if passed is not None:
-        taker.take_passed(passed, now)
+        taker.handle_forwarded(passed, now)
 
 
-def read_tokens(ledger: loads.Ledger, address: str = ADDRESS) -> int:
+def read_tokens(ledger: loads.LoadAggregator, address: str = ADDRESS) -> int:
     """Memory under way at a target, as a keeper knows it."""
-    return ledger.read(address).tokens
+    return ledger.get(address).tokens
 
 
 class LedgerTest(unittest.TestCase):
@@ -38,37 +38,37 @@
 
     def setUp(self) -> None:
         """Both have just started."""
-        self.first = loads.Ledger("keeper-1", 1)
-        self.second = loads.Ledger("keeper-2", 1)
+        self.first = loads.LoadAggregator("keeper-1", 1)
+        self.second = loads.LoadAggregator("keeper-2", 1)
 
     def test_later_word_replaces_earlier_and_not_the_other_way(self) -> None:
-        self.assertTrue(self.first.take_word(build_word("entry-1", 2, 500), 0.0))
-        self.assertFalse(self.first.take_word(build_word("entry-1", 1, 900), 0.1))
+        self.assertTrue(self.first.handle_report(build_word("entry-1", 2, 500), 0.0))
+        self.assertFalse(self.first.handle_report(build_word("entry-1", 1, 900), 0.1))
         self.assertEqual(read_tokens(self.first), 500)
 
     def test_entry_that_changes_its_keeper_counts_once(self) -> None:
-        self.first.take_word(build_word("entry-1", 1, 500), 0.0)
+        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
         pass_words(self.first, self.second, 0.0)
-        self.second.take_word(build_word("entry-1", 2, 700), 0.1)
+        self.second.handle_report(build_word("entry-1", 2, 700), 0.1)
         pass_words(self.second, self.first, 0.2)
         self.assertEqual(read_tokens(self.first), 700)
         pass_words(self.first, self.second, 0.3)
         self.assertEqual(read_tokens(self.second), 700)
 
     def test_entry_whose_keeper_died_counts_once_at_the_other(self) -> None:
-        self.first.take_word(build_word("entry-1", 1, 500), 0.0)
+        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
         pass_words(self.first, self.second, 0.0)
-        self.second.take_word(build_word("entry-1", 2, 510), 0.4)
+        self.second.handle_report(build_word("entry-1", 2, 510), 0.4)
         self.assertEqual(read_tokens(self.second), 510)
 
     def test_entry_that_died_counts_for_as_long_as_a_word_does(self) -> None:
-        self.first.take_word(build_word("entry-1", 1, 500), 0.0)
+        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
         pass_words(self.first, self.second, 0.0)
-        self.assertEqual(self.first.expire(loads.WORD_SECONDS), [])
-        self.assertEqual(self.second.expire(loads.WORD_SECONDS), [])
+        self.assertEqual(self.first.expire(loads.REPORT_TTL_SECONDS), [])
+        self.assertEqual(self.second.expire(loads.REPORT_TTL_SECONDS), [])
         self.assertEqual((read_tokens(self.first), read_tokens(self.second)), (500, 500))
         for ledger in (self.first, self.second):
-            self.assertEqual(ledger.expire(loads.WORD_SECONDS + 0.1), ["entry-1"])
+            self.assertEqual(ledger.expire(loads.REPORT_TTL_SECONDS + 0.1), ["entry-1"])
         self.assertEqual((read_tokens(self.first), read_tokens(self.second)), (0, 0))
 
     def test_entry_that_started_again_replaces_its_former_self(self) -> None:
@@ -76,101 +76,101 @@
         entry.add(ADDRESS, tokens=900)
         for _ in range(5):
             word = entry.build_report(1_000, 0.0)
-        self.first.take_word(word, 0.0)
-        self.assertTrue(self.first.take_word(started_again.build_report(2_000, 0.1), 0.1))
+        self.first.handle_report(word, 0.0)
+        self.assertTrue(self.first.handle_report(started_again.build_report(2_000, 0.1), 0.1))
         self.assertEqual(read_tokens(self.first), 0)
 
     def test_keeper_that_started_again_learns_from_the_entries_next_words(self) -> None:
-        self.first.take_word(build_word("entry-1", 8, 500), 0.0)
+        self.first.handle_report(build_word("entry-1", 8, 500), 0.0)
         pass_words(self.first, self.second, 0.0)
-        again = loads.Ledger("keeper-1", 2)
-        again.take_word(build_word("entry-1", 9, 40), 1.0)
+        again = loads.LoadAggregator("keeper-1", 2)
+        again.handle_report(build_word("entry-1", 9, 40), 1.0)
         pass_words(again, self.second, 1.0)
         self.assertEqual((read_tokens(again), read_tokens(self.second)), (40, 40))
 
     def test_batch_that_comes_out_of_order_changes_nothing(self) -> None:
-        self.first.take_word(build_word("entry-1", 1, 500), 0.0)
-        early = self.first.write_passed()
-        self.first.take_word(build_word("entry-1", 2, 800), 0.1)
-        late = self.first.write_passed()
+        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
+        early = self.first.build_forwarded()
+        self.first.handle_report(build_word("entry-1", 2, 800), 0.1)
+        late = self.first.build_forwarded()
         assert early is not None and late is not None
-        self.second.take_passed(late, 0.2)
-        self.second.take_passed(early, 0.3)
+        self.second.handle_forwarded(late, 0.2)
+        self.second.handle_forwarded(early, 0.3)
         self.assertEqual(read_tokens(self.second), 800)
 
     def test_batch_keeps_the_rows_of_each_entry_apart(self) -> None:
         rows = [messages.TargetUse("a1", 1, 10), messages.TargetUse("a2", 2, 20)]
-        self.first.take_word(messages.EntryLoads("entry-1", 1, rows), 0.0)
-        self.first.take_word(messages.EntryLoads("entry-2", 1, []), 0.0)
-        self.first.take_word(build_word("entry-3", 1, 500, "a2"), 0.0)
+        self.first.handle_report(messages.EntryLoads("entry-1", 1, rows), 0.0)
+        self.first.handle_report(messages.EntryLoads("entry-2", 1, []), 0.0)
+        self.first.handle_report(build_word("entry-3", 1, 500, "a2"), 0.0)
         pass_words(self.first, self.second, 0.0)
         self.assertEqual([read_tokens(self.second, item) for item in ("a1", "a2")], [10, 520])
-        self.second.take_word(messages.EntryLoads("entry-1", 2, []), 0.1)
+        self.second.handle_report(messages.EntryLoads("entry-1", 2, []), 0.1)
         self.assertEqual([read_tokens(self.second, item) for item in ("a1", "a2")], [0, 500])
 
     def test_nothing_is_told_where_nothing_changed(self) -> None:
-        self.first.take_word(build_word("entry-1", 1, 500), 0.0)
-        self.assertIsNotNone(self.first.write_passed())
-        self.assertIsNotNone(self.first.write_changes())
-        self.first.take_word(build_word("entry-1", 2, 500), 1.0)
-        self.assertIsNotNone(self.first.write_passed())  # that it still counts
-        self.assertIsNone(self.first.write_passed())
-        self.assertIsNone(self.first.write_changes())
+        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
+        self.assertIsNotNone(self.first.build_forwarded())
+        self.assertIsNotNone(self.first.build_delta_digest())
+        self.first.handle_report(build_word("entry-1", 2, 500), 1.0)
+        self.assertIsNotNone(self.first.build_forwarded())  # that it still counts
+        self.assertIsNone(self.first.build_forwarded())
+        self.assertIsNone(self.first.build_delta_digest())
 
     def test_small_changes_are_told_when_a_digest_is_due(self) -> None:
-        self.first.take_word(build_word("entry-1", 1, 500), 0.0)
-        self.first.write_changes()
-        self.first.take_word(build_word("entry-1", 2, 520), 0.1)
-        self.assertIsNone(self.first.write_changes())
-        digest = self.first.write_changes(is_due=True)
+        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
+        self.first.build_delta_digest()
+        self.first.handle_report(build_word("entry-1", 2, 520), 0.1)
+        self.assertIsNone(self.first.build_delta_digest())
+        digest = self.first.build_delta_digest(is_due=True)
         assert digest is not None
-        self.assertEqual(loads.read_uses(digest.table)[ADDRESS].tokens, 520)
+        self.assertEqual(loads.decode_loads(digest.table)[ADDRESS].tokens, 520)
 
     def test_small_changes_that_add_up_are_told(self) -> None:
-        self.first.take_word(build_word("entry-1", 1, 500), 0.0)
-        self.first.write_changes()
+        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
+        self.first.build_delta_digest()
         told = 0
         for step in range(1, 11):
-            self.first.take_word(build_word("entry-1", 1 + step, 500 + 20 * step), 0.1 * step)
-            told += self.first.write_changes() is not None
+            self.first.handle_report(build_word("entry-1", 1 + step, 500 + 20 * step), 0.1 * step)
+            told += self.first.build_delta_digest() is not None
         self.assertEqual(told, 1)
 
     def test_digest_is_bounded_and_tells_the_largest_changes_first(self) -> None:
-        number = loads.MOST_ROWS + 30
+        number = loads.MAX_ROWS + 30
         rows = [messages.TargetUse(f"10.0.9.{item}:9000", 1, 200 * item) for item in range(number)]
-        self.first.take_word(messages.EntryLoads("entry-1", 1, rows), 0.0)
-        digest = self.first.write_changes()
+        self.first.handle_report(messages.EntryLoads("entry-1", 1, rows), 0.0)
+        digest = self.first.build_delta_digest()
         assert digest is not None
-        told = loads.read_uses(digest.table)
-        self.assertEqual(len(told), loads.MOST_ROWS)
+        told = loads.decode_loads(digest.table)
+        self.assertEqual(len(told), loads.MAX_ROWS)
         self.assertNotIn("10.0.9.5:9000", told)
-        rest = self.first.write_changes()
+        rest = self.first.build_delta_digest()
         assert rest is not None
-        self.assertEqual(len(loads.read_uses(rest.table)), 30)
+        self.assertEqual(len(loads.decode_loads(rest.table)), 30)
 
     @profiles.choose(60)
     @given(strategies.randoms(use_true_random=False))
     def test_totals_are_the_sum_of_the_latest_words(self, rng: random.Random) -> None:
         """Whatever comes late, twice, or by whichever keeper."""
-        ledgers = [loads.Ledger(f"keeper-{number}", 1) for number in range(3)]
+        ledgers = [loads.LoadAggregator(f"keeper-{number}", 1) for number in range(3)]
         latest: dict[str, dict[str, int]] = {}
-        under_way: list[tuple[loads.Ledger, messages.PassedLoads]] = []
+        under_way: list[tuple[loads.LoadAggregator, messages.PassedLoads]] = []
         for sequence in range(1, 40):
             entry = f"entry-{rng.randrange(4)}"
             address = f"10.0.9.{rng.randrange(3)}:9000"
             word = build_word(entry, sequence, rng.randrange(5) * 100, address)
             latest[entry] = {item.address: item.tokens for item in word.uses}
             keeper = rng.choice(ledgers)
-            keeper.take_word(word, 0.0)
-            passed = keeper.write_passed()
+            keeper.handle_report(word, 0.0)
+            passed = keeper.build_forwarded()
             assert passed is not None
             under_way += [(other, passed) for other in ledgers if other is not keeper]
             rng.shuffle(under_way)
             for _ in range(rng.randrange(min(3, len(under_way)))):
                 taker, batch = rng.choice(under_way)
-                taker.take_passed(batch, 0.0)
+                taker.handle_forwarded(batch, 0.0)
         for taker, batch in under_way:
-            taker.take_passed(batch, 0.0)
+            taker.handle_forwarded(batch, 0.0)
         for number in range(3):
             address = f"10.0.9.{number}:9000"
             expected = sum(uses.get(address, 0) for uses in latest.values())
@@ -182,24 +182,24 @@
 
     def setUp(self) -> None:
         """An entry with 3,000 tokens under way, another one with 5,000."""
-        self.ledger = loads.Ledger("keeper-1", 1)
+        self.ledger = loads.LoadAggregator("keeper-1", 1)
         self.usage = usages.Usage("entry-1")
         self.usage.add(ADDRESS, requests=1, tokens=3_000)
-        self.ledger.take_word(self.usage.build_report(1, 0.0), 0.0)
-        self.ledger.take_word(build_word("entry-2", 1, 5_000), 0.0)
-        self.ledger.write_changes()
-        self.hear(self.ledger.write_whole())
+        self.ledger.handle_report(self.usage.build_report(1, 0.0), 0.0)
+        self.ledger.handle_report(build_word("entry-2", 1, 5_000), 0.0)
+        self.ledger.build_delta_digest()
+        self.hear(self.ledger.build_full_digest())
 
     def hear(self, digest: messages.LoadDigest | None, now: float = 0.0) -> usages.DigestResult:
         """Take a digest as the keeper addresses it."""
         assert digest is not None
-        digest.included = self.ledger.read_included("entry-1")
+        digest.included = self.ledger.get_included_sequence("entry-1")
         return self.usage.handle_digest(digest, now)
 
     def tell_other(self, sequence: int, tokens: int) -> messages.LoadDigest | None:
         """The digest after another entry's word."""
-        self.ledger.take_word(build_word("entry-2", sequence, tokens), 0.0)
-        return self.ledger.write_changes()
+        self.ledger.handle_report(build_word("entry-2", sequence, tokens), 0.0)
+        return self.ledger.build_delta_digest()
 
     def test_own_load_counts_once_and_at_once(self) -> None:
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
@@ -207,17 +207,17 @@
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
         word = self.usage.build_report(1, 0.1)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
-        self.ledger.take_word(word, 0.1)
-        self.assertEqual(self.hear(self.ledger.write_changes()), usages.DigestResult.APPLIED)
+        self.ledger.handle_report(word, 0.1)
+        self.assertEqual(self.hear(self.ledger.build_delta_digest()), usages.DigestResult.APPLIED)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
         self.usage.add(ADDRESS, requests=-1, tokens=-3_500)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 5_000)
 
     def test_digest_without_its_own_word_leaves_nothing_off(self) -> None:
-        other = loads.Ledger("keeper-2", 1)
-        other.take_word(build_word("entry-2", 1, 5_000), 0.0)
-        other.write_changes()
-        self.usage.handle_digest(other.write_whole(), 0.0)
+        other = loads.LoadAggregator("keeper-2", 1)
+        other.handle_report(build_word("entry-2", 1, 5_000), 0.0)
+        other.build_delta_digest()
+        self.usage.handle_digest(other.build_full_digest(), 0.0)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
 
     def test_digest_that_comes_out_of_order_changes_nothing(self) -> None:
@@ -232,19 +232,21 @@
         self.tell_other(2, 6_000)
         self.assertEqual(self.hear(self.tell_other(3, 7_000)), usages.DigestResult.GAP)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
-        self.assertEqual(self.hear(self.ledger.write_whole()), usages.DigestResult.APPLIED)
+        self.assertEqual(self.hear(self.ledger.build_full_digest()), usages.DigestResult.APPLIED)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 10_000)
 
     def test_keeper_that_started_again_is_heard(self) -> None:
-        self.ledger = loads.Ledger("keeper-1", 2)
-        self.ledger.take_word(build_word("entry-2", 2, 400), 1.0)
-        self.ledger.write_changes()
-        self.assertEqual(self.hear(self.ledger.write_whole(), 1.0), usages.DigestResult.APPLIED)
+        self.ledger = loads.LoadAggregator("keeper-1", 2)
+        self.ledger.handle_report(build_word("entry-2", 2, 400), 1.0)
+        self.ledger.build_delta_digest()
+        self.assertEqual(
+            self.hear(self.ledger.build_full_digest(), 1.0), usages.DigestResult.APPLIED
+        )
         self.assertEqual(self.usage.get(ADDRESS).tokens, 3_400)
 
     def test_target_that_all_have_left_is_struck_out(self) -> None:
         self.usage.add(ADDRESS, requests=-1, tokens=-3_000)
-        self.ledger.take_word(self.usage.build_report(1, 0.1), 0.1)
+        self.ledger.handle_report(self.usage.build_report(1, 0.1), 0.1)
         self.hear(self.tell_other(2, 0))
         self.assertTrue(self.usage.get(ADDRESS).is_empty)
 
@@ -256,10 +258,10 @@
 
     def test_pace_is_that_of_all_entries(self) -> None:
         self.usage.record_events(ADDRESS, 10, 0.3, 0.0)
-        self.ledger.take_word(self.usage.build_report(1, 0.0), 0.0)
+        self.ledger.handle_report(self.usage.build_report(1, 0.0), 0.0)
         rows = [messages.TargetUse(ADDRESS, 1, 5_000, 0, 0, 30, 1_500)]
-        self.ledger.take_word(messages.EntryLoads("entry-2", 2, rows), 0.0)
-        self.hear(self.ledger.write_changes(is_due=True))
+        self.ledger.handle_report(messages.EntryLoads("entry-2", 2, rows), 0.0)
+        self.hear(self.ledger.build_delta_digest(is_due=True))
         use = self.usage.get(ADDRESS)
         self.assertEqual((use.events, use.event_ms), (40, 1_800))
 
@@ -274,8 +276,8 @@
     """Uses on the wire."""
 
     def test_table_reads_back(self) -> None:
-        uses = {f"10.0.9.{item}:1": loads.Use(item, 2, 3, 4, 5, 6) for item in range(40)}
-        self.assertEqual(loads.read_uses(loads.write_uses(uses.items())), uses)
+        uses = {f"10.0.9.{item}:1": loads.TargetLoad(item, 2, 3, 4, 5, 6) for item in range(40)}
+        self.assertEqual(loads.decode_loads(loads.encode_loads(uses.items())), uses)
 
     def test_columns_of_different_lengths_are_refused(self) -> None:
         table = messages.UseTable(["10.0.9.1:1"], [1, 2], [1], [1], [1], [1], [1])
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -119,11 +119,11 @@
 
     def test_others_load_counts_until_it_is_old(self) -> None:
         self.usage.add("a1", requests=1, tokens=9_000)
-        ledger = loads.Ledger("keeper-1", 1)
+        ledger = loads.LoadAggregator("keeper-1", 1)
         word = messages.EntryLoads("entry-1", 1, [messages.TargetUse("a2", 3, 20_000)])
-        ledger.take_word(word, 9.0)
-        ledger.write_changes()
-        self.usage.handle_digest(ledger.write_whole(), 9.0)
+        ledger.handle_report(word, 9.0)
+        ledger.build_delta_digest()
+        self.usage.handle_digest(ledger.build_full_digest(), 9.0)
         self.assertEqual(self.choose(), "t3")
         self.usage.add("a3", requests=1, tokens=12_000)
         self.assertEqual(self.choose(), "t1")
@@ -149,11 +149,11 @@
 
     def test_runs_without_a_copy_are_counted_over_all_entries(self) -> None:
         told = [messages.TargetUse("a1", 1, 3_625, 0, 3_625)]
-        ledger = loads.Ledger("keeper-1", 1)
+        ledger = loads.LoadAggregator("keeper-1", 1)
         for entry in ("entry-1", "entry-3"):
-            ledger.take_word(messages.EntryLoads(entry, 1, told), 10.0)
-        ledger.write_changes()
-        self.usage.handle_digest(ledger.write_whole(), 10.0)
+            ledger.handle_report(messages.EntryLoads(entry, 1, told), 10.0)
+        ledger.build_delta_digest()
+        self.usage.handle_digest(ledger.build_full_digest(), 10.0)
         target = self.directory.targets["t1"]
         self.assertAlmostEqual(
             self.selector.estimate_evacuation_seconds(POOL, target), 0.8, places=2
--- a/tillerlane/gateway/usage.py
+++ b/tillerlane/gateway/usage.py
@@ -31,7 +31,7 @@
 MAX_SENT_REPORTS = 160
 """Own words kept to take them off the keepers' sums: three seconds of them, at the fastest pace."""
 
-_NOTHING = loads.Use()
+_NOTHING = loads.TargetLoad()
 
 
 class DigestResult(enum.Enum):
@@ -57,7 +57,7 @@
     """An own word: its sequence, what it said, when it was written, and whether in a hurry."""
 
     sequence: int
-    uses: dict[str, loads.Use]
+    uses: dict[str, loads.TargetLoad]
     at: float
     is_urgent: bool
 
@@ -107,13 +107,13 @@
 
     def __init__(self, entry: str) -> None:
         self._entry = entry
-        self._own: dict[str, loads.Use] = collections.defaultdict(loads.Use)
+        self._own: dict[str, loads.TargetLoad] = collections.defaultdict(loads.TargetLoad)
         self._paces: dict[str, _Pace] = {}
-        self._total: dict[str, loads.Use] = {}
+        self._total: dict[str, loads.TargetLoad] = {}
         """What the keeper told, this entry's own word included."""
-        self._included: dict[str, loads.Use] = {}
+        self._included: dict[str, loads.TargetLoad] = {}
         """That own word."""
-        self._others: dict[str, loads.Use] = {}
+        self._others: dict[str, loads.TargetLoad] = {}
         """The total without it, but for the pace, which is that of all entries."""
         self._told: collections.deque[_Told] = collections.deque(maxlen=MAX_SENT_REPORTS)
         self._included_sequence = 0
@@ -166,7 +166,7 @@
         pace.seconds = pace.seconds * kept + seconds
         pace.at = now
 
-    def get_own(self, address: str) -> loads.Use:
+    def get_own(self, address: str) -> loads.TargetLoad:
         """What this entry has under way at a target."""
         return dataclasses.replace(self._own.get(address, _NOTHING))
 
@@ -198,7 +198,7 @@
 
     # All entries'
 
-    def get(self, address: str) -> loads.Use:
+    def get(self, address: str) -> loads.TargetLoad:
         """All that is known to be under way at a target; not to be changed.
 
         It takes the same time however many entries there are, and makes nothing anew where this
@@ -225,7 +225,7 @@
             return DigestResult.STALE
         if not digest.whole and not (is_same and digest.sequence == self._digest_sequence + 1):
             return DigestResult.GAP
-        uses = loads.read_uses(digest.table)
+        uses = loads.decode_loads(digest.table)
         if digest.whole:
             self._total = {}
         for address, use in uses.items():
@@ -243,7 +243,7 @@
             self._note_others(address)
         return DigestResult.APPLIED
 
-    def _find_own_word(self, sequence: int, now: float) -> dict[str, loads.Use]:
+    def _find_own_word(self, sequence: int, now: float) -> dict[str, loads.TargetLoad]:
         """The own word that is in the total; one of a former start is not known any more."""
         while self._told and self._told[0].sequence < sequence:
             self._told.popleft()
@@ -262,7 +262,7 @@
             self._others.pop(address, None)
             return
         known = self._included.get(address, _NOTHING)
-        self._others[address] = loads.Use(
+        self._others[address] = loads.TargetLoad(
             max(0, total.requests - known.requests),
             max(0, total.tokens - known.tokens),
             max(0, total.unread - known.unread),
@@ -298,7 +298,7 @@
             if events < 1:
                 del self._paces[address]
                 continue
-            use = uses.setdefault(address, loads.Use())
+            use = uses.setdefault(address, loads.TargetLoad())
             use.events, use.event_ms = events, event_ms
         self._told.append(_Told(sequence, uses, now, is_urgent))
         rows = [
