--- a/tillerlane/gateway/availability.py
+++ b/tillerlane/gateway/availability.py
@@ -72,7 +72,7 @@
         Targets that leave, and evacuated data halls.
     usage : usages.Usage
         Knows how many entries there are.
-    cold : colds.ColdSends
+    cold : colds.ColdLimiter
         What this entry has sent to cold targets.
     permitted : permits.Permits
         What it may send to those that have named limits.
@@ -86,7 +86,7 @@
         self,
         directory: directories.Directory,
         usage: usages.Usage,
-        cold: colds.ColdSends,
+        cold: colds.ColdLimiter,
         permitted: permits.Permits,
         in_backoff: backoffs.Backoffs,
         now: Callable[[], float],
@@ -120,9 +120,9 @@
         backoff_until = self._backoffs.find_end(target.target_id, under_way)
         if backoff_until is not None:
             return Obstacle(Cause.BACKOFF, backoff_until)
-        if not self._cold.may_send(pool, target, self._usage.entries, self._now()):
+        if not self._cold.can_send(pool, target, self._usage.entries, self._now()):
             return _COLD
-        if not self._permits.may_send(target.target_id):
+        if not self._permits.can_send(target.target_id):
             return _LIMITED
         return None
 
@@ -136,9 +136,9 @@
         """Count a request that goes out to a target now, unless something keeps it from there."""
         obstacle = self.find_obstacle(pool, target, goes_on=goes_on, is_counted=True)
         if obstacle is None:
-            self._cold.note_sent(target, self._now())
-            self._permits.note_sent(target.target_id)
-            self._backoffs.note_sent(target.target_id)
+            self._cold.record_send(target, self._now())
+            self._permits.record_send(target.target_id)
+            self._backoffs.record_send(target.target_id)
         return obstacle
 
     def is_held_up(self, pool: routes.Pool, target: directories.Target) -> bool:
@@ -193,7 +193,7 @@
 
     def needs_permit(self, target: directories.Target) -> bool:
         """Whether a target has named a limit and this entry may not send there without asking."""
-        return not self._permits.may_send(target.target_id)
+        return not self._permits.can_send(target.target_id)
 
     async def ask_permit(self, target: directories.Target, seconds: float) -> bool:
         """Ask for a permit and wait for the answer, so long at most; whether one is held then."""
--- a/tillerlane/gateway/backoff.py
+++ b/tillerlane/gateway/backoff.py
@@ -107,7 +107,7 @@
         self._words[target_id] = word
         return word
 
-    def note_sent(self, target_id: str) -> None:
+    def record_send(self, target_id: str) -> None:
         """Count a request that goes out to a target now."""
         word = self._words.get(target_id)
         if word is not None and word.until <= self._now():
--- a/tillerlane/gateway/cold.py
+++ b/tillerlane/gateway/cold.py
@@ -7,7 +7,7 @@
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import routes
 
-__all__ = ["ColdBounds", "ColdSends"]
+__all__ = ["ColdBounds", "ColdLimiter"]
 
 WINDOW_SECONDS = 1.0
 """Time over which a cold target's requests are counted."""
@@ -15,13 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ColdBounds:
-    """Above a cold target's rate times `over` plus `slack` within a second it may fall over."""
+    """Above a cold target's rate times `rate_factor` plus `slack` within a second it may fall
+    over."""
 
-    over: float
+    rate_factor: float
     slack: float
 
 
-class ColdSends:
+class ColdLimiter:
     """Sends to cold targets by target id.
 
     Parameters
@@ -37,20 +38,20 @@
         self._bounds = bounds
         self._sent: dict[str, collections.deque[float]] = {}
 
-    def may_send(
+    def can_send(
         self, pool: routes.Pool, target: directories.Target, entries: int, now: float
     ) -> bool:
         """Whether one more request may go to a target now."""
         if target.warm_at <= now or pool.cold_rate <= 0:
             return True
-        most = pool.cold_rate * self._bounds.over + self._bounds.slack
+        most = pool.cold_rate * self._bounds.rate_factor + self._bounds.slack
         rate = limits.Rate(pool.cold_rate, most)
         lot = limits.draw_lot(self._entry, target.target_id)
         share = limits.count_share(rate, entries, lot)
         sent = self._sent.get(target.target_id, ())
         return sum(at > now - WINDOW_SECONDS for at in sent) < share
 
-    def note_sent(self, target: directories.Target, now: float) -> None:
+    def record_send(self, target: directories.Target, now: float) -> None:
         """Count a request that goes out now, also to a target that may turn cold soon after."""
         for other, sent in list(self._sent.items()):
             if sent[-1] <= now - WINDOW_SECONDS:
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -146,7 +146,7 @@
         available = availability.Availability(
             self.directory,
             self.usage,
-            colds.ColdSends(own.name, own.cold),
+            colds.ColdLimiter(own.name, own.cold),
             self.permits,
             self.backoffs,
             self._loop.time,
--- a/tillerlane/gateway/permits.py
+++ b/tillerlane/gateway/permits.py
@@ -91,7 +91,7 @@
         """A target's limit in requests a second; None without one in force."""
         return self._limits.find(target_id, self._now())
 
-    def may_send(self, target_id: str) -> bool:
+    def can_send(self, target_id: str) -> bool:
         """Whether a request may go to a target now."""
         if not len(self._limits):
             return True
@@ -117,7 +117,7 @@
         self._wishes[target_id] += 1
         self._wished.set()
 
-    def note_sent(self, target_id: str) -> None:
+    def record_send(self, target_id: str) -> None:
         """Count a request that goes out to a target now; it uses a permit if one is held."""
         now = self._now()
         if self._limits.find(target_id, now) is None:
--- a/tillerlane/gateway/tests/test_backoff_words.py
+++ b/tillerlane/gateway/tests/test_backoff_words.py
@@ -31,7 +31,7 @@
         self.backoffs.note("t1", 3.0, "r1")
         self.now = 103.0
         self.assertIsNone(self.backoffs.find_end("t1", 0))
-        self.backoffs.note_sent("t1")
+        self.backoffs.record_send("t1")
         self.assertEqual(self.backoffs.find_end("t1", 0), 103.0 + backoff.PROBE_SECONDS)
         self.now += 0.02
         self.assertIsNotNone(self.backoffs.note_taken("t1", 103.0))
@@ -40,7 +40,7 @@
     def test_fewer_requests_are_under_way_after_it_than_before(self) -> None:
         self.backoffs.note("t1", 3.0, "r1", 8)
         self.now = 103.0
-        self.backoffs.note_sent("t1")
+        self.backoffs.record_send("t1")
         self.assertIsNotNone(self.backoffs.note_taken("t1", 103.0))
         self.assertIsNone(self.backoffs.find_end("t1", 5))
         self.assertIsNotNone(self.backoffs.find_end("t1", 6))
@@ -59,7 +59,7 @@
     def test_probe_without_an_answer_does_not_keep_the_target_away(self) -> None:
         self.backoffs.note("t1", 3.0, "r1")
         self.now = 103.0
-        self.backoffs.note_sent("t1")
+        self.backoffs.record_send("t1")
         self.now += backoff.PROBE_SECONDS
         self.assertIsNone(self.backoffs.find_end("t1", 0))
 
--- a/tillerlane/gateway/tests/test_permits.py
+++ b/tillerlane/gateway/tests/test_permits.py
@@ -95,14 +95,14 @@
         entry = self._start_entry(number)
         while True:
             await asyncio.sleep(self._rng.expovariate(3 * self._limit / self._entries))
-            if not entry.may_send(TARGET):
+            if not entry.can_send(TARGET):
                 entry.wish(TARGET)
                 await entry.wait_for_answer(0.1)
             is_held_back = self._trouble.saves and self._loop.time() % 3.0 > 0.5
             if is_held_back:
                 entry.wish(TARGET)
-            while entry.may_send(TARGET) and not is_held_back:
-                entry.note_sent(TARGET)
+            while entry.can_send(TARGET) and not is_held_back:
+                entry.record_send(TARGET)
                 self.sent.append(self._loop.time())
                 is_held_back = not self._trouble.saves
 
@@ -172,8 +172,8 @@
                 idle.wish(TARGET)
                 busy.wish(TARGET)
                 await asyncio.sleep(0.05)
-                if busy.may_send(TARGET):
-                    busy.note_sent(TARGET)
+                if busy.can_send(TARGET):
+                    busy.record_send(TARGET)
                     used += 1
             fleet.stop()
             return used, idle.unused
--- a/tillerlane/testing/selectors.py
+++ b/tillerlane/testing/selectors.py
@@ -20,7 +20,7 @@
     available = availability.Availability(
         directory,
         used,
-        cold.ColdSends(entry, cold.ColdBounds(1.5, 5.0)),
+        cold.ColdLimiter(entry, cold.ColdBounds(1.5, 5.0)),
         permits.Permits(entry, limits.Limits(), read_time),
         backoff.Backoffs(read_time),
         read_time,
