--- a/tillerlane/gateway/advice.py
+++ b/tillerlane/gateway/advice.py
@@ -60,7 +60,7 @@
         self._timeline = timeline
         self._meters = meters
         self._now = now
-        self.tell_limit: Callable[[limits.Word], None] = lambda word: None
+        self.tell_limit: Callable[[limits.LimitRecord], None] = lambda word: None
         self.tell_leaving: Callable[[directories.Target], None] = lambda target: None
         self.tell_backoff: Callable[[backoffs.Word], None] = lambda word: None
 
@@ -94,7 +94,7 @@
             self._take_backoff(request_id, target, facts.backoff_seconds)
 
     def _take_limit(self, request_id: str, target: directories.Target, limit: float | None) -> None:
-        word = self._limits.note_answer(target.target_id, limit, self._now())
+        word = self._limits.record_response(target.target_id, limit, self._now())
         if word is None:
             return
         is_named = word.unnamed_since is None
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -16,7 +16,7 @@
     grants,
     homes,
     incarnations,
-    limit_news,
+    limit_updates,
     loads,
     meters,
     news,
@@ -137,7 +137,7 @@
         self._backoffs = backoff_news.BackoffNews(
             SPREAD_SECONDS, self._send_to_all, self._loop.time
         )
-        self.limits = limit_news.LimitNews(SPREAD_SECONDS, self._send_to_all, self.timeline)
+        self.limits = limit_updates.LimitUpdates(SPREAD_SECONDS, self._send_to_all, self.timeline)
         self._whole: messages.TargetStates | None = None
         self._whole_at = 0.0
         self._changed_since_whole: dict[str, directories.Target] = {}
@@ -299,7 +299,7 @@
             now = self._loop.time()
             self.directory.mark_silent(now - self._own.silent_seconds)
             self.directory.forget_old(now)
-            self.limits.table.forget_unknown(self.directory.targets, now)
+            self.limits.table.expire_unknown(self.directory.targets, now)
             subscribed = {item.entry for item in self._subscribers.values()}
             for entry, heard_at in list(self._entries.items()):
                 if now - heard_at > ENTRY_SECONDS and entry not in subscribed:
@@ -340,7 +340,7 @@
             case messages.TargetEnds():
                 self.verdicts.take(suspects.read_ends(body))
             case messages.TargetLimits():
-                self.limits.take(body)
+                self.limits.handle_message(body)
             case messages.TargetBackoffs():
                 self._backoffs.take(body)
 
@@ -350,7 +350,7 @@
             self._greeted.add(link)
             self._send_whole(link)
             links.try_send(link, self.verdicts.write_for_keeper())
-            links.try_send(link, self.limits.write_all())
+            links.try_send(link, self.limits.build_full())
 
     def _note_down(self, link: links.Link) -> None:
         self._greeted.discard(link)
@@ -370,7 +370,7 @@
         # Orders go first: an entry may send requests as soon as it has a publication.
         links.try_send(link, self.replica.machine.store.build_delta(0))
         links.try_send(link, self.verdicts.write_for_entry())
-        links.try_send(link, self.limits.write_all())
+        links.try_send(link, self.limits.build_full())
         self._send_publication(link)
         self._send_whole(link)
 
@@ -515,7 +515,7 @@
             cold_ms=max(0, int((target.warm_at - self._loop.time()) * 1000)),
         )
         if target.phase is directories.Phase.GONE:
-            self.limits.table.forget(target.target_id)
+            self.limits.table.discard(target.target_id)
         if target.is_over and former is not None:
             # Whoever hears of the present incarnation ends the former one, and first hears until
             # when that one lived: entries are not told each heartbeat.
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -376,15 +376,15 @@
         if leaving:
             links.try_send(link, directories.write_states(leaving))
         if len(self.limits):
-            links.try_send(link, limits.write_words(self.limits.list_all()))
+            links.try_send(link, limits.encode_records(self.limits.list_all()))
 
     def _tell_ends(self, ends: list[suspects.End]) -> None:
         """Tell all keepers listened to, since any of them may be cut off."""
         self._tell_keepers(suspects.write_ends(ends))
 
-    def _tell_limit(self, word: limits.Word) -> None:
+    def _tell_limit(self, word: limits.LimitRecord) -> None:
         """Tell all keepers listened to what a target has named."""
-        self._tell_keepers(limits.write_words([word]))
+        self._tell_keepers(limits.encode_records([word]))
 
     def _tell_leaving(self, target: directories.Target) -> None:
         """Tell all keepers listened to that a target has said that it leaves."""
@@ -434,7 +434,7 @@
             case messages.TargetEnds():
                 self.quarantine.take(suspects.read_ends(body))
             case messages.TargetLimits():
-                self._take_limits(limits.read_words(body))
+                self._take_limits(limits.decode_records(body))
             case messages.TargetBackoffs():
                 self.backoffs.take_hints(backoffs.read_hints(body))
 
@@ -457,9 +457,9 @@
                 cold_ms=max(0, int((target.warm_at - now) * 1000)),
             )
 
-    def _take_limits(self, words: list[limits.Word]) -> None:
+    def _take_limits(self, words: list[limits.LimitRecord]) -> None:
         """Take what keepers tell of limits that targets have named."""
-        for word in self.limits.take(words):
+        for word in self.limits.merge(words):
             self.timeline.record(
                 "target.limit",
                 target=word.target_id,
@@ -472,7 +472,7 @@
     def _note_over(self, target: directories.Target, former: directories.Phase | None) -> None:
         """Forget what was learned of a target that has ended or started again."""
         if target.phase is directories.Phase.GONE:
-            self.limits.forget(target.target_id)
+            self.limits.discard(target.target_id)
             self.permits.forget(target.target_id)
             self.backoffs.forget(target.target_id)
         if not target.is_over:
@@ -504,7 +504,7 @@
             await self._pause_loads()
             now = self._loop.time()
             self.directory.forget_old(now)
-            self.limits.forget_unknown(self.directory.targets, now)
+            self.limits.expire_unknown(self.directory.targets, now)
             if self.usage.expire_others(now):
                 self.timeline.record("loads.lost", after_s=usages.DIGEST_TTL_SECONDS)
             link = self.homes.get_primary()
--- a/tillerlane/gateway/limit_news.py
+++ b/tillerlane/gateway/limit_updates.py
@@ -10,10 +10,10 @@
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["LimitNews"]
+__all__ = ["LimitUpdates"]
 
 
-class LimitNews:
+class LimitUpdates:
     """Limits as one keeper knows them, and passes them on.
 
     Parameters
@@ -38,10 +38,10 @@
         timeline: timelines.Timeline,
     ) -> None:
         self.table = limits.Limits()
-        self._to_tell = news.News(pause, lambda words: send(limits.write_words(words)))
+        self._batcher = news.News(pause, lambda words: send(limits.encode_records(words)))
         self._timeline = timeline
 
-    def take(self, message: messages.TargetLimits) -> None:
+    def handle_message(self, message: messages.TargetLimits) -> None:
         """Take what an entry or another keeper tells, and pass on what is news.
 
         Raises
@@ -49,8 +49,8 @@
         faults.FaultError
             Of kind ``bad_request`` if it can't be read.
         """
-        for word in self.table.take(limits.read_words(message)):
-            self._to_tell.add(word)
+        for word in self.table.merge(limits.decode_records(message)):
+            self._batcher.add(word)
             self._timeline.record(
                 "target.limit",
                 target=word.target_id,
@@ -59,6 +59,6 @@
                 is_named=word.unnamed_since is None,
             )
 
-    def write_all(self) -> messages.TargetLimits:
+    def build_full(self) -> messages.TargetLimits:
         """All that is known, for a daemon whose link is new."""
-        return limits.write_words(self.table.list_all())
+        return limits.encode_records(self.table.list_all())
--- a/tillerlane/gateway/limits.py
+++ b/tillerlane/gateway/limits.py
@@ -13,16 +13,16 @@
 
 from tillerlane.peers import codec, messages
 
-__all__ = ["LIFT_SECONDS", "Limits", "Word", "read_words", "write_words"]
+__all__ = ["LIFT_DELAY_SECONDS", "LimitRecord", "Limits", "decode_records", "encode_records"]
 
-LIFT_SECONDS = 1.0
+LIFT_DELAY_SECONDS = 1.0
 """How long a target's answers must name no limit until it counts as lifted: answers overtake each
 other, and a target may leave it off some of them."""
-FORGET_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 """How long the word of a target that is not known is kept."""
-MAX_LETTERS = 200
+MAX_ID_CHARACTERS = 200
 """Bound on a target's id, in letters."""
-MAX_WORDS = 20_000
+MAX_RECORDS = 20_000
 """Bound on memory, as on targets."""
 MAX_AGE_MS = 2**31
 """Longest age that is told; an older word says no more."""
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class LimitRecord:
     """What is known of a target's limit; times are of the event loop.
 
     Attributes
@@ -54,16 +54,16 @@
 
     def is_in_force(self, now: float) -> bool:
         """Whether the limit still holds."""
-        return self.unnamed_since is None or now - self.unnamed_since < LIFT_SECONDS
+        return self.unnamed_since is None or now - self.unnamed_since < LIFT_DELAY_SECONDS
 
-    def replaces(self, other: "Word") -> bool:
+    def replaces(self, other: "LimitRecord") -> bool:
         """Whether it is the later word; of two that arose at once, the one that allows less."""
         return self._rank() > other._rank()
 
     def _rank(self) -> tuple[int, bool, float]:
         return self.version, self.unnamed_since is None, -self.limit
 
-    def follow(self, limit: float | None, now: float) -> "Word | None":
+    def build_next(self, limit: float | None, now: float) -> "LimitRecord | None":
         """The word after one more answer of the target; None if that is no news."""
         if limit is None:
             if self.unnamed_since is not None:
@@ -71,14 +71,14 @@
             return dataclasses.replace(self, version=self.version + 1, unnamed_since=now)
         if limit == self.limit and self.unnamed_since is None:
             return None
-        return Word(self.target_id, limit, self.version + 1, now)
+        return LimitRecord(self.target_id, limit, self.version + 1, now)
 
 
 class Limits:
     """The table of one daemon."""
 
     def __init__(self) -> None:
-        self._words: dict[str, Word] = {}
+        self._words: dict[str, LimitRecord] = {}
 
     def __len__(self) -> int:
         return len(self._words)
@@ -92,51 +92,53 @@
         word = self._words.get(target_id)
         return word.limit if word is not None and word.is_in_force(now) else None
 
-    def get_word(self, target_id: str) -> Word | None:
+    def get_record(self, target_id: str) -> LimitRecord | None:
         """All that is known of a target's limit; None if it never named one."""
         return self._words.get(target_id)
 
-    def note_answer(self, target_id: str, limit: float | None, now: float) -> Word | None:
+    def record_response(
+        self, target_id: str, limit: float | None, now: float
+    ) -> LimitRecord | None:
         """Take note of a target's answer; the word to tell others, None if that is no news."""
         known = self._words.get(target_id)
         if known is not None:
-            word = known.follow(limit, now)
+            word = known.build_next(limit, now)
         else:
-            word = None if limit is None else Word(target_id, limit, 1, now)
-        return word if word is not None and self._take(word) else None
+            word = None if limit is None else LimitRecord(target_id, limit, 1, now)
+        return word if word is not None and self._merge(word) else None
 
-    def take(self, words: Iterable[Word]) -> list[Word]:
+    def merge(self, words: Iterable[LimitRecord]) -> list[LimitRecord]:
         """Merge what is heard; gives what was news."""
-        return [word for word in words if self._take(word)]
+        return [word for word in words if self._merge(word)]
 
-    def _take(self, word: Word) -> bool:
+    def _merge(self, word: LimitRecord) -> bool:
         known = self._words.get(word.target_id)
-        if known is None and len(self._words) >= MAX_WORDS:
+        if known is None and len(self._words) >= MAX_RECORDS:
             return False
         if known is not None and not word.replaces(known):
             return False
         self._words[word.target_id] = word
         return True
 
-    def list_all(self) -> list[Word]:
+    def list_all(self) -> list[LimitRecord]:
         """All that is known."""
         return list(self._words.values())
 
-    def forget(self, target_id: str) -> None:
+    def discard(self, target_id: str) -> None:
         """Drop the word of a target that has ended."""
         self._words.pop(target_id, None)
 
-    def forget_unknown(self, known: Iterable[str], now: float) -> None:
+    def expire_unknown(self, known: Iterable[str], now: float) -> None:
         """Drop old words of targets that are not among the known ones."""
         if not self._words:
             return
         kept = frozenset(known)
         for word in self.list_all():
-            if word.target_id not in kept and now - word.named_at > FORGET_SECONDS:
-                self.forget(word.target_id)
+            if word.target_id not in kept and now - word.named_at > RETENTION_SECONDS:
+                self.discard(word.target_id)
 
 
-def write_words(words: Iterable[Word]) -> messages.TargetLimits:
+def encode_records(words: Iterable[LimitRecord]) -> messages.TargetLimits:
     """Words as a message; ages are those of the moment of writing."""
     now = asyncio.get_running_loop().time()
     rows = list(words)
@@ -157,7 +159,7 @@
     return messages.TargetLimits(codec.write_table(table))
 
 
-def read_words(message: messages.TargetLimits) -> list[Word]:
+def decode_records(message: messages.TargetLimits) -> list[LimitRecord]:
     """Words from a message; rows that name no target, or no limit that can be, are passed over.
 
     Raises
@@ -176,7 +178,7 @@
         strict=True,
     )
     return [
-        Word(
+        LimitRecord(
             target_id,
             limit,
             version,
@@ -184,5 +186,5 @@
             None if unnamed_ms == _STILL_NAMED else now - unnamed_ms / 1000,
         )
         for target_id, limit, version, named_ms, unnamed_ms in rows
-        if 0 < len(target_id) <= MAX_LETTERS and math.isfinite(limit) and limit >= 0
+        if 0 < len(target_id) <= MAX_ID_CHARACTERS and math.isfinite(limit) and limit >= 0
     ]
--- a/tillerlane/gateway/tests/test_permits.py
+++ b/tillerlane/gateway/tests/test_permits.py
@@ -83,7 +83,7 @@
 
     def _start_entry(self, number: int) -> permits.Permits:
         table = limits.Limits()
-        table.take([limits.Word(TARGET, self._limit, 1, self._loop.time())])
+        table.merge([limits.LimitRecord(TARGET, self._limit, 1, self._loop.time())])
         entry = permits.Permits(f"entry-{number}", table, self._loop.time)
         entry.ask = self._ask
         entry.entries = self._entries
