--- a/tillerlane/gateway/advice.py
+++ b/tillerlane/gateway/advice.py
@@ -62,7 +62,7 @@
         self._now = now
         self.tell_limit: Callable[[limits.LimitRecord], None] = lambda word: None
         self.tell_leaving: Callable[[directories.Target], None] = lambda target: None
-        self.tell_backoff: Callable[[backoffs.Word], None] = lambda word: None
+        self.tell_backoff: Callable[[backoffs.BackoffRecord], None] = lambda word: None
 
     def take(
         self,
@@ -127,8 +127,8 @@
         # The request that was turned away is still counted.
         under_way = self._usage.count_own_at(target.address) - 1
         even_share = target.slots / max(1, self._usage.entries)
-        borne = max(under_way, even_share)
-        word = self._backoffs.note(target.target_id, seconds, request_id, borne)
+        sustained = max(under_way, even_share)
+        word = self._backoffs.record(target.target_id, seconds, request_id, sustained)
         self._meters.words.labels("backoff", "ignored" if word is None else "taken").inc()
         if word is not None:
             self.tell_backoff(word)
@@ -143,7 +143,7 @@
 
     def _end_backoff(self, request_id: str, target: directories.Target, sent_at: float) -> None:
         """End a target's back-off if it took a request that was sent after that."""
-        word = self._backoffs.note_taken(target.target_id, sent_at)
+        word = self._backoffs.record_accepted(target.target_id, sent_at)
         if word is None:
             return
         self._meters.words.labels("backoff", "ended").inc()
@@ -152,5 +152,5 @@
             request_id=request_id,
             target=target.target_id,
             asked_by=word.request_id,
-            after_ms=int((self._now() - word.told_at) * 1000),
+            after_ms=int((self._now() - word.requested_at) * 1000),
         )
--- a/tillerlane/gateway/backoff.py
+++ b/tillerlane/gateway/backoff.py
@@ -16,48 +16,48 @@
 
 from tillerlane.peers import messages
 
-__all__ = ["PROBE_SECONDS", "Backoffs", "Word", "read_hints", "write_hints"]
+__all__ = ["PROBE_INTERVAL_SECONDS", "BackoffRecord", "Backoffs", "decode_hints", "encode_hints"]
 
-MOST_SECONDS = 600.0
+MAX_BACKOFF_SECONDS = 600.0
 """Longest back-off that is obeyed, so that one wrong word does not take a target out for days."""
-PROBE_SECONDS = 0.1
+PROBE_INTERVAL_SECONDS = 0.1
 """Least pause between probes: a target turns a request away within milliseconds, while a good
 answer may take long."""
-PLACES_SHARE = 0.75
+DECREASE_FACTOR = 0.75
 """Part of the requests under way at which a target turned one away that it gets afterwards."""
-GROWTH = 0.05
+GROWTH_PER_SECOND = 0.05
 """Increase of that number in a second, as a part of it."""
 RAMP_SECONDS = 20.0
 """How long after a back-off the number is bounded."""
-PLACE_SECONDS = 0.05
+CONCURRENCY_CHECK_INTERVAL_SECONDS = 0.05
 """Time after which to look again for a place at a target that has as many as it gets."""
 MAX_HINTS = 20_000
 """Bound on memory, as on targets."""
 
 
 @dataclasses.dataclass(slots=True)
-class Word:
+class BackoffRecord:
     """A target's latest back-off; times are of the event loop.
 
     Attributes
     ----------
-    told_at, until : float
+    requested_at, until : float
         When an answer asked for it last, and its end.
     request_id : str
         Whose answer set the end.
-    places : float
+    max_concurrent : float
         This entry's requests that may be under way there when it is over.
     probed_at : float
         When a request went out after the end; 0 before.
     """
 
     target_id: str
-    told_at: float
+    requested_at: float
     until: float
     request_id: str
-    places: float
+    max_concurrent: float
     probed_at: float = 0.0
-    is_over: bool = False
+    has_ended: bool = False
     """Whether the target has taken a request since."""
 
 
@@ -72,11 +72,11 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._words: dict[str, Word] = {}
+        self._words: dict[str, BackoffRecord] = {}
         self._hints: dict[str, float] = {}
         """Until when targets have asked other entries for back-off."""
 
-    def take_hints(self, hints: Iterable[tuple[str, float]]) -> None:
+    def merge_hints(self, hints: Iterable[tuple[str, float]]) -> None:
         """Take what keepers tell: targets, and until when they asked other entries for back-off."""
         now = self._now()
         for target_id, until in list(self._hints.items()):
@@ -90,20 +90,22 @@
         """Whether a target turns other entries away, so that other targets come first."""
         return bool(self._hints) and self._hints.get(target_id, 0.0) > self._now()
 
-    def note(
-        self, target_id: str, seconds: float, request_id: str, borne: float = 0.0
-    ) -> Word | None:
+    def record(
+        self, target_id: str, seconds: float, request_id: str, sustained: float = 0.0
+    ) -> BackoffRecord | None:
         """Take note that a target asks for back-off; gives the word if that moves its end.
 
-        `borne` is how many of this entry's requests the target bears at least: those that it has
-        under way, or its even share of the target's slots.
+        `sustained` is how many of this entry's requests the target bears at least: those that it
+        has under way, or its even share of the target's slots.
         """
         now = self._now()
-        until = now + min(seconds, MOST_SECONDS)
+        until = now + min(seconds, MAX_BACKOFF_SECONDS)
         known = self._words.get(target_id)
         if until <= now or (known is not None and until <= known.until):
             return None
-        word = Word(target_id, now, until, request_id, max(1.0, PLACES_SHARE * borne))
+        word = BackoffRecord(
+            target_id, now, until, request_id, max(1.0, DECREASE_FACTOR * sustained)
+        )
         self._words[target_id] = word
         return word
 
@@ -113,12 +115,12 @@
         if word is not None and word.until <= self._now():
             word.probed_at = self._now()
 
-    def note_taken(self, target_id: str, sent_at: float) -> Word | None:
+    def record_accepted(self, target_id: str, sent_at: float) -> BackoffRecord | None:
         """Take note that a target did not turn a request away; gives the word that this ends."""
         word = self._words.get(target_id)
-        if word is None or sent_at < word.until or word.is_over:
+        if word is None or sent_at < word.until or word.has_ended:
             return None
-        word.is_over = True
+        word.has_ended = True
         self._hints.pop(target_id, None)
         return word
 
@@ -133,16 +135,24 @@
         if word is None:
             return None
         now = self._now()
-        until = word.until if word.is_over else max(word.until, word.probed_at + PROBE_SECONDS)
+        until = (
+            word.until
+            if word.has_ended
+            else max(word.until, word.probed_at + PROBE_INTERVAL_SECONDS)
+        )
         if until > now:
             return until
         seconds = now - word.until
         if seconds > RAMP_SECONDS:
             del self._words[target_id]
             return None
-        return now + PLACE_SECONDS if under_way >= word.places * (1 + GROWTH * seconds) else None
+        return (
+            now + CONCURRENCY_CHECK_INTERVAL_SECONDS
+            if under_way >= word.max_concurrent * (1 + GROWTH_PER_SECOND * seconds)
+            else None
+        )
 
-    def forget(self, target_id: str) -> None:
+    def discard(self, target_id: str) -> None:
         """Drop the word of a target that has ended."""
         self._words.pop(target_id, None)
         self._hints.pop(target_id, None)
@@ -152,22 +162,22 @@
         now = self._now()
         return sum(word.until > now for word in self._words.values())
 
-    def list_all(self) -> list[Word]:
+    def list_all(self) -> list[BackoffRecord]:
         """Words of all targets that are in back-off, or were lately."""
         return list(self._words.values())
 
 
-def write_hints(words: Iterable[tuple[str, float]]) -> messages.TargetBackoffs:
+def encode_hints(words: Iterable[tuple[str, float]]) -> messages.TargetBackoffs:
     """Targets, and until when they asked for back-off, as a message."""
     now = asyncio.get_running_loop().time()
     rows = [(target_id, max(0, round((until - now) * 1000))) for target_id, until in words]
     return messages.TargetBackoffs([row[0] for row in rows], [row[1] for row in rows])
 
 
-def read_hints(message: messages.TargetBackoffs) -> list[tuple[str, float]]:
+def decode_hints(message: messages.TargetBackoffs) -> list[tuple[str, float]]:
     """Targets, and until when they asked for back-off, from a message."""
     now = asyncio.get_running_loop().time()
     return [
-        (target_id, now + min(left_ms / 1000, MOST_SECONDS))
+        (target_id, now + min(left_ms / 1000, MAX_BACKOFF_SECONDS))
         for target_id, left_ms in zip(message.target_ids, message.left_ms, strict=False)
     ]
--- a/tillerlane/gateway/backoff_news.py
+++ b/tillerlane/gateway/backoff_updates.py
@@ -6,9 +6,9 @@
 from tillerlane.gateway import backoff, news
 from tillerlane.peers import messages
 
-__all__ = ["BackoffNews"]
+__all__ = ["BackoffUpdates"]
 
-LEAST_NEWS_SECONDS = 0.3
+MIN_EXTENSION_SECONDS = 0.3
 """How much later a back-off must end to be told again: each entry that probes a target in vain is
 given one of its own."""
 
@@ -19,7 +19,7 @@
     until: float
 
 
-class BackoffNews:
+class BackoffUpdates:
     """Back-off that entries were asked for, as one keeper knows it and passes it on.
 
     Parameters
@@ -40,19 +40,21 @@
     ) -> None:
         self._known: dict[str, float] = {}
         self._now = now
-        self._to_tell: news.News[_Hint] = news.News(
+        self._batcher: news.News[_Hint] = news.News(
             pause,
-            lambda hints: send(backoff.write_hints((item.target_id, item.until) for item in hints)),
+            lambda hints: send(
+                backoff.encode_hints((item.target_id, item.until) for item in hints)
+            ),
         )
 
-    def take(self, message: messages.TargetBackoffs) -> None:
+    def handle_message(self, message: messages.TargetBackoffs) -> None:
         """Take what an entry or another keeper tells, and pass on what is news."""
         now = self._now()
         for target_id, until in list(self._known.items()):
             if until <= now:
                 del self._known[target_id]
-        for target_id, until in backoff.read_hints(message):
-            is_news = until > self._known.get(target_id, now) + LEAST_NEWS_SECONDS
+        for target_id, until in backoff.decode_hints(message):
+            is_news = until > self._known.get(target_id, now) + MIN_EXTENSION_SECONDS
             if is_news and len(self._known) < backoff.MAX_HINTS:
                 self._known[target_id] = until
-                self._to_tell.add(_Hint(target_id, until))
+                self._batcher.add(_Hint(target_id, until))
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -12,7 +12,7 @@
 from tillerlane.faults import core as faults
 from tillerlane.faults import kinds
 from tillerlane.gateway import (
-    backoff_news,
+    backoff_updates,
     grants,
     homes,
     incarnations,
@@ -134,7 +134,7 @@
             lambda targets: self._send_to_keepers(directories.write_states(targets)),
         )
         self._to_subscribers = news.News(NEWS_SECONDS, self._tell_subscribers)
-        self._backoffs = backoff_news.BackoffNews(
+        self._backoffs = backoff_updates.BackoffUpdates(
             SPREAD_SECONDS, self._send_to_all, self._loop.time
         )
         self.limits = limit_updates.LimitUpdates(SPREAD_SECONDS, self._send_to_all, self.timeline)
@@ -342,7 +342,7 @@
             case messages.TargetLimits():
                 self.limits.handle_message(body)
             case messages.TargetBackoffs():
-                self._backoffs.take(body)
+                self._backoffs.handle_message(body)
 
     def _greet(self, link: links.Link) -> None:
         """Tell a keeper whose link is new all that is known; it may have been cut off."""
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -394,11 +394,11 @@
         for link in self.homes.list_links():
             links.try_send(link, message)
 
-    def _tell_backoff(self, word: backoffs.Word) -> None:
+    def _tell_backoff(self, word: backoffs.BackoffRecord) -> None:
         """Tell one keeper that a target turned a request away; a hint may be lost."""
         link = self.homes.get_primary()
         if link is not None:
-            links.try_send(link, backoffs.write_hints([(word.target_id, word.until)]))
+            links.try_send(link, backoffs.encode_hints([(word.target_id, word.until)]))
 
     def _note_permits(self, is_answered: bool, reason: str) -> None:
         self.timeline.record("permits.owner", answers=is_answered, reason=reason)
@@ -436,7 +436,7 @@
             case messages.TargetLimits():
                 self._take_limits(limits.decode_records(body))
             case messages.TargetBackoffs():
-                self.backoffs.take_hints(backoffs.read_hints(body))
+                self.backoffs.merge_hints(backoffs.decode_hints(body))
 
     def _take_states(self, states: messages.TargetStates) -> None:
         """Take word of targets, and log what changed; of very many only how many they are."""
@@ -474,7 +474,7 @@
         if target.phase is directories.Phase.GONE:
             self.limits.discard(target.target_id)
             self.permits.forget(target.target_id)
-            self.backoffs.forget(target.target_id)
+            self.backoffs.discard(target.target_id)
         if not target.is_over:
             return
         self.usage.discard_event_times(target.address)
--- a/tillerlane/gateway/refusals.py
+++ b/tillerlane/gateway/refusals.py
@@ -95,7 +95,7 @@
         if not ends:
             return []
         cause = availability.Cause.BACKOFF
-        seconds = self._book(pool, cause, min(ends), 1 / backoffs.PROBE_SECONDS)
+        seconds = self._book(pool, cause, min(ends), 1 / backoffs.PROBE_INTERVAL_SECONDS)
         return [(seconds, f"no target but {len(ends)} that asked for back-off")]
 
     def _book(
--- a/tillerlane/gateway/tests/test_backoff.py
+++ b/tillerlane/gateway/tests/test_backoff.py
@@ -212,7 +212,7 @@
             self.heartbeats.cancel()
             await stage.add_runner("llm-9", "llm", length=120)
             await asyncio.sleep(0.2)
-            entry.backoffs.note("llm-9", 0.1, "r0", 1.0)
+            entry.backoffs.record("llm-9", 0.1, "r0", 1.0)
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await asyncio.gather(*calls)
             self.assertTrue(all(answer.is_whole for answer in answers))
--- a/tillerlane/gateway/tests/test_backoff_words.py
+++ b/tillerlane/gateway/tests/test_backoff_records.py
@@ -14,34 +14,34 @@
         self.backoffs = backoff.Backoffs(lambda: self.now)
 
     def test_shorter_backoff_does_not_end_a_longer_one(self) -> None:
-        self.backoffs.note("t1", 3.0, "r1")
+        self.backoffs.record("t1", 3.0, "r1")
         self.now += 1.0
-        self.assertIsNone(self.backoffs.note("t1", 0.5, "r2"))
+        self.assertIsNone(self.backoffs.record("t1", 0.5, "r2"))
         self.assertEqual(self.backoffs.find_end("t1", 0), 103.0)
-        self.assertIsNotNone(self.backoffs.note("t1", 4.0, "r3"))
+        self.assertIsNotNone(self.backoffs.record("t1", 4.0, "r3"))
         self.assertEqual(self.backoffs.find_end("t1", 0), 105.0)
 
     def test_answer_of_a_request_sent_earlier_does_not_end_it(self) -> None:
-        self.backoffs.note("t1", 3.0, "r1")
+        self.backoffs.record("t1", 3.0, "r1")
         self.now += 0.1
-        self.assertIsNone(self.backoffs.note_taken("t1", 99.9))
+        self.assertIsNone(self.backoffs.record_accepted("t1", 99.9))
         self.assertEqual(self.backoffs.find_end("t1", 0), 103.0)
 
     def test_one_probe_goes_first_when_it_is_over(self) -> None:
-        self.backoffs.note("t1", 3.0, "r1")
+        self.backoffs.record("t1", 3.0, "r1")
         self.now = 103.0
         self.assertIsNone(self.backoffs.find_end("t1", 0))
         self.backoffs.record_send("t1")
-        self.assertEqual(self.backoffs.find_end("t1", 0), 103.0 + backoff.PROBE_SECONDS)
+        self.assertEqual(self.backoffs.find_end("t1", 0), 103.0 + backoff.PROBE_INTERVAL_SECONDS)
         self.now += 0.02
-        self.assertIsNotNone(self.backoffs.note_taken("t1", 103.0))
+        self.assertIsNotNone(self.backoffs.record_accepted("t1", 103.0))
         self.assertIsNone(self.backoffs.find_end("t1", 0))
 
     def test_fewer_requests_are_under_way_after_it_than_before(self) -> None:
-        self.backoffs.note("t1", 3.0, "r1", 8)
+        self.backoffs.record("t1", 3.0, "r1", 8)
         self.now = 103.0
         self.backoffs.record_send("t1")
-        self.assertIsNotNone(self.backoffs.note_taken("t1", 103.0))
+        self.assertIsNotNone(self.backoffs.record_accepted("t1", 103.0))
         self.assertIsNone(self.backoffs.find_end("t1", 5))
         self.assertIsNotNone(self.backoffs.find_end("t1", 6))
         self.now += 4.0
@@ -52,26 +52,26 @@
         self.assertEqual(self.backoffs.list_all(), [])
 
     def test_one_request_may_always_be_under_way(self) -> None:
-        self.backoffs.note("t1", 3.0, "r1", 0)
+        self.backoffs.record("t1", 3.0, "r1", 0)
         self.now = 103.5
         self.assertIsNone(self.backoffs.find_end("t1", 0))
 
     def test_probe_without_an_answer_does_not_keep_the_target_away(self) -> None:
-        self.backoffs.note("t1", 3.0, "r1")
+        self.backoffs.record("t1", 3.0, "r1")
         self.now = 103.0
         self.backoffs.record_send("t1")
-        self.now += backoff.PROBE_SECONDS
+        self.now += backoff.PROBE_INTERVAL_SECONDS
         self.assertIsNone(self.backoffs.find_end("t1", 0))
 
     def test_word_of_no_time_or_of_days_is_bounded(self) -> None:
-        self.assertIsNone(self.backoffs.note("t1", 0.0, "r1"))
+        self.assertIsNone(self.backoffs.record("t1", 0.0, "r1"))
         self.assertIsNone(self.backoffs.find_end("t1", 0))
-        self.backoffs.note("t1", 1e9, "r2")
-        self.assertEqual(self.backoffs.find_end("t1", 0), 100.0 + backoff.MOST_SECONDS)
+        self.backoffs.record("t1", 1e9, "r2")
+        self.assertEqual(self.backoffs.find_end("t1", 0), 100.0 + backoff.MAX_BACKOFF_SECONDS)
 
     def test_word_ends_with_its_target(self) -> None:
-        self.backoffs.note("t1", 3.0, "r1")
-        self.backoffs.forget("t1")
+        self.backoffs.record("t1", 3.0, "r1")
+        self.backoffs.discard("t1")
         self.assertIsNone(self.backoffs.find_end("t1", 0))
         self.assertEqual(self.backoffs.list_all(), [])
 
