--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -126,7 +126,7 @@
 class _Asker:
     """An entry that asks for permits."""
 
-    asked_at: float = -permits.ASK_SECONDS
+    asked_at: float = -permits.REQUEST_INTERVAL_SECONDS
     wishes: int = 0
     held: list[float] = dataclasses.field(default_factory=list)
     """Until when each permit is to be used."""
@@ -141,7 +141,7 @@
 def send_by_permit(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
     """Permits of one owner, asked for when a request could use one; it waits for the answer."""
     use_seconds = limits.read_hold_seconds(load.limit) * permits.USE_SHARE
-    most = max(1, math.ceil(load.limit * permits.ASK_SECONDS))
+    most = max(1, math.ceil(load.limit * permits.REQUEST_INTERVAL_SECONDS))
     bucket = limits.Bucket(0.0, 0.0)
     askers = [_Asker() for _ in range(load.entries)]
     for at, entry in arrivals:
@@ -153,7 +153,7 @@
             yield at
             continue
         asker.wishes += 1
-        if at - asker.asked_at < permits.ASK_SECONDS:
+        if at - asker.asked_at < permits.REQUEST_INTERVAL_SECONDS:
             continue
         bucket, given = bucket.take(min(most, asker.wishes))
         asker.asked_at, asker.wishes = at, 0
--- a/tillerlane/gateway/availability.py
+++ b/tillerlane/gateway/availability.py
@@ -148,7 +148,7 @@
         """
         obstacle = self.find_obstacle(pool, target, goes_on=True)
         if obstacle is not None and obstacle.cause is Cause.LIMITED:
-            self.wish(target)
+            self.queue_permit_request(target)
         return obstacle is not None and obstacle.cause is not Cause.EVACUATED
 
     def is_evacuated(self, target: directories.Target) -> bool:
@@ -185,11 +185,11 @@
 
     async def wait_for_permits(self, seconds: float) -> None:
         """Wait until permits that were asked for have come, or were denied; so long at most."""
-        await self._permits.wait_for_answer(seconds)
+        await self._permits.wait_for_reply(seconds)
 
-    def wish(self, target: directories.Target) -> None:
+    def queue_permit_request(self, target: directories.Target) -> None:
         """Have permits asked for, since a request could have gone to a target with one."""
-        self._permits.wish(target.target_id)
+        self._permits.queue_request(target.target_id)
 
     def needs_permit(self, target: directories.Target) -> bool:
         """Whether a target has named a limit and this entry may not send there without asking."""
@@ -197,13 +197,13 @@
 
     async def ask_permit(self, target: directories.Target, seconds: float) -> bool:
         """Ask for a permit and wait for the answer, so long at most; whether one is held then."""
-        self.wish(target)
-        await self._permits.wait_for_answer(seconds)
+        self.queue_permit_request(target)
+        await self._permits.wait_for_reply(seconds)
         return not self.needs_permit(target)
 
-    def may_ask(self, target: directories.Target) -> bool:
+    def is_permit_likely(self, target: directories.Target) -> bool:
         """Whether a request that waits for a permit is likely to get one soon."""
-        return self._permits.may_ask(target.target_id)
+        return self._permits.is_permit_likely(target.target_id)
 
     def read_limit(self, target: directories.Target) -> float | None:
         """What a target has named as its limit, in requests a second; None without one in force."""
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -182,7 +182,7 @@
             lambda: int(self._around.now() * 1000),
             self.timeline,
         )
-        self.grants = grants.Grants(
+        self.permit_issuer = grants.PermitIssuer(
             self.limits.table, self._read_leading_term, self._get_leader, self._loop.time
         )
         self._told_orders = 0
@@ -313,7 +313,7 @@
             self._push_publication()
             exchange.send(self.freshness.build_reply())
         elif isinstance(body, messages.PermitRequest):
-            exchange.send(await self.grants.serve(body))
+            exchange.send(await self.permit_issuer.handle_request(body))
         elif not await self.keeper.serve(exchange, body):
             message = f"keepers serve no {type(body).__name__}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -140,8 +140,8 @@
         self._budget = budgets.RetryBudget(own.retries, entries=0)
         self.limits = limits.Limits()
         self.permits = permits.Permits(own.name, self.limits, self._loop.time)
-        self.permits.ask = self._ask_permits
-        self.permits.on_answered = self._note_permits
+        self.permits.request_grants = self._ask_permits
+        self.permits.on_owner_change = self._note_permits
         self.backoffs = backoffs.Backoffs(self._loop.time)
         available = availability.Availability(
             self.directory,
@@ -414,7 +414,7 @@
         link = self.homes.get_primary()
         if link is None:
             raise links.LinkLost("no keeper to ask for permits")
-        reply = await link.call(messages.PermitRequest(wishes), permits.ANSWER_SECONDS)
+        reply = await link.call(messages.PermitRequest(wishes), permits.REPLY_TIMEOUT_SECONDS)
         assert isinstance(reply, messages.PermitReply)
         return reply.grants
 
@@ -473,7 +473,7 @@
         """Forget what was learned of a target that has ended or started again."""
         if target.phase is directories.Phase.GONE:
             self.limits.discard(target.target_id)
-            self.permits.forget(target.target_id)
+            self.permits.discard(target.target_id)
             self.backoffs.discard(target.target_id)
         if not target.is_over:
             return
--- a/tillerlane/gateway/grants.py
+++ b/tillerlane/gateway/grants.py
@@ -13,23 +13,23 @@
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 
-__all__ = ["Grants"]
+__all__ = ["PermitIssuer"]
 
 MAX_HOPS = 1
-FORWARD_SECONDS = 0.25
+FORWARD_TIMEOUT_SECONDS = 0.25
 """Longest wait for the leader; it is less than an entry's for the keeper that it asks."""
-FORGET_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 """How long a bucket that nobody asked for is kept; it is full long before."""
 
 
-class Grants:
+class PermitIssuer:
     """What one keeper gives out, or passes on to the one that does.
 
     Parameters
     ----------
     named_limits : limits.Limits
         What targets have named.
-    read_term : callable
+    get_term : callable
         The term in which this keeper leads and has the lease; None if it does not.
     get_leader : callable
         Link to the leader; None without one.
@@ -40,18 +40,18 @@
     def __init__(
         self,
         named_limits: limits.Limits,
-        read_term: Callable[[], int | None],
+        get_term: Callable[[], int | None],
         get_leader: Callable[[], links.Link | None],
         now: Callable[[], float],
     ) -> None:
         self._limits = named_limits
-        self._read_term = read_term
+        self._get_term = get_term
         self._get_leader = get_leader
         self._now = now
         self._term: int | None = None
         self._buckets: dict[str, decisions.Bucket] = {}
 
-    async def serve(self, asked: messages.PermitRequest) -> messages.PermitReply:
+    async def handle_request(self, asked: messages.PermitRequest) -> messages.PermitReply:
         """Give permits, or have the leader give them.
 
         Raises
@@ -59,7 +59,7 @@
         faults.FaultError
             ``no_quorum`` if no leader is known here, or it did not answer.
         """
-        term = self._read_term()
+        term = self._get_term()
         if term is not None:
             return self._give(asked.wishes, term)
         leader = self._get_leader()
@@ -67,7 +67,7 @@
             raise proposals.build_no_quorum("no leader that gives permits is known here")
         passed_on = messages.PermitRequest(asked.wishes, asked.hops + 1)
         try:
-            reply = await leader.call(passed_on, FORWARD_SECONDS)
+            reply = await leader.call(passed_on, FORWARD_TIMEOUT_SECONDS)
         except links.LinkLost as error:
             raise proposals.build_no_quorum(f"the leader gave no permits: {error}") from error
         assert isinstance(reply, messages.PermitReply)
@@ -99,6 +99,6 @@
         """Drop buckets that were last asked for long ago; they stand in the order of asking."""
         while self._buckets:
             first = next(iter(self._buckets))
-            if now - self._buckets[first].at < FORGET_SECONDS:
+            if now - self._buckets[first].at < RETENTION_SECONDS:
                 return
             del self._buckets[first]
--- a/tillerlane/gateway/permits.py
+++ b/tillerlane/gateway/permits.py
@@ -21,18 +21,18 @@
 
 __all__ = ["Permits"]
 
-ASK_SECONDS = 0.05
+REQUEST_INTERVAL_SECONDS = 0.05
 """Least pause between two requests for permits; an entry makes one at a time."""
-ANSWER_SECONDS = 0.3
+REPLY_TIMEOUT_SECONDS = 0.3
 """Longest wait for permits; an exchange within a region takes milliseconds."""
 USE_SHARE = 0.5
 """Share of the time for which a permit holds in which it is used; in the rest it is given back."""
-DENIED_SECONDS = 0.3
+DENIAL_DELAY_SECONDS = 0.3
 """How long no request waits for a permit after one was denied."""
-MOST_WISHES = 2
+MAX_PERMIT_REQUESTS = 2
 """Targets that one request wishes for at most: it needs one of them."""
 
-Ask = Callable[[list[messages.PermitWish]], Awaitable[list[messages.PermitGrant]]]
+RequestGrants = Callable[[list[messages.PermitWish]], Awaitable[list[messages.PermitGrant]]]
 
 
 class Permits:
@@ -49,9 +49,9 @@
 
     Attributes
     ----------
-    ask : callable
+    request_grants : callable
         Asks for permits; raises `links.LinkLost` or `faults.FaultError` if there is no answer.
-    on_answered : callable
+    on_owner_change : callable
         Called when permits are no more to be had, or are again: whether they are, and why not.
     entries : int
         Entries of the fleet, as last heard; 0 until then.
@@ -78,12 +78,12 @@
         """When a permit was last denied, by target."""
         self._wishes: collections.Counter[str] = collections.Counter()
         self._wished = asyncio.Event()
-        self._next_answer: asyncio.Future[None] | None = None
+        self._next_reply: asyncio.Future[None] | None = None
         """What requests wait for that found no permit."""
-        self._is_answered = True
+        self._has_owner = True
         """Whether the last request for permits had an answer."""
-        self.ask: Ask = _have_nobody_to_ask
-        self.on_answered: Callable[[bool, str], None] = lambda is_answered, reason: None
+        self.request_grants: RequestGrants = _have_nobody_to_ask
+        self.on_owner_change: Callable[[bool, str], None] = lambda is_answered, reason: None
         self.entries = 0
         self.unused = 0
 
@@ -101,18 +101,18 @@
             return True
         if self._has_permit(target_id, now):
             return True
-        return not self._is_answered and self._count_sent(target_id, now) < self._read_share(
+        return not self._has_owner and self._count_sent(target_id, now) < self._read_share(
             target_id, limit
         )
 
-    def may_ask(self, target_id: str) -> bool:
+    def is_permit_likely(self, target_id: str) -> bool:
         """Whether a request that waits for a permit is likely to get one soon."""
         denied_at = self._denied.get(target_id)
-        return self._is_answered and (
-            denied_at is None or self._now() - denied_at >= DENIED_SECONDS
+        return self._has_owner and (
+            denied_at is None or self._now() - denied_at >= DENIAL_DELAY_SECONDS
         )
 
-    def wish(self, target_id: str) -> None:
+    def queue_request(self, target_id: str) -> None:
         """Have permits asked for, since a request could have gone to a target with one."""
         self._wishes[target_id] += 1
         self._wished.set()
@@ -127,7 +127,7 @@
         if self._has_permit(target_id, now):
             self._held[target_id].popleft()
 
-    def forget(self, target_id: str) -> None:
+    def discard(self, target_id: str) -> None:
         """Drop what is kept of a target that has ended."""
         for kept in (self._held, self._sent, self._wishes, self._returned, self._denied):
             kept.pop(target_id, None)
@@ -152,11 +152,11 @@
 
     # Asking
 
-    async def wait_for_answer(self, seconds: float) -> None:
+    async def wait_for_reply(self, seconds: float) -> None:
         """Wait until permits that were asked for have come, or were denied; so long at most."""
-        if self._next_answer is None:
-            self._next_answer = asyncio.get_running_loop().create_future()
-        await asyncio.wait({self._next_answer}, timeout=seconds)
+        if self._next_reply is None:
+            self._next_reply = asyncio.get_running_loop().create_future()
+        await asyncio.wait({self._next_reply}, timeout=seconds)
 
     async def run(self) -> None:
         """Ask for what is wished for and give back what is not used, until cancelled."""
@@ -167,16 +167,16 @@
             self._wished.clear()
             await self._ask()
             self._wake_waiting()
-            await asyncio.sleep(ASK_SECONDS)
+            await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
 
     def _read_next_end(self) -> float | None:
         """When the first permit held has to be given back; None without any."""
         return min((held[0] for held in self._held.values() if held), default=None)
 
     def _wake_waiting(self) -> None:
-        if self._next_answer is not None and not self._next_answer.done():
-            self._next_answer.set_result(None)
-        self._next_answer = None
+        if self._next_reply is not None and not self._next_reply.done():
+            self._next_reply.set_result(None)
+        self._next_reply = None
 
     async def _ask(self) -> None:
         asked_at = self._now()
@@ -186,11 +186,11 @@
         if not wishes:
             return
         try:
-            grants = await self.ask(wishes)
+            grants = await self.request_grants(wishes)
         except (links.LinkLost, faults.FaultError) as error:
-            self._note_answered(False, str(error))
+            self._record_owner(False, str(error))
             return
-        self._note_answered(True, "")
+        self._record_owner(True, "")
         granted = {grant.target_id for grant in grants}
         for wish in wishes:
             if wish.count and wish.target_id not in granted:
@@ -207,16 +207,16 @@
         for target_id in {*self._wishes, *self._returned}:
             limit = self._limits.find(target_id, now)
             if limit is not None:
-                most = max(1, math.ceil(limit * ASK_SECONDS))
+                most = max(1, math.ceil(limit * REQUEST_INTERVAL_SECONDS))
                 count = min(self._wishes[target_id], most)
                 returned = self._returned[target_id]
                 found.append(messages.PermitWish(target_id, count, limit, returned))
         return found
 
-    def _note_answered(self, is_answered: bool, reason: str) -> None:
-        if is_answered != self._is_answered:
-            self.on_answered(is_answered, reason)
-        self._is_answered = is_answered
+    def _record_owner(self, is_answered: bool, reason: str) -> None:
+        if is_answered != self._has_owner:
+            self.on_owner_change(is_answered, reason)
+        self._has_owner = is_answered
 
 
 async def _have_nobody_to_ask(
--- a/tillerlane/gateway/selection.py
+++ b/tillerlane/gateway/selection.py
@@ -133,14 +133,14 @@
         source_hall: str | None = None,
         *,
         is_sent_now: bool = True,
-        may_ask: bool = False,
+        can_request_permit: bool = False,
     ) -> directories.Target | None:
         """The target at which work costs least, of some that are not `excluded` (ids).
 
         None without any.  Silent, avoided, held up and full targets come last, in that order; those
         that are held up (in back-off, or with a limit that leaves nothing to this entry) are left
-        out of what `is_sent_now`.  A limit counts for nothing in this where the request `may_ask`
-        for a permit before it is sent, and is likely to get one.
+        out of what `is_sent_now`.  A limit counts for nothing in this where the request
+        `can_request_permit` for a permit before it is sent, and is likely to get one.
 
         With `source_hall` it is a run whose memory has to be copied, which takes longer between
         halls.
@@ -154,7 +154,9 @@
             unheard += self._count_moving(pool, source_hall)
             near = [target for target in listed if target.data_hall == source_hall]
             groups = [near, [target for target in listed if target.data_hall != source_hall]]
-        found = self._draw_best(pool, work, groups, excluded, unheard, is_sent_now, may_ask)
+        found = self._draw_best(
+            pool, work, groups, excluded, unheard, is_sent_now, can_request_permit
+        )
         if not found:
             return None
         pace = self._read_pace(pool, listed, now)
@@ -188,13 +190,13 @@
         excluded: Collection[str],
         unheard: float,
         is_sent_now: bool,
-        may_ask: bool,
+        can_request_permit: bool,
     ) -> list[tuple[directories.Target, loads.TargetLoad]]:
         """Draw some targets of each group, with what is under way at each; the best rank only."""
         now = self._now()
         found: list[tuple[directories.Target, loads.TargetLoad]] = []
         best = (True, True, True, True)
-        wishes = permits.MOST_WISHES if is_sent_now else 0
+        wishes = permits.MAX_PERMIT_REQUESTS if is_sent_now else 0
         for group in groups:
             wished = placing.count_candidates(len(group), unheard)
             drawn = 0
@@ -207,10 +209,10 @@
                 if obstacle is not None and obstacle.is_hard:
                     continue
                 if obstacle is not None and obstacle.cause is availability.Cause.LIMITED:
-                    if may_ask and self._available.may_ask(target):
+                    if can_request_permit and self._available.is_permit_likely(target):
                         obstacle = None
                     elif wishes > 0:
-                        self._available.wish(target)
+                        self._available.queue_permit_request(target)
                         wishes -= 1
                 if obstacle is not None and is_sent_now:
                     continue
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -347,9 +347,11 @@
             held_back = self.refuse_held(asked)
             if held_back is not None:
                 return tried if tried.sends else Tried(held_back)
-            may_ask = asks < MOST_ASKS
-            target = self._selector.choose(asked.pool, asked.work, excluded, may_ask=may_ask)
-            if target is not None and may_ask and self._available.needs_permit(target):
+            can_request_permit = asks < MOST_ASKS
+            target = self._selector.choose(
+                asked.pool, asked.work, excluded, can_request_permit=can_request_permit
+            )
+            if target is not None and can_request_permit and self._available.needs_permit(target):
                 asks += 1
                 if not await self._available.ask_permit(target, PERMIT_WAIT_SECONDS):
                     continue
--- a/tillerlane/gateway/tests/test_permits.py
+++ b/tillerlane/gateway/tests/test_permits.py
@@ -56,11 +56,11 @@
         self._tasks = [self._loop.create_task(self._press(number)) for number in range(entries)]
         self._tasks.append(self._loop.create_task(self._change_leaders()))
 
-    def _build_keeper(self, number: int) -> grants.Grants:
-        def read_term() -> int | None:
+    def _build_keeper(self, number: int) -> grants.PermitIssuer:
+        def get_term() -> int | None:
             return self._term if self._leader == number else None
 
-        return grants.Grants(limits.Limits(), read_term, lambda: None, self._loop.time)
+        return grants.PermitIssuer(limits.Limits(), get_term, lambda: None, self._loop.time)
 
     async def _change_leaders(self) -> None:
         while self._trouble.changes:
@@ -75,8 +75,8 @@
         if leader is None:
             raise links.LinkLost("no leader")
         if self._rng.random() < self._trouble.late:
-            await asyncio.sleep(self._rng.uniform(0.0, permits.ANSWER_SECONDS))
-        reply = await self._keepers[leader].serve(messages.PermitRequest(wishes))
+            await asyncio.sleep(self._rng.uniform(0.0, permits.REPLY_TIMEOUT_SECONDS))
+        reply = await self._keepers[leader].handle_request(messages.PermitRequest(wishes))
         if self._rng.random() < self._trouble.lost:
             raise links.LinkLost("the answer got lost")
         return reply.grants
@@ -85,7 +85,7 @@
         table = limits.Limits()
         table.merge([limits.LimitRecord(TARGET, self._limit, 1, self._loop.time())])
         entry = permits.Permits(f"entry-{number}", table, self._loop.time)
-        entry.ask = self._ask
+        entry.request_grants = self._ask
         entry.entries = self._entries
         self._tasks.append(self._loop.create_task(entry.run()))
         return entry
@@ -96,11 +96,11 @@
         while True:
             await asyncio.sleep(self._rng.expovariate(3 * self._limit / self._entries))
             if not entry.can_send(TARGET):
-                entry.wish(TARGET)
-                await entry.wait_for_answer(0.1)
+                entry.queue_request(TARGET)
+                await entry.wait_for_reply(0.1)
             is_held_back = self._trouble.saves and self._loop.time() % 3.0 > 0.5
             if is_held_back:
-                entry.wish(TARGET)
+                entry.queue_request(TARGET)
             while entry.can_send(TARGET) and not is_held_back:
                 entry.record_send(TARGET)
                 self.sent.append(self._loop.time())
@@ -169,8 +169,8 @@
             idle, busy = fleet._start_entry(1), fleet._start_entry(2)
             used = 0
             for _ in range(200):
-                idle.wish(TARGET)
-                busy.wish(TARGET)
+                idle.queue_request(TARGET)
+                busy.queue_request(TARGET)
                 await asyncio.sleep(0.05)
                 if busy.can_send(TARGET):
                     busy.record_send(TARGET)
