--- a/tillerlane/gateway/budget.py
+++ b/tillerlane/gateway/budget.py
@@ -9,7 +9,7 @@
 
 __all__ = ["RetryBounds", "RetryBudget"]
 
-SAFETY = 0.7
+SAFETY_FACTOR = 0.7
 """Share of the bound that is used: entries count one another late, and callers spread unevenly."""
 
 
@@ -59,20 +59,20 @@
         self._firsts: dict[str, _Window] = collections.defaultdict(_Window)
         self._repeats: dict[str, _Window] = collections.defaultdict(_Window)
 
-    def note_request(self, pool: str, now: float) -> None:
+    def record_request(self, pool: str, now: float) -> None:
         """Count a request for a pool."""
         self._firsts[pool].add(now)
 
-    def note_repeat(self, pool: str, now: float) -> None:
+    def record_retry(self, pool: str, now: float) -> None:
         """Count a send beyond a request's first that is made whatever the budget says."""
         self._repeats[pool].add(now)
 
-    def take(self, pool: str, now: float) -> bool:
+    def try_acquire(self, pool: str, now: float) -> bool:
         """Count a retry if the budget allows it; whether it does."""
         bounds = self._bounds
         since = now - bounds.window_seconds
         allowance = bounds.allowance / self.entries if self.entries else 0.0
-        most = SAFETY * (bounds.ratio * self._firsts[pool].count(since) + allowance)
+        most = SAFETY_FACTOR * (bounds.ratio * self._firsts[pool].count(since) + allowance)
         if self._repeats[pool].count(since) + 1 > most:
             return False
         self._repeats[pool].add(now)
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -75,7 +75,7 @@
             facts = self._dialect.read_request(request.head)
             await self._refuse(facts.request_id, "", responder, asked)
             return
-        self._budget.note_request(asked.pool.name, self._loop.time())
+        self._budget.record_request(asked.pool.name, self._loop.time())
         try:
             tried = await self._sender.try_targets(asked)
         except asyncio.CancelledError:
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -455,7 +455,7 @@
         # A failure of the target's own, or none of its word: another one may do better.
         if not isinstance(outcome, refusals.NotRun) and not asked.route.is_repeatable:
             return False
-        return self._budget.take(asked.pool.name, self._loop.time())
+        return self._budget.try_acquire(asked.pool.name, self._loop.time())
 
     def _note_send(
         self,
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -299,7 +299,7 @@
             return False
         if not asked.route.is_resumable or stream.runs_begun >= asked.route.max_attempts:
             return False
-        if not self._budget.take(asked.pool.name, self._loop.time()):
+        if not self._budget.try_acquire(asked.pool.name, self._loop.time()):
             return False
         former = stream.run
         self._drop(stream)
@@ -345,7 +345,7 @@
             copy=continuation.copy,
             backup=backup,
         )
-        self._budget.note_repeat(asked.pool.name, self._loop.time())
+        self._budget.record_retry(asked.pool.name, self._loop.time())
         return await self._send_on(stream, target, plan, backup)
 
     async def _await_bearing(
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -77,25 +77,25 @@
                 break
             for part in parts:
                 if is_first:
-                    part.note_request("pool", now)
+                    part.record_request("pool", now)
                     firsts += 1
                 else:
-                    repeats += part.take("pool", now)
+                    repeats += part.try_acquire("pool", now)
         self.assertLessEqual(repeats, bounds.ratio * firsts + bounds.allowance)
 
     def test_entries_that_start_at_once_exceed_the_allowance_together(self) -> None:
         bounds = budgets.RetryBounds(0.2, 10.0, 50.0)
         parts = [budgets.RetryBudget(bounds, entries=0) for _ in range(20)]
-        taken = sum(part.take("pool", 0.0) for part in parts for _ in range(30))
+        taken = sum(part.try_acquire("pool", 0.0) for part in parts for _ in range(30))
         self.assertLessEqual(taken, bounds.allowance)
         self.assertEqual(parts[0].entries, 0)
         parts[0].entries = 1
-        self.assertTrue(parts[0].take("pool", 0.0))
+        self.assertTrue(parts[0].try_acquire("pool", 0.0))
 
     def test_window_slides(self) -> None:
         budget = budgets.RetryBudget(budgets.RetryBounds(0.0, 10.0, 10.0))
-        self.assertEqual(sum(budget.take("pool", 0.0) for _ in range(20)), 7)
-        self.assertTrue(budget.take("pool", 10.1))
+        self.assertEqual(sum(budget.try_acquire("pool", 0.0) for _ in range(20)), 7)
+        self.assertTrue(budget.try_acquire("pool", 10.1))
 
 
 class SelectionTest(unittest.TestCase):
