--- a/tillerlane/gateway/availability.py
+++ b/tillerlane/gateway/availability.py
@@ -103,20 +103,20 @@
         pool: routes.Pool,
         target: directories.Target,
         *,
-        goes_on: bool = False,
+        is_resumed: bool = False,
         is_counted: bool = False,
     ) -> Obstacle | None:
         """What keeps one more request from a target now; None if it may be sent.
 
-        A run that `goes_on` with a copy of its memory may go to a target that has begun to leave,
-        and takes no further place of those left after a back-off: its copy holds one there.
+        A run that `is_resumed` with a copy of its memory may go to a target that has begun to
+        leave, and takes no further place of those left after a back-off: its copy holds one there.
         With `is_counted` the request is among those under way there already.
         """
         if self.is_evacuated(target):
             return _EVACUATED
-        if target.is_leaving and not goes_on:
+        if target.is_leaving and not is_resumed:
             return _LEAVING
-        under_way = 0 if goes_on else self._usage.count_own_at(target.address) - is_counted
+        under_way = 0 if is_resumed else self._usage.count_own_at(target.address) - is_counted
         backoff_until = self._backoffs.find_end(target.target_id, under_way)
         if backoff_until is not None:
             return Obstacle(Cause.BACKOFF, backoff_until)
@@ -126,27 +126,27 @@
             return _LIMITED
         return None
 
-    def is_busy_elsewhere(self, target: directories.Target) -> bool:
+    def is_rejecting_others(self, target: directories.Target) -> bool:
         """Whether a target turns other entries away."""
         return self._backoffs.is_hinted(target.target_id)
 
-    def take(
-        self, pool: routes.Pool, target: directories.Target, *, goes_on: bool = False
+    def acquire(
+        self, pool: routes.Pool, target: directories.Target, *, is_resumed: bool = False
     ) -> Obstacle | None:
         """Count a request that goes out to a target now, unless something keeps it from there."""
-        obstacle = self.find_obstacle(pool, target, goes_on=goes_on, is_counted=True)
+        obstacle = self.find_obstacle(pool, target, is_resumed=is_resumed, is_counted=True)
         if obstacle is None:
             self._cold.record_send(target, self._now())
             self._permits.record_send(target.target_id)
             self._backoffs.record_send(target.target_id)
         return obstacle
 
-    def is_held_up(self, pool: routes.Pool, target: directories.Target) -> bool:
+    def is_blocked(self, pool: routes.Pool, target: directories.Target) -> bool:
         """Whether a run that goes on has to wait for a target, which may soon get more.
 
         Permits are asked for where that would help.
         """
-        obstacle = self.find_obstacle(pool, target, goes_on=True)
+        obstacle = self.find_obstacle(pool, target, is_resumed=True)
         if obstacle is not None and obstacle.cause is Cause.LIMITED:
             self.queue_permit_request(target)
         return obstacle is not None and obstacle.cause is not Cause.EVACUATED
@@ -163,7 +163,7 @@
         ]
         return [until for until in ends if until is not None]
 
-    def read_opening(self, pool: routes.Pool, excluded: Collection[str] = ()) -> float:
+    def find_next_opening(self, pool: routes.Pool, excluded: Collection[str] = ()) -> float:
         """Time of the event loop from which a target of a pool may take a request.
 
         Infinite if none will by itself; targets that are `excluded` (ids) don't count.
@@ -177,7 +177,7 @@
             first = min(first, max(now, obstacle.until) if obstacle is not None else now)
         return first
 
-    def read_cold_seconds(self, pool: routes.Pool) -> float:
+    def compute_warm_up_seconds(self, pool: routes.Pool) -> float:
         """Seconds until the first cold target of a pool is warm; 0 if none is cold."""
         now = self._now()
         listed = self._directory.list_pool(pool.name)
@@ -195,7 +195,7 @@
         """Whether a target has named a limit and this entry may not send there without asking."""
         return not self._permits.can_send(target.target_id)
 
-    async def ask_permit(self, target: directories.Target, seconds: float) -> bool:
+    async def request_permit(self, target: directories.Target, seconds: float) -> bool:
         """Ask for a permit and wait for the answer, so long at most; whether one is held then."""
         self.queue_permit_request(target)
         await self._permits.wait_for_reply(seconds)
@@ -205,13 +205,13 @@
         """Whether a request that waits for a permit is likely to get one soon."""
         return self._permits.is_permit_likely(target.target_id)
 
-    def read_limit(self, target: directories.Target) -> float | None:
+    def find_limit(self, target: directories.Target) -> float | None:
         """What a target has named as its limit, in requests a second; None without one in force."""
         return self._permits.find_limit(target.target_id)
 
     def list_limits(self, pool: routes.Pool) -> list[float]:
         """Limits in force of a pool's targets that take work, in requests a second."""
-        limits = [self.read_limit(target) for target in self._directory.list_pool(pool.name)]
+        limits = [self.find_limit(target) for target in self._directory.list_pool(pool.name)]
         return [limit for limit in limits if limit is not None]
 
     def list_evacuated(self) -> list[str]:
--- a/tillerlane/gateway/refusals.py
+++ b/tillerlane/gateway/refusals.py
@@ -29,7 +29,7 @@
     sent: bool
     is_other_target: bool = False
     """Whether the address has gone to another target."""
-    is_held_up: bool = False
+    is_blocked: bool = False
     """Whether the target may get nothing of this entry now, which says nothing of its reach."""
     retry_after: float = admissions.RETRY_SECONDS
 
@@ -70,14 +70,14 @@
 
     def set_return(self, asked: admissions.Admission, refused: NotRun) -> NotRun:
         """Have a caller whom targets turned away come back no sooner than one may take more."""
-        if self._available.read_opening(asked.pool) <= self._loop.time():
+        if self._available.find_next_opening(asked.pool) <= self._loop.time():
             return refused
         found = self._list_in_backoff(asked.pool)
         return dataclasses.replace(refused, retry_after=found[0][0]) if found else refused
 
     def _list_cold(self, pool: routes.Pool) -> list[tuple[float, str]]:
         """Seconds and reason to tell callers if cold targets keep them away; none if they don't."""
-        seconds = self._available.read_cold_seconds(pool)
+        seconds = self._available.compute_warm_up_seconds(pool)
         if seconds <= 0:
             return []
         return [(seconds, "no target but cold ones that have this entry's share")]
--- a/tillerlane/gateway/selection.py
+++ b/tillerlane/gateway/selection.py
@@ -235,7 +235,7 @@
         """Whether a target has failed this entry lately, or turns others away."""
         if self.failures.is_avoided(target.target_id, now):
             return True
-        return self._available.is_busy_elsewhere(target)
+        return self._available.is_rejecting_others(target)
 
     def _read_pace(self, pool: routes.Pool, listed: list[directories.Target], now: float) -> float:
         """Seconds an event over all runners of a pool, looked up now and then."""
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -220,10 +220,12 @@
                 held_back = self.refuse_held(asked)
                 if held_back is not None:
                     return held_back
-                obstacle = self._available.take(asked.pool, target, goes_on=plan.copy is not None)
+                obstacle = self._available.acquire(
+                    asked.pool, target, is_resumed=plan.copy is not None
+                )
                 if obstacle is not None:
                     reason = f"{address} gets nothing of this entry now: {obstacle.cause.value}"
-                    return refusals.NotRun(reason, sent=False, is_held_up=True)
+                    return refusals.NotRun(reason, sent=False, is_blocked=True)
                 head = self._dialect.write_forward(asked.request.head, plan)
                 exchange.send(head, asked.request.body)
                 outcome = await self._read_answer(asked, target, exchange)
@@ -353,7 +355,7 @@
             )
             if target is not None and can_request_permit and self._available.needs_permit(target):
                 asks += 1
-                if not await self._available.ask_permit(target, PERMIT_WAIT_SECONDS):
+                if not await self._available.request_permit(target, PERMIT_WAIT_SECONDS):
                     continue
             if target is None and not excluded and self._may_wait_for_targets(asked):
                 await asyncio.sleep(ROOM_CHECK_SECONDS)
@@ -375,7 +377,7 @@
             latest = await self._try_target(asked, target, tried)
             tried = _keep_true(tried, latest)
             if isinstance(latest.outcome, refusals.NotRun) and not latest.outcome.sent:
-                unsent += not latest.outcome.is_held_up
+                unsent += not latest.outcome.is_blocked
             elif not self._may_send_again(asked, latest):
                 break
         return self._finish(asked, tried)
@@ -420,7 +422,7 @@
         patience = self._read_patience(asked)
         if self._loop.time() >= patience:
             return False
-        return self._available.read_opening(asked.pool, excluded) <= patience
+        return self._available.find_next_opening(asked.pool, excluded) <= patience
 
     def _read_patience(self, asked: admissions.Admission) -> float:
         """Until when a request waits for memory; then the caller is told when to come back."""
@@ -472,7 +474,7 @@
         use = self._usage.get(target.address)
         reason = getattr(outcome, "reason", "")
         status = outcome.head.status if isinstance(outcome, Whole | Stream) else 0
-        limit = self._available.read_limit(target)
+        limit = self._available.find_limit(target)
         self._timeline.record(
             "request.send",
             request_id=asked.facts.request_id,
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -221,7 +221,7 @@
             self._mover.give_up(run)  # nobody would take it up; it may end here yet
         elif self._available.is_evacuated(target) or not run.may_go_to(target):
             self._mover.move_again(run)
-        elif not self._available.is_held_up(run.pool, target):  # else again with its next event
+        elif not self._available.is_blocked(run.pool, target):  # else again with its next event
             stream.stopping = self._order_stop(stream, target)
 
     def _order_stop(
@@ -329,8 +329,8 @@
                 return refusals.NotRun(f"{target.target_id} leaves too", sent=False)
             outcome = await self._send_copy(stream, continuation)
             is_refused_here = isinstance(outcome, refusals.NotRun) and not outcome.sent
-            is_held_up = self._available.is_held_up(stream.run.pool, target)
-            if not is_refused_here or not is_held_up or self._loop.time() >= until:
+            is_blocked = self._available.is_blocked(stream.run.pool, target)
+            if not is_refused_here or not is_blocked or self._loop.time() >= until:
                 return outcome
 
     async def _send_copy(
@@ -352,7 +352,7 @@
         self, pool: routes.Pool, target: directories.Target, until: float
     ) -> None:
         """Wait while a target gets nothing of this entry: cold, limited or in back-off."""
-        while self._available.is_held_up(pool, target) and self._loop.time() < until:
+        while self._available.is_blocked(pool, target) and self._loop.time() < until:
             await asyncio.sleep(BEARING_CHECK_SECONDS)
 
     async def _send_on(
--- a/tillerlane/gateway/tests/test_handover_second_look.py
+++ b/tillerlane/gateway/tests/test_handover_second_look.py
@@ -181,13 +181,13 @@
             await asyncio.sleep(0.5)
             available = stage.entries["entry-1"]._relay._streams._available
             looks: list[float] = []
-            is_held_up = available.is_held_up
+            is_blocked = available.is_blocked
 
             def count(pool: Any, target: Any) -> bool:
                 looks.append(asyncio.get_running_loop().time())
-                return is_held_up(pool, target)
+                return is_blocked(pool, target)
 
-            available.is_held_up = count  # type: ignore[method-assign]
+            available.is_blocked = count  # type: ignore[method-assign]
             await stage.add_runner("t2", "llm", length=LENGTH)
             stage.beat("t2", "llm", cold_seconds=4.0)
             await asyncio.sleep(0.2)
