--- a/tillerlane/gateway/admission.py
+++ b/tillerlane/gateway/admission.py
@@ -7,19 +7,19 @@
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import fingerprints, http_head, http_server, routes
 
-__all__ = ["LONG_TOKENS", "RETRY_SECONDS", "Admission", "Gate", "Refusal"]
+__all__ = ["LONG_RUN_TOKENS", "RETRY_AFTER_SECONDS", "Admission", "AdmissionControl", "Refusal"]
 
-RETRY_SECONDS = 0.25
+RETRY_AFTER_SECONDS = 0.25
 """When a refused caller may come back: most refusals end with the next word of a target."""
-STALE_RETRY_SECONDS = 1.0
+STALE_RETRY_AFTER_SECONDS = 1.0
 """When a caller may come back without a configuration that can be trusted: about when another
 keeper is found, or a leader elected.  Callers with less time come back sooner."""
 DEFAULT_WAIT_SECONDS = 60.0
 """Time of a request that names none, on a route that names none."""
-LONG_TOKENS = 40
+LONG_RUN_TOKENS = 40
 """Answers expected to be shorter end before their memory would be of use elsewhere: a run writes
 some 130 tokens a second, and a runner leaves with 1.5 s of notice or more."""
-GROWTH_TOKENS = 300
+MAX_GROWTH_RESERVE_TOKENS = 300
 """Most tokens of a run's future growth that are counted as used: what a run writes in two
 seconds, by which time others have ended."""
 
@@ -39,7 +39,7 @@
 
     Attributes
     ----------
-    ends_at : float
+    deadline : float
         Time of the event loop by which it must be answered.
     fingerprint : str
         The same for each attempt of the same request (`gateway.fingerprints`).
@@ -51,30 +51,30 @@
     pool: routes.Pool
     workspace: routes.Workspace | None
     version: int
-    ends_at: float
+    deadline: float
     fingerprint: str = ""
 
     @property
     def tokens(self) -> int:
         """Memory that the request is counted with at a runner when it begins."""
-        return self.facts.prompt_tokens + self.count_growth(0)
+        return self.facts.prompt_tokens + self.compute_growth_reserve(0)
 
     @property
     def work(self) -> placing.Work:
         """What it asks of a runner."""
         facts = self.facts
-        return placing.Work(self.tokens, facts.prompt_tokens, self.count_events_left(0))
+        return placing.Work(self.tokens, facts.prompt_tokens, self.count_remaining_events(0))
 
-    def count_events_left(self, events: int) -> float:
+    def count_remaining_events(self, events: int) -> float:
         """Events that its run is expected to write after so many."""
         if self.pool.engine is None:
             return 0.0
         expected = self.facts.output_tokens / max(1, self.pool.engine.event_tokens)
         return max(0.0, expected - events)
 
-    def count_growth(self, written: int) -> int:
+    def compute_growth_reserve(self, written: int) -> int:
         """Tokens that are set aside for what a run is yet to write."""
-        return min(GROWTH_TOKENS, max(0, self.facts.output_tokens - written) // 2)
+        return min(MAX_GROWTH_RESERVE_TOKENS, max(0, self.facts.output_tokens - written) // 2)
 
     @property
     def priority(self) -> int:
@@ -97,7 +97,7 @@
         """Whether it makes a run that is long and may not run again, so that its memory matters."""
         if self.pool.engine is None or self.route.is_resumable:
             return False
-        return self.facts.output_tokens >= LONG_TOKENS
+        return self.facts.output_tokens >= LONG_RUN_TOKENS
 
     @property
     def is_stream(self) -> bool:
@@ -105,7 +105,7 @@
         return self.route.repeat is routes.Repeat.STREAM
 
 
-class Gate:
+class AdmissionControl:
     """Decides on each request by the table in force.
 
     Parameters
@@ -133,7 +133,7 @@
         """Judge a request."""
         table = self.table
         if table is None:
-            return Refusal(503, "no configuration yet", STALE_RETRY_SECONDS)
+            return Refusal(503, "no configuration yet", STALE_RETRY_AFTER_SECONDS)
         host = http_head.get_header(request.head.headers, b"host") or b""
         path = request.head.path.decode("latin-1")
         route = table.find_route(host.decode("latin-1").lower(), path)
@@ -144,16 +144,16 @@
         if table.workspaces and not route.is_public:
             if not self.is_fresh():
                 reason = "configuration may be old, keys are not trusted"
-                return Refusal(503, reason, STALE_RETRY_SECONDS)
+                return Refusal(503, reason, STALE_RETRY_AFTER_SECONDS)
             workspace = table.find_workspace(facts.key)
             if workspace is None:
                 return Refusal(401, f"unknown key in version {table.version}")
         waits = [facts.wait_seconds, route.timeout_seconds]
         wait = min([item for item in waits if item is not None], default=DEFAULT_WAIT_SECONDS)
         pool = table.pools[self._pick_pool(route)]
-        ends_at = request.arrived + wait
+        deadline = request.arrived + wait
         owner = workspace.name if workspace is not None else ""
         fingerprint = fingerprints.compute(request.head, request.body, owner)
         return Admission(
-            request, facts, route, pool, workspace, table.version, ends_at, fingerprint
+            request, facts, route, pool, workspace, table.version, deadline, fingerprint
         )
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -166,8 +166,8 @@
         self._startup = startup.Startup()
         self.quarantine = quarantine.Quarantine(self.timeline, self._loop.time)
         self.quarantine.tell = self._tell_ends
-        self._gate = admission.Gate(dialect, selector.pick_pool)
-        self._gate.is_fresh = self._is_fresh
+        self._admission_control = admission.AdmissionControl(dialect, selector.pick_pool)
+        self._admission_control.is_fresh = self._is_fresh
         taken = advice.Advice(
             self.directory,
             self.limits,
@@ -210,7 +210,7 @@
             handovers.Handovers(dialect, self.timeline, self._meters),
         )
         self._relay = relay.Relay(
-            self._gate,
+            self._admission_control,
             sender,
             relayed,
             self._budget,
@@ -319,7 +319,7 @@
             # Keepers check a document before it is published; keep serving under the former one.
             self.timeline.record("config.unreadable", message=error.fault.message)
             return
-        self._gate.table = table
+        self._admission_control.table = table
         bounds = table.limits
         self._limits.header_bytes = bounds.max_header_bytes
         self._limits.body_bytes = bounds.max_body_bytes
@@ -344,7 +344,7 @@
         self.homes.ask_again()
 
     def _note_fresh(self) -> None:
-        if self._gate.table is not None and self._is_fresh():
+        if self._admission_control.table is not None and self._is_fresh():
             self._startup.note_ready()
 
     def _is_fresh(self) -> bool:
@@ -526,7 +526,7 @@
     async def _answer_ready(
         self, request: http_server.Request, responder: http_server.Responder
     ) -> None:
-        table = self._gate.table
+        table = self._admission_control.table
         is_ready = table is not None and not self._stopping
         if is_ready and table is not None and table.workspaces:
             is_ready = self._is_fresh()
--- a/tillerlane/gateway/refusals.py
+++ b/tillerlane/gateway/refusals.py
@@ -9,14 +9,14 @@
 from tillerlane.gateway import backoff as backoffs
 from tillerlane.gateway import usage as usages
 
-__all__ = ["NotRun", "Refusals"]
+__all__ = ["NotRun", "RefusalBuilder"]
 
-NO_ROOM_RETRY_SECONDS = 3.0
+NO_ROOM_RETRY_AFTER_SECONDS = 3.0
 """When a caller may come back that found no memory: a full pool stays full for seconds, since a
 long run takes some 8 s and a runner that left is replaced after 4 s."""
 NO_ROOM_RETRY_SHARE = 0.3
 """Share of its time left that a caller may be told to wait; callers obey up to a third of it."""
-EVACUATED_RETRY_SECONDS = 1.0
+EVACUATED_RETRY_AFTER_SECONDS = 1.0
 """When a caller may come back that found all data halls evacuated: such an order holds for seconds,
 so that coming back at once is in vain."""
 
@@ -31,10 +31,10 @@
     """Whether the address has gone to another target."""
     is_blocked: bool = False
     """Whether the target may get nothing of this entry now, which says nothing of its reach."""
-    retry_after: float = admissions.RETRY_SECONDS
+    retry_after: float = admissions.RETRY_AFTER_SECONDS
 
 
-class Refusals:
+class RefusalBuilder:
     """Builds the refusals of one entry.
 
     Parameters
@@ -52,12 +52,12 @@
         self._returns: dict[tuple[str, availability.Cause], float] = {}
         """When the caller that was refused last may come back, by pool and what kept it away."""
 
-    def build_no_target(self, asked: admissions.Admission) -> NotRun:
+    def build_no_target(self, admission: admissions.Admission) -> NotRun:
         """Refuse a request that no target takes now, and say why."""
         found = [
-            *self._list_cold(asked.pool),
-            *self._list_limited(asked.pool),
-            *self._list_in_backoff(asked.pool),
+            *self._list_cold(admission.pool),
+            *self._list_limited(admission.pool),
+            *self._list_in_backoff(admission.pool),
         ]
         if found:
             seconds, reason = min(found)
@@ -66,13 +66,13 @@
         if not halls:
             return NotRun("no target", sent=False)
         reason = f"no target outside the evacuated data halls {halls}"
-        return NotRun(reason, sent=False, retry_after=EVACUATED_RETRY_SECONDS)
+        return NotRun(reason, sent=False, retry_after=EVACUATED_RETRY_AFTER_SECONDS)
 
-    def set_return(self, asked: admissions.Admission, refused: NotRun) -> NotRun:
+    def adjust_retry_after(self, admission: admissions.Admission, refused: NotRun) -> NotRun:
         """Have a caller whom targets turned away come back no sooner than one may take more."""
-        if self._available.find_next_opening(asked.pool) <= self._loop.time():
+        if self._available.find_next_opening(admission.pool) <= self._loop.time():
             return refused
-        found = self._list_in_backoff(asked.pool)
+        found = self._list_in_backoff(admission.pool)
         return dataclasses.replace(refused, retry_after=found[0][0]) if found else refused
 
     def _list_cold(self, pool: routes.Pool) -> list[tuple[float, str]]:
@@ -107,8 +107,8 @@
         self._returns[key] = limits.book_return(booked_at, first_at, rate)
         return self._returns[key] - self._loop.time()
 
-    def build_no_room(self, asked: admissions.Admission) -> NotRun:
-        left = max(0.0, asked.ends_at - self._loop.time())
-        retry_after = min(NO_ROOM_RETRY_SECONDS, left * NO_ROOM_RETRY_SHARE)
-        reason = f"no memory: {asked.tokens} tokens beside those under way"
+    def build_no_room(self, admission: admissions.Admission) -> NotRun:
+        left = max(0.0, admission.deadline - self._loop.time())
+        retry_after = min(NO_ROOM_RETRY_AFTER_SECONDS, left * NO_ROOM_RETRY_SHARE)
+        reason = f"no memory: {admission.tokens} tokens beside those under way"
         return NotRun(reason, sent=False, retry_after=retry_after)
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    gate : admissions.Gate
+    admission_control : admissions.AdmissionControl
         Decides which requests may run.
     sender : sending.Sender
         Sends them.
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        gate: admissions.Gate,
+        admission_control: admissions.AdmissionControl,
         sender: sending.Sender,
         streams: stream_relays.Streams,
         budget: budgets.RetryBudget,
@@ -57,7 +57,7 @@
     ) -> None:
         self._quarantine = quarantined
         self._startup = startup
-        self._gate = gate
+        self._admission_control = admission_control
         self._sender = sender
         self._streams = streams
         self._budget = budget
@@ -70,7 +70,7 @@
         """Serve one request of a caller."""
         if self._startup.ready_at is None:
             await self._wait_ready(request)
-        asked = self._gate.admit(request)
+        asked = self._admission_control.admit(request)
         if isinstance(asked, admissions.Refusal):
             facts = self._dialect.read_request(request.head)
             await self._refuse(facts.request_id, "", responder, asked)
--- a/tillerlane/gateway/relayed.py
+++ b/tillerlane/gateway/relayed.py
@@ -177,8 +177,8 @@
             return
         written = self.events * engine.event_tokens
         tokens = self.asked.facts.prompt_tokens + written
-        self.run.events_left = self.asked.count_events_left(self.events)
-        self.on_growth(self.run, tokens + self.asked.count_growth(written))
+        self.run.events_left = self.asked.count_remaining_events(self.events)
+        self.on_growth(self.run, tokens + self.asked.compute_growth_reserve(written))
 
     def _note_times(self, event_before: str, events_now: int) -> None:
         now = asyncio.get_running_loop().time()
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -180,7 +180,7 @@
         self._available = available
         self._advice = taken
         self._usage = usage
-        self._refusals = refusals.Refusals(available, usage)
+        self._refusals = refusals.RefusalBuilder(available, usage)
         self._budget = budget
         self._timeline = timeline
         self._meters = meters
@@ -204,7 +204,7 @@
         if held_back is not None:
             return held_back
         began = self._loop.time()
-        until = asked.ends_at - MARGIN_SECONDS if until is None else until
+        until = asked.deadline - MARGIN_SECONDS if until is None else until
         address = target.address
         unread = asked.facts.prompt_tokens if tokens is None else 0
         tokens = asked.tokens if tokens is None else tokens
@@ -313,7 +313,7 @@
         backup: directories.Target | None = None,
     ) -> dialects.ForwardPlan:
         return dialects.ForwardPlan(
-            wait_seconds=max(0.001, asked.ends_at - self._loop.time()),
+            wait_seconds=max(0.001, asked.deadline - self._loop.time()),
             target_id=target.target_id,
             workspace=asked.workspace.name if asked.workspace is not None else "",
             priority=asked.runner_rank,
@@ -363,7 +363,7 @@
             if target is None and self._may_wait_for_bearing(asked, excluded):
                 await self._available.wait_for_permits(ROOM_CHECK_SECONDS)
                 continue
-            if target is None or self._loop.time() + LEAST_SEND_SECONDS > asked.ends_at:
+            if target is None or self._loop.time() + LEAST_SEND_SECONDS > asked.deadline:
                 return self._finish(asked, tried)
             if not self._has_room(asked, target):
                 if self._loop.time() < self._read_patience(asked):
@@ -387,7 +387,7 @@
         if tried.target is None:
             return Tried(self._refusals.build_no_target(asked))
         if isinstance(tried.outcome, refusals.NotRun):
-            outcome = self._refusals.set_return(asked, tried.outcome)
+            outcome = self._refusals.adjust_retry_after(asked, tried.outcome)
             return dataclasses.replace(tried, outcome=outcome)
         return tried
 
@@ -411,11 +411,11 @@
         if runs + 1 >= asked.route.max_attempts:
             return None
         now = self._loop.time()
-        return now + (asked.ends_at - now) * FIRST_SEND_SHARE
+        return now + (asked.deadline - now) * FIRST_SEND_SHARE
 
     def _may_wait_for_targets(self, asked: admissions.Admission) -> bool:
         arrived = asked.request.arrived
-        return self._startup.may_wait_for_targets(arrived, asked.ends_at - arrived)
+        return self._startup.may_wait_for_targets(arrived, asked.deadline - arrived)
 
     def _may_wait_for_bearing(self, asked: admissions.Admission, excluded: set[str]) -> bool:
         """Whether a target that gets nothing now may take a request in time."""
@@ -442,7 +442,7 @@
 
     def _has_room(self, asked: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner has memory for a request; short ones are gone before it runs out."""
-        is_short = asked.facts.output_tokens < admissions.LONG_TOKENS
+        is_short = asked.facts.output_tokens < admissions.LONG_RUN_TOKENS
         share = 1.0 if is_short or asked.priority == 0 else RUN_MEMORY_SHARE
         return self._selector.has_room(asked.pool, target, asked.tokens, share)
 
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -113,7 +113,7 @@
         assert isinstance(outcome, sending.Stream) and target is not None
         run = runs.Run(asked.facts.request_id, asked.pool, target, asked.tokens, tried.backup)
         run.is_long = asked.is_long
-        run.events_left = asked.count_events_left(0)
+        run.events_left = asked.count_remaining_events(0)
         stream = relayed.Relayed(asked, responder, run, outcome.exchange)
         stream.runs_begun = tried.runs
         stream.on_growth = self._note_growth
@@ -122,7 +122,7 @@
         try:
             headers = http_head.list_end_to_end(outcome.head.headers)
             await responder.begin(http_head.AnswerHead(outcome.head.status, headers))
-            async with asyncio.timeout_at(asked.ends_at):
+            async with asyncio.timeout_at(asked.deadline):
                 await self._relay_runs(stream)
         except TimeoutError:
             self._note_broken(stream, "out of time")
@@ -234,7 +234,7 @@
         stopping = self._handovers.stop(
             stream.run,
             destination.address,
-            stream.asked.ends_at,
+            stream.asked.deadline,
             is_stream_open=is_stream_open,
         )
         if stream.exchange is not None:
