--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -46,7 +46,9 @@
     tracemalloc.start()
     table = suspects.Suspects()
     for number in range(REQUESTS):
-        table.take([suspects.End(f"{number:032x}", f"i-{number % 5_000:010x}#1790479201332")])
+        table.merge(
+            [suspects.TargetExit(f"{number:032x}", f"i-{number % 5_000:010x}#1790479201332")]
+        )
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return len(table), used / 1e6
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -338,7 +338,7 @@
                 self._entries.update(dict.fromkeys(body.entries, self._loop.time()))
                 self._loads.handle_forwarded(body, self._loop.time())
             case messages.TargetEnds():
-                self.verdicts.take(suspects.read_ends(body))
+                self.verdicts.take(suspects.decode_exits(body))
             case messages.TargetLimits():
                 self.limits.handle_message(body)
             case messages.TargetBackoffs():
--- a/tillerlane/gateway/endings.py
+++ b/tillerlane/gateway/endings.py
@@ -87,7 +87,7 @@
             requests_there=self._usage.get(target.address).requests,
         )
         if reach is http_client.Reach.REFUSED:
-            self._quarantine.note_end(asked.fingerprint, target)
+            self._quarantine.record_exit(asked.fingerprint, target)
 
     async def _probe(self, target: directories.Target) -> http_client.Reach:
         if target.is_over:
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -165,7 +165,7 @@
         )
         self._startup = startup.Startup()
         self.quarantine = quarantine.Quarantine(self.timeline, self._loop.time)
-        self.quarantine.tell = self._tell_ends
+        self.quarantine.notify_keepers = self._tell_ends
         self._admission_control = admission.AdmissionControl(dialect, selector.pick_pool)
         self._admission_control.is_fresh = self._is_fresh
         taken = advice.Advice(
@@ -371,16 +371,16 @@
         self.homes.look_soon()
         ends = self.quarantine.suspects.list_all()
         if ends:
-            links.try_send(link, suspects.write_ends(ends))
+            links.try_send(link, suspects.encode_exits(ends))
         leaving = self.directory.list_leaving()
         if leaving:
             links.try_send(link, directories.write_states(leaving))
         if len(self.limits):
             links.try_send(link, limits.encode_records(self.limits.list_all()))
 
-    def _tell_ends(self, ends: list[suspects.End]) -> None:
+    def _tell_ends(self, ends: list[suspects.TargetExit]) -> None:
         """Tell all keepers listened to, since any of them may be cut off."""
-        self._tell_keepers(suspects.write_ends(ends))
+        self._tell_keepers(suspects.encode_exits(ends))
 
     def _tell_limit(self, word: limits.LimitRecord) -> None:
         """Tell all keepers listened to what a target has named."""
@@ -432,7 +432,7 @@
             case messages.LoadDigest():
                 self._take_digest(link, body)
             case messages.TargetEnds():
-                self.quarantine.take(suspects.read_ends(body))
+                self.quarantine.handle_exits(suspects.decode_exits(body))
             case messages.TargetLimits():
                 self._take_limits(limits.decode_records(body))
             case messages.TargetBackoffs():
--- a/tillerlane/gateway/quarantine.py
+++ b/tillerlane/gateway/quarantine.py
@@ -17,10 +17,10 @@
 
 __all__ = ["Quarantine"]
 
-GOOD_SECONDS = 60.0
+SUCCESS_RETENTION_SECONDS = 60.0
 """How long a request that ended well here is vouched for: an often repeated one that is on many
 targets when these lose power must not be held back for it."""
-MAX_GOOD = 4_096
+MAX_SUCCESSES = 4_096
 """Requests vouched for at most, the latest: 80 s of a thin entry with 50 a second."""
 
 
@@ -38,13 +38,13 @@
     ----------
     suspects : suspects.Suspects
         Targets that ended, by request.
-    tell : callable
+    notify_keepers : callable
         Tells the keepers of what is new here.
     """
 
     def __init__(self, timeline: timelines.Timeline, now: Callable[[], float]) -> None:
         self.suspects = suspects.Suspects()
-        self.tell: Callable[[list[suspects.End]], None] = lambda ends: None
+        self.notify_keepers: Callable[[list[suspects.TargetExit]], None] = lambda ends: None
         self._timeline = timeline
         self._now = now
         self._held: frozenset[str] = frozenset()
@@ -71,32 +71,32 @@
             self._timeline.record("request.quarantined", fingerprint=fingerprint, held=False)
         self._held = fingerprints
 
-    def note_end(self, fingerprint: str, target: directories.Target) -> None:
+    def record_exit(self, fingerprint: str, target: directories.Target) -> None:
         """Take note that a target ended while it had a request."""
         if self._is_good(fingerprint):
             return
-        self._tell_new(self.suspects.take([suspects.End(fingerprint, target.target_id)]))
+        self._tell_new(self.suspects.merge([suspects.TargetExit(fingerprint, target.target_id)]))
 
-    def note_good(self, fingerprint: str) -> None:
+    def record_success(self, fingerprint: str) -> None:
         """Take note that a request ended well: it does not end each target that runs it."""
         self._good[fingerprint] = self._now()
         self._good.move_to_end(fingerprint)
-        if len(self._good) > MAX_GOOD:
+        if len(self._good) > MAX_SUCCESSES:
             self._good.popitem(last=False)
         self._tell_new(self.suspects.clear(fingerprint))
 
-    def take(self, ends: Iterable[suspects.End]) -> None:
+    def handle_exits(self, ends: Iterable[suspects.TargetExit]) -> None:
         """Take what a keeper tells, and vouch for what ended well here."""
-        new = self.suspects.take(ends)
+        new = self.suspects.merge(ends)
         for fingerprint in {end.fingerprint for end in new}:
             if self._is_good(fingerprint):
                 self._tell_new(self.suspects.clear(fingerprint))
 
     def _is_good(self, fingerprint: str) -> bool:
         at = self._good.get(fingerprint)
-        return at is not None and self._now() - at < GOOD_SECONDS
+        return at is not None and self._now() - at < SUCCESS_RETENTION_SECONDS
 
-    def _tell_new(self, ends: list[suspects.End]) -> None:
+    def _tell_new(self, ends: list[suspects.TargetExit]) -> None:
         if not ends:
             return
         fingerprint = ends[0].fingerprint
@@ -106,4 +106,4 @@
             ended=self.suspects.count(fingerprint),
             cleared=ends[0].is_cleared,
         )
-        self.tell(ends)
+        self.notify_keepers(ends)
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -153,7 +153,7 @@
     def _note_answer(self, asked: admissions.Admission, tried: sending.Tried, status: int) -> None:
         """Note a whole answer that a target gave."""
         if status < 400:
-            self._quarantine.note_good(asked.fingerprint)
+            self._quarantine.record_success(asked.fingerprint)
         seconds = self._loop.time() - asked.request.arrived
         self._meters.requests.labels(asked.route.name, str(status)).inc()
         self._meters.seconds.labels(asked.route.name).observe(seconds)
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -397,7 +397,7 @@
 
     def _note_end(self, stream: relayed.Relayed) -> None:
         asked = stream.asked
-        self._quarantine.note_good(asked.fingerprint)
+        self._quarantine.record_success(asked.fingerprint)
         self._meters.requests.labels(asked.route.name, "200").inc()
         first_seconds = stream.first_at - asked.request.arrived
         self._meters.seconds.labels(asked.route.name).observe(first_seconds)
--- a/tillerlane/gateway/suspects.py
+++ b/tillerlane/gateway/suspects.py
@@ -11,19 +11,19 @@
 
 from tillerlane.peers import codec, messages
 
-__all__ = ["End", "Suspects", "read_ends", "write_ends"]
+__all__ = ["Suspects", "TargetExit", "decode_exits", "encode_exits"]
 
 MAX_REQUESTS = 10_000
 """Requests remembered.  A data hall of 250 runners that ends leaves up to 12,000 with one end each,
 of which nothing follows; so those with one end are forgotten first, the oldest of them."""
-MAX_ENDS = 16
+MAX_EXITS = 16
 """Ends remembered of one request: what is beyond changes no decision."""
-MAX_LETTERS = 200
+MAX_ID_CHARACTERS = 200
 """Bound on what a row names, in letters; a target's id has 25."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class TargetExit:
     """A target that ended while it had a request.
 
     Attributes
@@ -45,26 +45,26 @@
     """The table of one daemon."""
 
     def __init__(self) -> None:
-        self._once: collections.OrderedDict[str, dict[str, End]] = collections.OrderedDict()
+        self._once: collections.OrderedDict[str, dict[str, TargetExit]] = collections.OrderedDict()
         """Requests with one end each, the oldest first."""
-        self._more: collections.OrderedDict[str, dict[str, End]] = collections.OrderedDict()
+        self._more: collections.OrderedDict[str, dict[str, TargetExit]] = collections.OrderedDict()
 
     def __len__(self) -> int:
         return len(self._once) + len(self._more)
 
-    def _find(self, fingerprint: str) -> dict[str, End]:
+    def _find(self, fingerprint: str) -> dict[str, TargetExit]:
         return self._more.get(fingerprint) or self._once.get(fingerprint) or {}
 
-    def take(self, ends: Iterable[End]) -> list[End]:
+    def merge(self, ends: Iterable[TargetExit]) -> list[TargetExit]:
         """Merge what is heard; gives what was new."""
-        return [end for end in ends if self._take(end)]
+        return [end for end in ends if self._merge(end)]
 
-    def _take(self, end: End) -> bool:
+    def _merge(self, end: TargetExit) -> bool:
         held = self._find(end.fingerprint)
         known = held.get(end.target_id)
         if known is not None and known.is_cleared >= end.is_cleared:
             return False
-        if known is None and len(held) >= MAX_ENDS:
+        if known is None and len(held) >= MAX_EXITS:
             return False
         updated = {**held, end.target_id: end}
         self._once.pop(end.fingerprint, None)
@@ -77,10 +77,10 @@
         if len(self) > MAX_REQUESTS:
             (self._once or self._more).popitem(last=False)
 
-    def clear(self, fingerprint: str) -> list[End]:
+    def clear(self, fingerprint: str) -> list[TargetExit]:
         """Count no end so far against a request that has ended well; gives what changed."""
         open_ends = [end for end in self._find(fingerprint).values() if not end.is_cleared]
-        return self.take([dataclasses.replace(end, is_cleared=True) for end in open_ends])
+        return self.merge([dataclasses.replace(end, is_cleared=True) for end in open_ends])
 
     def count(self, fingerprint: str) -> int:
         """Targets whose end counts against a request."""
@@ -106,16 +106,16 @@
         """Requests under which more than one target has ended."""
         return list(self._more)
 
-    def list_ends(self, fingerprints: Iterable[str]) -> list[End]:
+    def list_exits(self, fingerprints: Iterable[str]) -> list[TargetExit]:
         """All that is known of some requests."""
         return [end for item in fingerprints for end in self._find(item).values()]
 
-    def list_all(self) -> list[End]:
+    def list_all(self) -> list[TargetExit]:
         """All that is known."""
-        return self.list_ends([*self._more, *self._once])
+        return self.list_exits([*self._more, *self._once])
 
 
-def write_ends(ends: Iterable[End]) -> messages.TargetEnds:
+def encode_exits(ends: Iterable[TargetExit]) -> messages.TargetEnds:
     """Ends as a message."""
     rows = list(ends)
     table = messages.EndTable(
@@ -126,7 +126,7 @@
     return messages.TargetEnds(codec.write_table(table))
 
 
-def read_ends(message: messages.TargetEnds) -> list[End]:
+def decode_exits(message: messages.TargetEnds) -> list[TargetExit]:
     """Ends from a message; rows that name nothing, or too much, are passed over.
 
     Raises
@@ -137,7 +137,7 @@
     table = codec.read_table(message.table, messages.EndTable)
     rows = zip(table.fingerprints, table.target_ids, table.cleared, strict=True)
     return [
-        End(fingerprint, target_id, is_cleared)
+        TargetExit(fingerprint, target_id, is_cleared)
         for fingerprint, target_id, is_cleared in rows
-        if 0 < len(fingerprint) <= MAX_LETTERS and 0 < len(target_id) <= MAX_LETTERS
+        if 0 < len(fingerprint) <= MAX_ID_CHARACTERS and 0 < len(target_id) <= MAX_ID_CHARACTERS
     ]
--- a/tillerlane/gateway/tests/test_suspects.py
+++ b/tillerlane/gateway/tests/test_suspects.py
@@ -58,13 +58,13 @@
     def test_order_and_repetition_make_no_difference(
         self, words: list[tuple[str, str, bool]], rng: random.Random
     ) -> None:
-        ends = [suspects.End(*word) for word in words]
+        ends = [suspects.TargetExit(*word) for word in words]
         again = ends + ends[: len(ends) // 2]
         rng.shuffle(again)
         tables = [suspects.Suspects(), suspects.Suspects()]
-        tables[0].take(ends)
+        tables[0].merge(ends)
         for end in again:
-            tables[1].take(suspects.read_ends(suspects.write_ends([end])))
+            tables[1].merge(suspects.decode_exits(suspects.encode_exits([end])))
         self.assertEqual(set(tables[0].list_all()), set(tables[1].list_all()))
         cleared = {(end.fingerprint, end.target_id) for end in ends if end.is_cleared}
         for fingerprint in "fgh":
@@ -74,25 +74,29 @@
 
     def test_only_what_is_new_is_told(self) -> None:
         table = suspects.Suspects()
-        end = suspects.End("f", "a")
-        self.assertEqual(table.take([end, end]), [end])
+        end = suspects.TargetExit("f", "a")
+        self.assertEqual(table.merge([end, end]), [end])
         cleared = table.clear("f")
-        self.assertEqual(cleared, [suspects.End("f", "a", True)])
-        self.assertEqual((table.clear("f"), table.take([end])), ([], []))
+        self.assertEqual(cleared, [suspects.TargetExit("f", "a", True)])
+        self.assertEqual((table.clear("f"), table.merge([end])), ([], []))
 
     def test_bounded_and_the_least_suspected_go_first(self) -> None:
         table = suspects.Suspects()
-        table.take([suspects.End("guilty", f"t{number}") for number in range(100)])
-        self.assertEqual(table.count("guilty"), suspects.MAX_ENDS)
-        table.take([suspects.End(f"f{number}", "t") for number in range(100_000)])
+        table.merge([suspects.TargetExit("guilty", f"t{number}") for number in range(100)])
+        self.assertEqual(table.count("guilty"), suspects.MAX_EXITS)
+        table.merge([suspects.TargetExit(f"f{number}", "t") for number in range(100_000)])
         self.assertEqual(len(table), suspects.MAX_REQUESTS)
-        self.assertEqual(table.count("guilty"), suspects.MAX_ENDS)
+        self.assertEqual(table.count("guilty"), suspects.MAX_EXITS)
         self.assertEqual((table.count("f0"), table.count("f99999")), (0, 1))
 
     def test_rows_that_name_nothing_are_passed_over(self) -> None:
-        rows = [suspects.End("", "t"), suspects.End("f", ""), suspects.End("f" * 300, "t")]
-        good = suspects.End("f", "t")
-        self.assertEqual(suspects.read_ends(suspects.write_ends([*rows, good])), [good])
+        rows = [
+            suspects.TargetExit("", "t"),
+            suspects.TargetExit("f", ""),
+            suspects.TargetExit("f" * 300, "t"),
+        ]
+        good = suspects.TargetExit("f", "t")
+        self.assertEqual(suspects.decode_exits(suspects.encode_exits([*rows, good])), [good])
 
 
 if __name__ == "__main__":
--- a/tillerlane/gateway/verdicts.py
+++ b/tillerlane/gateway/verdicts.py
@@ -68,14 +68,14 @@
         self._tell_entries = tell_entries
         self._now_ms = now_ms
         self._timeline = timeline
-        self._new: list[suspects.End] = []
+        self._new: list[suspects.TargetExit] = []
         self._timer: asyncio.TimerHandle | None = None
 
     # Spreading
 
-    def take(self, ends: Iterable[suspects.End]) -> None:
+    def take(self, ends: Iterable[suspects.TargetExit]) -> None:
         """Take what an entry or another keeper tells, and pass on what is new."""
-        new = self.suspects.take(ends)
+        new = self.suspects.merge(ends)
         self._new += new
         if new and self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(SPREAD_SECONDS, self._spread)
@@ -83,7 +83,7 @@
     def _spread(self) -> None:
         self._timer = None
         new, self._new = self._new, []
-        self._tell_keepers(suspects.write_ends(new))
+        self._tell_keepers(suspects.encode_exits(new))
         told = dict.fromkeys(end.fingerprint for end in new)
         concerned = [item for item in told if self.suspects.is_repeated(item)]
         if not concerned:
@@ -91,15 +91,15 @@
         for fingerprint in concerned:
             ended = self.suspects.count(fingerprint)
             self._timeline.record("request.suspected", fingerprint=fingerprint, ended=ended)
-        self._tell_entries(suspects.write_ends(self.suspects.list_ends(concerned)))
+        self._tell_entries(suspects.encode_exits(self.suspects.list_exits(concerned)))
 
     def write_for_keeper(self) -> messages.TargetEnds:
         """All that is known, for a keeper whose link is new."""
-        return suspects.write_ends(self.suspects.list_all())
+        return suspects.encode_exits(self.suspects.list_all())
 
     def write_for_entry(self) -> messages.TargetEnds:
         """All that concerns entries, for one that is new."""
-        return suspects.write_ends(self.suspects.list_ends(self.suspects.list_repeated()))
+        return suspects.encode_exits(self.suspects.list_exits(self.suspects.list_repeated()))
 
     # The log
 
