--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -20,8 +20,8 @@
     loads,
     meters,
     news,
+    quarantine_coordinator,
     suspects,
-    verdicts,
 )
 from tillerlane.gateway import directory as directories
 from tillerlane.keeper import commands, formation, freshness, proposals, replica, server
@@ -173,7 +173,7 @@
             lambda: len(self._entries),
             self.formation.list_worth_asking,
         )
-        self.verdicts = verdicts.Verdicts(
+        self.quarantine = quarantine_coordinator.QuarantineCoordinator(
             state.store,
             lambda: self.replica.has_lease,
             self.keeper.propose,
@@ -235,7 +235,7 @@
             self._loop.create_task(self.freshness.run()),
             self._loop.create_task(self._sweep()),
             self._loop.create_task(self._tell_loads()),
-            self._loop.create_task(self.verdicts.run()),
+            self._loop.create_task(self.quarantine.run()),
         ]
         self.timeline.record(
             "daemon.start",
@@ -338,7 +338,7 @@
                 self._entries.update(dict.fromkeys(body.entries, self._loop.time()))
                 self._loads.handle_forwarded(body, self._loop.time())
             case messages.TargetEnds():
-                self.verdicts.take(suspects.decode_exits(body))
+                self.quarantine.handle_exits(suspects.decode_exits(body))
             case messages.TargetLimits():
                 self.limits.handle_message(body)
             case messages.TargetBackoffs():
@@ -349,7 +349,7 @@
         if link not in self._greeted:
             self._greeted.add(link)
             self._send_whole(link)
-            links.try_send(link, self.verdicts.write_for_keeper())
+            links.try_send(link, self.quarantine.build_for_keeper())
             links.try_send(link, self.limits.build_full())
 
     def _note_down(self, link: links.Link) -> None:
@@ -369,7 +369,7 @@
         self.timeline.record("entry.subscribed", entry=body.entry, version=body.have)
         # Orders go first: an entry may send requests as soon as it has a publication.
         links.try_send(link, self.replica.machine.store.build_delta(0))
-        links.try_send(link, self.verdicts.write_for_entry())
+        links.try_send(link, self.quarantine.build_for_entry())
         links.try_send(link, self.limits.build_full())
         self._send_publication(link)
         self._send_whole(link)
--- a/tillerlane/gateway/quarantine.py
+++ b/tillerlane/gateway/quarantine.py
@@ -3,8 +3,8 @@
 What an entry sees of a request must outlive the attempt: the caller comes again with the same
 request, at any entry.  So each entry tells its keepers under which requests targets ended, and
 which of those have ended well; keepers spread that and have the log hold back, for good, what has
-ended too many (`gateway.verdicts`).  An entry goes by all three: what it saw, what it was told,
-what the log holds.  The ways weighed are in ``docs/design/quarantine.md``.
+ended too many (`gateway.quarantine_coordinator`).  An entry goes by all three: what it saw, what it
+was told, what the log holds.  The ways weighed are in ``docs/design/quarantine.md``.
 """
 
 import collections
--- a/tillerlane/gateway/verdicts.py
+++ b/tillerlane/gateway/quarantine_coordinator.py
@@ -19,19 +19,19 @@
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Verdicts"]
+__all__ = ["QuarantineCoordinator"]
 
-SPREAD_SECONDS = 0.02
+BATCH_DELAY_SECONDS = 0.02
 """How long ends wait to share a message: a target that ends breaks all of its answers off at once,
 at many entries.  A fiftieth of the second within which the whole fleet should know."""
-SETTLE_SECONDS = 0.5
+DECISION_INTERVAL_SECONDS = 0.5
 """How often the leader looks for what the log should hold back: late enough for entries to vouch
 for a request, and a sixth of the shortest time met in which the fleet has to know (3 s)."""
 
-Tell = Callable[[messages.TargetEnds], None]
+Send = Callable[[messages.TargetEnds], None]
 
 
-class Verdicts:
+class QuarantineCoordinator:
     """What one keeper knows of requests that end targets.
 
     Parameters
@@ -42,7 +42,7 @@
         Whether this keeper leads.
     propose : callable
         Has the log take a command.
-    tell_keepers, tell_entries : callable
+    send_to_keepers, send_to_entries : callable
         Send a message to all other keepers, to all subscribed entries.
     now_ms : callable
         Time of day in milliseconds.
@@ -55,8 +55,8 @@
         store: stores.Store,
         has_lease: Callable[[], bool],
         propose: Callable[[bytes], Awaitable[dict[str, object]]],
-        tell_keepers: Tell,
-        tell_entries: Tell,
+        send_to_keepers: Send,
+        send_to_entries: Send,
         now_ms: Callable[[], int],
         timeline: timelines.Timeline,
     ) -> None:
@@ -64,8 +64,8 @@
         self._store = store
         self._has_lease = has_lease
         self._propose = propose
-        self._tell_keepers = tell_keepers
-        self._tell_entries = tell_entries
+        self._send_to_keepers = send_to_keepers
+        self._send_to_entries = send_to_entries
         self._now_ms = now_ms
         self._timeline = timeline
         self._new: list[suspects.TargetExit] = []
@@ -73,17 +73,17 @@
 
     # Spreading
 
-    def take(self, ends: Iterable[suspects.TargetExit]) -> None:
+    def handle_exits(self, ends: Iterable[suspects.TargetExit]) -> None:
         """Take what an entry or another keeper tells, and pass on what is new."""
         new = self.suspects.merge(ends)
         self._new += new
         if new and self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(SPREAD_SECONDS, self._spread)
+            self._timer = asyncio.get_running_loop().call_later(BATCH_DELAY_SECONDS, self._spread)
 
     def _spread(self) -> None:
         self._timer = None
         new, self._new = self._new, []
-        self._tell_keepers(suspects.encode_exits(new))
+        self._send_to_keepers(suspects.encode_exits(new))
         told = dict.fromkeys(end.fingerprint for end in new)
         concerned = [item for item in told if self.suspects.is_repeated(item)]
         if not concerned:
@@ -91,13 +91,13 @@
         for fingerprint in concerned:
             ended = self.suspects.count(fingerprint)
             self._timeline.record("request.suspected", fingerprint=fingerprint, ended=ended)
-        self._tell_entries(suspects.encode_exits(self.suspects.list_exits(concerned)))
+        self._send_to_entries(suspects.encode_exits(self.suspects.list_exits(concerned)))
 
-    def write_for_keeper(self) -> messages.TargetEnds:
+    def build_for_keeper(self) -> messages.TargetEnds:
         """All that is known, for a keeper whose link is new."""
         return suspects.encode_exits(self.suspects.list_all())
 
-    def write_for_entry(self) -> messages.TargetEnds:
+    def build_for_entry(self) -> messages.TargetEnds:
         """All that concerns entries, for one that is new."""
         return suspects.encode_exits(self.suspects.list_exits(self.suspects.list_repeated()))
 
@@ -106,7 +106,7 @@
     async def run(self) -> None:
         """While this keeper leads, have the log hold back what is deadly; until cancelled."""
         while True:
-            await asyncio.sleep(SETTLE_SECONDS)
+            await asyncio.sleep(DECISION_INTERVAL_SECONDS)
             if self._has_lease():
                 await self._settle()
 
