--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -12,16 +12,16 @@
 from tillerlane.faults import core as faults
 from tillerlane.faults import kinds
 from tillerlane.gateway import (
-    backoff_news,
+    backoff_updates,
     batching,
     grants,
     homes,
     incarnations,
-    limit_news,
+    limit_updates,
     loads,
     metrics,
+    quarantine_coordinator,
     suspects,
-    verdicts,
 )
 from tillerlane.gateway import directory as directories
 from tillerlane.keeper import commands, formation, freshness, proposals, replica, server
@@ -128,7 +128,7 @@
         self._synchronized: set[links.Link] = set()
         """Links of keepers that were told all targets."""
         self._entries: dict[str, float] = {}
-        self._loads = loads.Ledger(settings.name, int(self._dependencies.now() * 1000))
+        self._loads = loads.LoadAggregator(settings.name, int(self._dependencies.now() * 1000))
         self._keeper_updates = batching.UpdateBatcher(
             BATCH_INTERVAL_SECONDS,
             lambda targets: self._send_to_keepers(directories.encode_states(targets)),
@@ -136,10 +136,12 @@
         self._subscriber_updates = batching.UpdateBatcher(
             SUBSCRIBER_BATCH_INTERVAL_SECONDS, self._send_targets_to_subscribers
         )
-        self._backoffs = backoff_news.BackoffNews(
+        self._backoffs = backoff_updates.BackoffUpdates(
             BATCH_INTERVAL_SECONDS, self._send_to_all, self._loop.time
         )
-        self.limits = limit_news.LimitNews(BATCH_INTERVAL_SECONDS, self._send_to_all, self.timeline)
+        self.limits = limit_updates.LimitUpdates(
+            BATCH_INTERVAL_SECONDS, self._send_to_all, self.timeline
+        )
         self._full_state: messages.TargetStates | None = None
         self._full_state_at = 0.0
         self._changed_since_full_state: dict[str, directories.Target] = {}
@@ -177,7 +179,7 @@
             lambda: len(self._entries),
             self.formation.list_query_addresses,
         )
-        self.verdicts = verdicts.Verdicts(
+        self.quarantine = quarantine_coordinator.QuarantineCoordinator(
             state.store,
             lambda: self.replica.has_lease,
             self.keeper.propose,
@@ -186,7 +188,7 @@
             lambda: int(self._dependencies.now() * 1000),
             self.timeline,
         )
-        self.grants = grants.Grants(
+        self.permit_issuer = grants.PermitIssuer(
             self.limits.table, self._get_leading_term, self._get_leader, self._loop.time
         )
         self._sent_orders_version = 0
@@ -239,7 +241,7 @@
             self._loop.create_task(self.freshness.run()),
             self._loop.create_task(self._sweep()),
             self._loop.create_task(self._send_loads()),
-            self._loop.create_task(self.verdicts.run()),
+            self._loop.create_task(self.quarantine.run()),
         ]
         self.timeline.record(
             "daemon.start",
@@ -303,7 +305,7 @@
             now = self._loop.time()
             self.directory.mark_silent(now - self._settings.heartbeat_timeout_seconds)
             self.directory.expire_old(now)
-            self.limits.table.forget_unknown(self.directory.targets, now)
+            self.limits.table.expire_unknown(self.directory.targets, now)
             subscribed = {item.entry for item in self._subscribers.values()}
             for entry, heard_at in list(self._entries.items()):
                 if now - heard_at > ENTRY_TTL_SECONDS and entry not in subscribed:
@@ -317,7 +319,7 @@
             self._push_publication()
             exchange.send(self.freshness.build_reply())
         elif isinstance(body, messages.PermitRequest):
-            exchange.send(await self.grants.serve(body))
+            exchange.send(await self.permit_issuer.handle_request(body))
         elif not await self.keeper.serve(exchange, body):
             message = f"keepers serve no {type(body).__name__}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
@@ -337,24 +339,24 @@
                 self._merge_states(link, directories.decode_states(body))
             case messages.EntryLoads():
                 self._entries[body.entry] = self._loop.time()
-                self._loads.take_word(body, self._loop.time())
+                self._loads.handle_report(body, self._loop.time())
             case messages.PassedLoads():
                 self._entries.update(dict.fromkeys(body.entries, self._loop.time()))
-                self._loads.take_passed(body, self._loop.time())
+                self._loads.handle_forwarded(body, self._loop.time())
             case messages.TargetEnds():
-                self.verdicts.take(suspects.read_ends(body))
+                self.quarantine.handle_exits(suspects.decode_exits(body))
             case messages.TargetLimits():
-                self.limits.take(body)
+                self.limits.handle_message(body)
             case messages.TargetBackoffs():
-                self._backoffs.take(body)
+                self._backoffs.handle_message(body)
 
     def _synchronize(self, link: links.Link) -> None:
         """Tell a keeper whose link is new all that is known; it may have been cut off."""
         if link not in self._synchronized:
             self._synchronized.add(link)
             self._send_full_state(link)
-            links.try_send(link, self.verdicts.write_for_keeper())
-            links.try_send(link, self.limits.write_all())
+            links.try_send(link, self.quarantine.build_for_keeper())
+            links.try_send(link, self.limits.build_full())
 
     def _handle_link_down(self, link: links.Link) -> None:
         self._synchronized.discard(link)
@@ -367,14 +369,14 @@
         self._subscribers[link] = body
         self._entries[body.entry] = self._loop.time()
         if body.loads:
-            self._send_digest(link, self._loads.write_whole())
+            self._send_digest(link, self._loads.build_full_digest())
         if not is_new:
             return
         self.timeline.record("entry.subscribed", entry=body.entry, version=body.have)
         # Orders go first: an entry may send requests as soon as it has a publication.
         links.try_send(link, self.replica.state_machine.store.build_delta(0))
-        links.try_send(link, self.verdicts.write_for_entry())
-        links.try_send(link, self.limits.write_all())
+        links.try_send(link, self.quarantine.build_for_entry())
+        links.try_send(link, self.limits.build_full())
         self._send_publication(link)
         self._send_full_state(link)
 
@@ -439,14 +441,16 @@
             now = self._loop.time()
             dropped = self._loads.expire(now)
             if dropped:
-                self.timeline.record("loads.expired", entries=dropped, after_s=loads.WORD_SECONDS)
-            passed = self._loads.write_passed()
+                self.timeline.record(
+                    "loads.expired", entries=dropped, after_s=loads.REPORT_TTL_SECONDS
+                )
+            passed = self._loads.build_forwarded()
             if passed is not None:
                 self._send_to_keepers(passed)
             is_due = now - whole_at > MAX_LOADS_INTERVAL_SECONDS
             is_paced = now - paced_at > LOADS_INTERVAL_SECONDS
-            least = loads.LEAST_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
-            digest = self._loads.write_changes(least, is_due=is_due)
+            least = loads.MIN_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
+            digest = self._loads.build_delta_digest(least, is_due=is_due)
             if is_due:
                 whole_at = now
             if is_paced:
@@ -458,7 +462,7 @@
                     self._send_digest(link, digest)
 
     def _send_digest(self, link: links.Link, digest: messages.LoadDigest) -> None:
-        included = self._loads.read_included(self._subscribers[link].entry)
+        included = self._loads.get_included_sequence(self._subscribers[link].entry)
         links.try_send(link, dataclasses.replace(digest, included=included))
 
     def _send_to_keepers(self, body: messages.Body) -> None:
@@ -522,7 +526,7 @@
             cold_ms=max(0, int((target.warm_at - self._loop.time()) * 1000)),
         )
         if target.phase is directories.Phase.GONE:
-            self.limits.table.forget(target.target_id)
+            self.limits.table.discard(target.target_id)
         if target.is_superseded and former is not None:
             # Whoever hears of the present incarnation ends the former one, and first hears until
             # when that one lived: entries are not told each heartbeat.
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -140,13 +140,13 @@
         self._budget = budgets.RetryBudget(settings.retries, entries=0)
         self.limits = limits.Limits()
         self.permits = permits.Permits(settings.name, self.limits, self._loop.time)
-        self.permits.ask = self._request_permits
-        self.permits.on_answered = self._log_permits
+        self.permits.request_grants = self._request_permits
+        self.permits.on_owner_change = self._log_permits
         self.backoffs = backoffs.Backoffs(self._loop.time)
         available = availability.Availability(
             self.directory,
             self.usage,
-            colds.ColdSends(settings.name, settings.cold),
+            colds.ColdLimiter(settings.name, settings.cold),
             self.permits,
             self.backoffs,
             self._loop.time,
@@ -165,9 +165,9 @@
         )
         self._startup = startup.Startup()
         self.quarantine = quarantine.Quarantine(self.timeline, self._loop.time)
-        self.quarantine.tell = self._send_exits
-        self._gate = admission.Gate(dialect, selector.draw_pool)
-        self._gate.is_fresh = self._is_fresh
+        self.quarantine.notify_keepers = self._send_exits
+        self._admission_control = admission.AdmissionControl(dialect, selector.pick_pool)
+        self._admission_control.is_fresh = self._is_fresh
         feedback = feedbacks.TargetFeedback(
             self.directory,
             self.limits,
@@ -210,7 +210,7 @@
             handovers.Handovers(dialect, self.timeline, self._metrics),
         )
         self._relay = relay.Relay(
-            self._gate,
+            self._admission_control,
             sender,
             relayed,
             self._budget,
@@ -294,7 +294,9 @@
         """Have the gauges read what they show when they are asked."""
         self._metrics.version.set_function(lambda: self.published.version)
         self._metrics.lease_age.set_function(lambda: self._clock.compute_age(self._loop.time()))
-        self._metrics.loads_age.set_function(lambda: self.usage.read_age(self._loop.time()) or 0.0)
+        self._metrics.loads_age.set_function(
+            lambda: self.usage.compute_age(self._loop.time()) or 0.0
+        )
         self._metrics.busy.set_function(self._front.count_busy)
         self._metrics.quarantined.set_function(self.quarantine.count_held)
         self._metrics.limits.set_function(lambda: self.limits.count_in_force(self._loop.time()))
@@ -317,7 +319,7 @@
             # Keepers check a document before it is published; keep serving under the former one.
             self.timeline.record("config.unreadable", message=error.fault.message)
             return
-        self._gate.table = table
+        self._admission_control.table = table
         bounds = table.limits
         self._server_limits.header_bytes = bounds.max_header_bytes
         self._server_limits.body_bytes = bounds.max_body_bytes
@@ -342,7 +344,7 @@
         self.homes.query_soon()
 
     def _handle_fresh(self) -> None:
-        if self._gate.table is not None and self._is_fresh():
+        if self._admission_control.table is not None and self._is_fresh():
             self._startup.mark_ready()
 
     def _is_fresh(self) -> bool:
@@ -369,20 +371,20 @@
         self.homes.check_soon()
         ends = self.quarantine.suspects.list_all()
         if ends:
-            links.try_send(link, suspects.write_ends(ends))
+            links.try_send(link, suspects.encode_exits(ends))
         leaving = self.directory.list_leaving()
         if leaving:
             links.try_send(link, directories.encode_states(leaving))
         if len(self.limits):
-            links.try_send(link, limits.write_words(self.limits.list_all()))
+            links.try_send(link, limits.encode_records(self.limits.list_all()))
 
-    def _send_exits(self, ends: list[suspects.End]) -> None:
+    def _send_exits(self, ends: list[suspects.TargetExit]) -> None:
         """Tell all keepers listened to, since any of them may be cut off."""
-        self._send_to_keepers(suspects.write_ends(ends))
+        self._send_to_keepers(suspects.encode_exits(ends))
 
-    def _notify_limit(self, word: limits.Word) -> None:
+    def _notify_limit(self, word: limits.LimitRecord) -> None:
         """Tell all keepers listened to what a target has named."""
-        self._send_to_keepers(limits.write_words([word]))
+        self._send_to_keepers(limits.encode_records([word]))
 
     def _notify_leaving(self, target: directories.Target) -> None:
         """Tell all keepers listened to that a target has said that it leaves."""
@@ -392,11 +394,11 @@
         for link in self.homes.list_links():
             links.try_send(link, message)
 
-    def _notify_backoff(self, word: backoffs.Word) -> None:
+    def _notify_backoff(self, word: backoffs.BackoffRecord) -> None:
         """Tell one keeper that a target turned a request away; a hint may be lost."""
         link = self.homes.get_primary()
         if link is not None:
-            links.try_send(link, backoffs.write_hints([(word.target_id, word.until)]))
+            links.try_send(link, backoffs.encode_hints([(word.target_id, word.until)]))
 
     def _log_permits(self, is_answered: bool, reason: str) -> None:
         self.timeline.record("permits.owner", answers=is_answered, reason=reason)
@@ -414,7 +416,7 @@
         link = self.homes.get_primary()
         if link is None:
             raise links.LinkLost("no keeper to ask for permits")
-        reply = await link.call(messages.PermitRequest(wishes), permits.ANSWER_SECONDS)
+        reply = await link.call(messages.PermitRequest(wishes), permits.REPLY_TIMEOUT_SECONDS)
         assert isinstance(reply, messages.PermitReply)
         return reply.grants
 
@@ -432,11 +434,11 @@
             case messages.LoadDigest():
                 self._merge_digest(link, body)
             case messages.TargetEnds():
-                self.quarantine.take(suspects.read_ends(body))
+                self.quarantine.handle_exits(suspects.decode_exits(body))
             case messages.TargetLimits():
-                self._merge_limits(limits.read_words(body))
+                self._merge_limits(limits.decode_records(body))
             case messages.TargetBackoffs():
-                self.backoffs.take_hints(backoffs.read_hints(body))
+                self.backoffs.merge_hints(backoffs.decode_hints(body))
 
     def _merge_states(self, states: messages.TargetStates) -> None:
         """Take word of targets, and log what changed; of very many only how many they are."""
@@ -457,9 +459,9 @@
                 cold_ms=max(0, int((target.warm_at - now) * 1000)),
             )
 
-    def _merge_limits(self, words: list[limits.Word]) -> None:
+    def _merge_limits(self, words: list[limits.LimitRecord]) -> None:
         """Take what keepers tell of limits that targets have named."""
-        for word in self.limits.take(words):
+        for word in self.limits.merge(words):
             self.timeline.record(
                 "target.limit",
                 target=word.target_id,
@@ -474,12 +476,12 @@
     ) -> None:
         """Forget what was learned of a target that has ended or started again."""
         if target.phase is directories.Phase.GONE:
-            self.limits.forget(target.target_id)
-            self.permits.forget(target.target_id)
-            self.backoffs.forget(target.target_id)
+            self.limits.discard(target.target_id)
+            self.permits.discard(target.target_id)
+            self.backoffs.discard(target.target_id)
         if not target.is_superseded:
             return
-        self.usage.forget_pace(target.address)
+        self.usage.discard_event_times(target.address)
         self.timeline.record(
             "target.over",
             target=target.target_id,
@@ -492,11 +494,11 @@
         """Take a keeper's sums, if it is the one that is told this entry's load."""
         if link is not self.homes.get_primary():
             return  # on its way when another keeper was chosen; only one of the two is in sequence
-        taken = self.usage.take(digest, self._loop.time())
-        if taken is usages.Taken.GAP:
+        taken = self.usage.handle_digest(digest, self._loop.time())
+        if taken is usages.DigestResult.GAP:
             self.timeline.record("loads.gap", keeper=digest.keeper, sequence=digest.sequence)
             self.homes.request_full_loads()
-        elif taken is usages.Taken.GOOD and digest.whole:
+        elif taken is usages.DigestResult.APPLIED and digest.whole:
             self.timeline.record("loads.whole", keeper=digest.keeper, sequence=digest.sequence)
 
     async def _send_loads(self) -> None:
@@ -506,15 +508,15 @@
             await self._wait_for_loads()
             now = self._loop.time()
             self.directory.expire_old(now)
-            self.limits.forget_unknown(self.directory.targets, now)
-            if self.usage.forget_others(now):
-                self.timeline.record("loads.lost", after_s=usages.OTHERS_SECONDS)
+            self.limits.expire_unknown(self.directory.targets, now)
+            if self.usage.expire_others(now):
+                self.timeline.record("loads.lost", after_s=usages.DIGEST_TTL_SECONDS)
             link = self.homes.get_primary()
             is_due = link is not told_to or now - told_at > MAX_LOADS_INTERVAL_SECONDS
             if link is None or not (self.usage.changed or is_due):
                 continue
             told_at, told_to = now, link
-            links.try_send(link, self.usage.write(self._started_ms, now))
+            links.try_send(link, self.usage.build_report(self._started_ms, now))
 
     async def _wait_for_loads(self) -> None:
         """Wait until another word about this entry's load may go out."""
@@ -528,7 +530,7 @@
     async def _answer_ready(
         self, request: http_server.Request, responder: http_server.Responder
     ) -> None:
-        table = self._gate.table
+        table = self._admission_control.table
         is_ready = table is not None and not self._stopping
         if is_ready and table is not None and table.workspaces:
             is_ready = self._is_fresh()
--- a/tillerlane/gateway/feedback.py
+++ b/tillerlane/gateway/feedback.py
@@ -60,9 +60,9 @@
         self._timeline = timeline
         self._metrics = metrics
         self._now = now
-        self.notify_limit: Callable[[limits.Word], None] = lambda word: None
+        self.notify_limit: Callable[[limits.LimitRecord], None] = lambda word: None
         self.notify_leaving: Callable[[directories.Target], None] = lambda target: None
-        self.notify_backoff: Callable[[backoffs.Word], None] = lambda word: None
+        self.notify_backoff: Callable[[backoffs.BackoffRecord], None] = lambda word: None
 
     def handle_response(
         self,
@@ -96,7 +96,7 @@
     def _handle_limit(
         self, request_id: str, target: directories.Target, limit: float | None
     ) -> None:
-        word = self._limits.note_answer(target.target_id, limit, self._now())
+        word = self._limits.record_response(target.target_id, limit, self._now())
         if word is None:
             return
         is_named = word.unnamed_since is None
@@ -129,8 +129,8 @@
         # The request that was turned away is still counted.
         under_way = self._usage.count_own_at(target.address) - 1
         even_share = target.slots / max(1, self._usage.entries)
-        borne = max(under_way, even_share)
-        word = self._backoffs.note(target.target_id, seconds, request_id, borne)
+        sustained = max(under_way, even_share)
+        word = self._backoffs.record(target.target_id, seconds, request_id, sustained)
         self._metrics.target_reports.labels("backoff", "ignored" if word is None else "taken").inc()
         if word is not None:
             self.notify_backoff(word)
@@ -145,7 +145,7 @@
 
     def _end_backoff(self, request_id: str, target: directories.Target, sent_at: float) -> None:
         """End a target's back-off if it took a request that was sent after that."""
-        word = self._backoffs.note_taken(target.target_id, sent_at)
+        word = self._backoffs.record_accepted(target.target_id, sent_at)
         if word is None:
             return
         self._metrics.target_reports.labels("backoff", "ended").inc()
@@ -154,5 +154,5 @@
             request_id=request_id,
             target=target.target_id,
             asked_by=word.request_id,
-            after_ms=int((self._now() - word.told_at) * 1000),
+            after_ms=int((self._now() - word.requested_at) * 1000),
         )
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    gate : admissions.Gate
+    admission_control : admissions.AdmissionControl
         Decides which requests may run.
     sender : sending.Sender
         Sends them.
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        gate: admissions.Gate,
+        admission_control: admissions.AdmissionControl,
         sender: sending.Sender,
         streams: stream_relays.Streams,
         budget: budgets.RetryBudget,
@@ -57,7 +57,7 @@
     ) -> None:
         self._quarantine = quarantined
         self._startup = startup
-        self._gate = gate
+        self._admission_control = admission_control
         self._sender = sender
         self._streams = streams
         self._budget = budget
@@ -70,12 +70,12 @@
         """Serve one request of a caller."""
         if self._startup.ready_at is None:
             await self._wait_ready(request)
-        asked = self._gate.admit(request)
+        asked = self._admission_control.admit(request)
         if isinstance(asked, admissions.Refusal):
             facts = self._dialect.read_request(request.head)
             await self._refuse(facts.request_id, "", responder, asked)
             return
-        self._budget.note_request(asked.pool.name, self._loop.time())
+        self._budget.record_request(asked.pool.name, self._loop.time())
         try:
             tried = await self._sender.try_targets(asked)
         except asyncio.CancelledError:
@@ -153,7 +153,7 @@
     def _note_answer(self, asked: admissions.Admission, tried: sending.Tried, status: int) -> None:
         """Note a whole answer that a target gave."""
         if status < 400:
-            self._quarantine.note_good(asked.fingerprint)
+            self._quarantine.record_success(asked.fingerprint)
         seconds = self._loop.time() - asked.request.arrived
         self._metrics.requests.labels(asked.route.name, str(status)).inc()
         self._metrics.seconds.labels(asked.route.name).observe(seconds)
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -180,7 +180,7 @@
         self._available = available
         self._feedback = feedback
         self._usage = usage
-        self._refusals = refusals.Refusals(available, usage)
+        self._refusals = refusals.RefusalBuilder(available, usage)
         self._budget = budget
         self._timeline = timeline
         self._metrics = metrics
@@ -204,13 +204,13 @@
         if held_back is not None:
             return held_back
         began = self._loop.time()
-        until = asked.ends_at - MARGIN_SECONDS if until is None else until
+        until = asked.deadline - MARGIN_SECONDS if until is None else until
         address = target.address
         unread = asked.facts.prompt_tokens if tokens is None else 0
         tokens = asked.tokens if tokens is None else tokens
         unsaved = tokens if asked.is_long and not plan.backup_address else 0
         self._usage.add(address, requests=1, tokens=tokens, unread=unread, unsaved=unsaved)
-        self._usage.note_request(asked.pool.name, began)
+        self._usage.record_request(asked.pool.name, began)
         exchange: http_client.Exchange | None = None
         keep = False
         try:
@@ -220,10 +220,12 @@
                 held_back = self.refuse_held(asked)
                 if held_back is not None:
                     return held_back
-                obstacle = self._available.take(asked.pool, target, goes_on=plan.copy is not None)
+                obstacle = self._available.acquire(
+                    asked.pool, target, is_resumed=plan.copy is not None
+                )
                 if obstacle is not None:
                     reason = f"{address} gets nothing of this entry now: {obstacle.cause.value}"
-                    return refusals.NotRun(reason, sent=False, is_held_up=True)
+                    return refusals.NotRun(reason, sent=False, is_blocked=True)
                 head = self._dialect.write_forward(asked.request.head, plan)
                 exchange.send(head, asked.request.body)
                 outcome = await self._read_answer(asked, target, exchange)
@@ -235,10 +237,10 @@
             if not sent:
                 return refusals.NotRun(f"{address}: out of time before it was sent", sent=False)
             if self._loop.time() - began > SILENT_SECONDS:
-                self._selector.caution.note_failure(target.target_id, self._loop.time())
+                self._selector.failures.record_failure(target.target_id, self._loop.time())
             return Unknown(f"{address}: no answer in time", is_late=True)
         except http_client.AnswerBroken as error:
-            self._selector.caution.note_failure(target.target_id, self._loop.time())
+            self._selector.failures.record_failure(target.target_id, self._loop.time())
             if not error.sent:
                 return refusals.NotRun(str(error), sent=False)
             assert exchange is not None
@@ -295,11 +297,11 @@
         One that has no copy of a run that `goes_on` may have room for others.
         """
         if not isinstance(outcome, refusals.NotRun):
-            self._selector.caution.note_success(target.target_id)
+            self._selector.failures.record_success(target.target_id)
         elif outcome.is_other_target:
-            self._selector.caution.note_failure(target.target_id, self._loop.time())
+            self._selector.failures.record_failure(target.target_id, self._loop.time())
         elif outcome.sent and not goes_on:
-            self._selector.caution.note_turned_away(target.target_id, self._loop.time())
+            self._selector.failures.record_rejection(target.target_id, self._loop.time())
 
     def plan(
         self,
@@ -311,7 +313,7 @@
         backup: directories.Target | None = None,
     ) -> dialects.ForwardPlan:
         return dialects.ForwardPlan(
-            wait_seconds=max(0.001, asked.ends_at - self._loop.time()),
+            wait_seconds=max(0.001, asked.deadline - self._loop.time()),
             target_id=target.target_id,
             workspace=asked.workspace.name if asked.workspace is not None else "",
             priority=asked.runner_rank,
@@ -327,7 +329,7 @@
         engine = asked.pool.engine
         if engine is None or not engine.can_back_up or not asked.is_long:
             return None
-        if self._selector.read_evacuation(asked.pool, target) < EVACUATION_SECONDS:
+        if self._selector.estimate_evacuation_seconds(asked.pool, target) < EVACUATION_SECONDS:
             return None
         backup = self._selector.choose(
             asked.pool, placing.Work(asked.tokens), {target.target_id}, is_sent_now=False
@@ -347,11 +349,13 @@
             held_back = self.refuse_held(asked)
             if held_back is not None:
                 return tried if tried.sends else Tried(held_back)
-            may_ask = asks < MOST_ASKS
-            target = self._selector.choose(asked.pool, asked.work, excluded, may_ask=may_ask)
-            if target is not None and may_ask and self._available.needs_permit(target):
+            can_request_permit = asks < MOST_ASKS
+            target = self._selector.choose(
+                asked.pool, asked.work, excluded, can_request_permit=can_request_permit
+            )
+            if target is not None and can_request_permit and self._available.needs_permit(target):
                 asks += 1
-                if not await self._available.ask_permit(target, PERMIT_WAIT_SECONDS):
+                if not await self._available.request_permit(target, PERMIT_WAIT_SECONDS):
                     continue
             if target is None and not excluded and self._may_wait_for_targets(asked):
                 await asyncio.sleep(ROOM_CHECK_SECONDS)
@@ -359,7 +363,7 @@
             if target is None and self._may_wait_for_bearing(asked, excluded):
                 await self._available.wait_for_permits(ROOM_CHECK_SECONDS)
                 continue
-            if target is None or self._loop.time() + LEAST_SEND_SECONDS > asked.ends_at:
+            if target is None or self._loop.time() + LEAST_SEND_SECONDS > asked.deadline:
                 return self._finish(asked, tried)
             if not self._has_room(asked, target):
                 if self._loop.time() < self._read_patience(asked):
@@ -373,7 +377,7 @@
             latest = await self._try_target(asked, target, tried)
             tried = _keep_true(tried, latest)
             if isinstance(latest.outcome, refusals.NotRun) and not latest.outcome.sent:
-                unsent += not latest.outcome.is_held_up
+                unsent += not latest.outcome.is_blocked
             elif not self._may_send_again(asked, latest):
                 break
         return self._finish(asked, tried)
@@ -383,7 +387,7 @@
         if tried.target is None:
             return Tried(self._refusals.build_no_target(asked))
         if isinstance(tried.outcome, refusals.NotRun):
-            outcome = self._refusals.set_return(asked, tried.outcome)
+            outcome = self._refusals.adjust_retry_after(asked, tried.outcome)
             return dataclasses.replace(tried, outcome=outcome)
         return tried
 
@@ -407,18 +411,18 @@
         if runs + 1 >= asked.route.max_attempts:
             return None
         now = self._loop.time()
-        return now + (asked.ends_at - now) * FIRST_SEND_SHARE
+        return now + (asked.deadline - now) * FIRST_SEND_SHARE
 
     def _may_wait_for_targets(self, asked: admissions.Admission) -> bool:
         arrived = asked.request.arrived
-        return self._startup.should_wait_for_targets(arrived, asked.ends_at - arrived)
+        return self._startup.should_wait_for_targets(arrived, asked.deadline - arrived)
 
     def _may_wait_for_bearing(self, asked: admissions.Admission, excluded: set[str]) -> bool:
         """Whether a target that gets nothing now may take a request in time."""
         patience = self._read_patience(asked)
         if self._loop.time() >= patience:
             return False
-        return self._available.read_opening(asked.pool, excluded) <= patience
+        return self._available.find_next_opening(asked.pool, excluded) <= patience
 
     def _read_patience(self, asked: admissions.Admission) -> float:
         """Until when a request waits for memory; then the caller is told when to come back."""
@@ -432,13 +436,13 @@
         aim_seconds = asked.route.aim_seconds
         if waited > aim_seconds * READING_WAIT_SHARE:
             return True
-        unread = self._usage.read(target.address).unread
+        unread = self._usage.get(target.address).unread
         prompt_tokens = asked.facts.prompt_tokens
         return queueing.may_begin(unread, prompt_tokens, aim_seconds, is_long=asked.is_long)
 
     def _has_room(self, asked: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner has memory for a request; short ones are gone before it runs out."""
-        is_short = asked.facts.output_tokens < admissions.LONG_TOKENS
+        is_short = asked.facts.output_tokens < admissions.LONG_RUN_TOKENS
         share = 1.0 if is_short or asked.priority == 0 else RUN_MEMORY_SHARE
         return self._selector.has_room(asked.pool, target, asked.tokens, share)
 
@@ -453,7 +457,7 @@
         # A failure of the target's own, or none of its word: another one may do better.
         if not isinstance(outcome, refusals.NotRun) and not asked.route.is_repeatable:
             return False
-        return self._budget.take(asked.pool.name, self._loop.time())
+        return self._budget.try_acquire(asked.pool.name, self._loop.time())
 
     def _note_send(
         self,
@@ -467,10 +471,10 @@
         self._metrics.sends.labels(asked.pool.name, kind).inc()
         if isinstance(outcome, Whole) and outcome.head.status < 500:
             return
-        use = self._usage.read(target.address)
+        use = self._usage.get(target.address)
         reason = getattr(outcome, "reason", "")
         status = outcome.head.status if isinstance(outcome, Whole | Stream) else 0
-        limit = self._available.read_limit(target)
+        limit = self._available.find_limit(target)
         self._timeline.record(
             "request.send",
             request_id=asked.facts.request_id,
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -113,7 +113,7 @@
         assert isinstance(outcome, sending.Stream) and target is not None
         run = runs.Run(asked.facts.request_id, asked.pool, target, asked.tokens, tried.backup)
         run.is_long = asked.is_long
-        run.events_left = asked.count_events_left(0)
+        run.events_left = asked.count_remaining_events(0)
         stream = relayed.Relayed(asked, responder, run, outcome.exchange)
         stream.runs_begun = tried.runs
         stream.on_growth = self._note_growth
@@ -122,7 +122,7 @@
         try:
             headers = http_head.list_end_to_end(outcome.head.headers)
             await responder.begin(http_head.AnswerHead(outcome.head.status, headers))
-            async with asyncio.timeout_at(asked.ends_at):
+            async with asyncio.timeout_at(asked.deadline):
                 await self._relay_runs(stream)
         except TimeoutError:
             self._note_broken(stream, "out of time")
@@ -147,7 +147,7 @@
 
     def _note_events(self, run: runs.Run, events_now: int, seconds: float) -> None:
         """Keep the pace at which a runner's events come."""
-        self._usage.note_events(run.target.address, events_now, seconds, self._loop.time())
+        self._usage.record_events(run.target.address, events_now, seconds, self._loop.time())
 
     def _note_growth(self, run: runs.Run, tokens: int) -> None:
         """Keep count of a run's memory, and of its copy's."""
@@ -221,7 +221,7 @@
             self._mover.give_up(run)  # nobody would take it up; it may end here yet
         elif self._available.is_evacuated(target) or not run.may_go_to(target):
             self._mover.move_again(run)
-        elif not self._available.is_held_up(run.pool, target):  # else again with its next event
+        elif not self._available.is_blocked(run.pool, target):  # else again with its next event
             stream.stopping = self._order_stop(stream, target)
 
     def _order_stop(
@@ -234,7 +234,7 @@
         stopping = self._handovers.stop(
             stream.run,
             destination.address,
-            stream.asked.ends_at,
+            stream.asked.deadline,
             is_stream_open=is_stream_open,
         )
         if stream.exchange is not None:
@@ -299,7 +299,7 @@
             return False
         if not asked.route.is_resumable or stream.runs_begun >= asked.route.max_attempts:
             return False
-        if not self._budget.take(asked.pool.name, self._loop.time()):
+        if not self._budget.try_acquire(asked.pool.name, self._loop.time()):
             return False
         former = stream.run
         self._drop(stream)
@@ -329,8 +329,8 @@
                 return refusals.NotRun(f"{target.target_id} leaves too", sent=False)
             outcome = await self._send_copy(stream, continuation)
             is_refused_here = isinstance(outcome, refusals.NotRun) and not outcome.sent
-            is_held_up = self._available.is_held_up(stream.run.pool, target)
-            if not is_refused_here or not is_held_up or self._loop.time() >= until:
+            is_blocked = self._available.is_blocked(stream.run.pool, target)
+            if not is_refused_here or not is_blocked or self._loop.time() >= until:
                 return outcome
 
     async def _send_copy(
@@ -345,14 +345,14 @@
             copy=continuation.copy,
             backup=backup,
         )
-        self._budget.note_repeat(asked.pool.name, self._loop.time())
+        self._budget.record_retry(asked.pool.name, self._loop.time())
         return await self._send_on(stream, target, plan, backup)
 
     async def _await_bearing(
         self, pool: routes.Pool, target: directories.Target, until: float
     ) -> None:
         """Wait while a target gets nothing of this entry: cold, limited or in back-off."""
-        while self._available.is_held_up(pool, target) and self._loop.time() < until:
+        while self._available.is_blocked(pool, target) and self._loop.time() < until:
             await asyncio.sleep(BEARING_CHECK_SECONDS)
 
     async def _send_on(
@@ -397,7 +397,7 @@
 
     def _note_end(self, stream: relayed.Relayed) -> None:
         asked = stream.asked
-        self._quarantine.note_good(asked.fingerprint)
+        self._quarantine.record_success(asked.fingerprint)
         self._metrics.requests.labels(asked.route.name, "200").inc()
         first_seconds = stream.first_at - asked.request.arrived
         self._metrics.seconds.labels(asked.route.name).observe(first_seconds)
--- a/tillerlane/gateway/tests/test_backoff.py
+++ b/tillerlane/gateway/tests/test_backoff.py
@@ -212,7 +212,7 @@
             self.heartbeats.cancel()
             await stage.add_runner("llm-9", "llm", length=120)
             await asyncio.sleep(0.2)
-            entry.backoffs.note("llm-9", 0.1, "r0", 1.0)
+            entry.backoffs.record("llm-9", 0.1, "r0", 1.0)
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await asyncio.gather(*calls)
             self.assertTrue(all(answer.is_whole for answer in answers))
@@ -237,8 +237,8 @@
             while not other.turned_away:
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.02)
-            caution = stage.entries["entry-1"]._relay._sender._selector.caution
-            self.assertFalse(caution.is_avoided("llm-9", asyncio.get_running_loop().time()))
+            failures = stage.entries["entry-1"]._relay._sender._selector.failures
+            self.assertFalse(failures.is_avoided("llm-9", asyncio.get_running_loop().time()))
             call.cancel()
 
         self.play(scene)
