--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -13,7 +13,7 @@
     admission,
     advice,
     availability,
-    endings,
+    exit_detection,
     handovers,
     homes,
     http_head,
@@ -180,7 +180,9 @@
         taken.tell_limit = self._tell_limit
         taken.tell_leaving = self._tell_leaving
         taken.tell_backoff = self._tell_backoff
-        ends = endings.Endings(self.usage, self.quarantine, self.timeline, self._meters)
+        exit_detector = exit_detection.ExitDetector(
+            self.usage, self.quarantine, self.timeline, self._meters
+        )
         sender = sending.Sender(
             dialect,
             selector,
@@ -192,11 +194,11 @@
             self._meters,
             self._startup,
             self.directory,
-            ends,
+            exit_detector,
             self.quarantine,
         )
         self.directory.listen(self._note_over)
-        relayed = streams.Streams(
+        relayed_streams = streams.Streams(
             sender,
             selector,
             available,
@@ -205,14 +207,14 @@
             self._mover,
             self.timeline,
             self._meters,
-            ends,
+            exit_detector,
             self.quarantine,
             handovers.Handovers(dialect, self.timeline, self._meters),
         )
         self._relay = relay.Relay(
             self._gate,
             sender,
-            relayed,
+            relayed_streams,
             self._budget,
             dialect,
             self.timeline,
--- a/tillerlane/gateway/endings.py
+++ b/tillerlane/gateway/exit_detection.py
@@ -16,7 +16,7 @@
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Endings"]
+__all__ = ["ExitDetector"]
 
 PROBE_SECONDS = 0.05
 """Longest wait for a refusal, which comes within a round trip: 3 ms within a region and 16 ms
@@ -24,7 +24,7 @@
 plain requests have a tenth of a second; with 0.3 s one was answered after 0.6 s instead of 0.1."""
 
 
-class Endings:
+class ExitDetector:
     """Asks after targets that broke off answers of one entry.
 
     Parameters
@@ -54,7 +54,7 @@
         self._probing: dict[str, asyncio.Task[http_client.Reach]] = {}
         """Probes under way by target: all answers that break off with one share it."""
 
-    async def learn(
+    async def check_target(
         self, asked: admissions.Admission, target: directories.Target, sent_at: float, events: int
     ) -> None:
         """Find out what became of a target that broke off a request's answer.
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -14,6 +14,7 @@
     advice,
     availability,
     exchanges,
+    exit_detection,
     http_client,
     http_head,
     quarantine,
@@ -24,7 +25,6 @@
 from tillerlane.gateway import budget as budgets
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import endings as ends
 from tillerlane.gateway import meters as entry_meters
 from tillerlane.gateway import startup as startups
 from tillerlane.gateway import usage as usages
@@ -151,7 +151,7 @@
         Tells whether targets may still be unheard of.
     directory : directories.Directory
         Tells of targets that have started again.
-    endings : ends.Endings
+    exit_detector : exit_detection.ExitDetector
         Asks after targets that broke off.
     quarantined : quarantine.Quarantine
         Tells which requests go to no target.
@@ -169,11 +169,11 @@
         meters: entry_meters.EntryMeters,
         startup: startups.Startup,
         directory: directories.Directory,
-        endings: ends.Endings,
+        exit_detector: exit_detection.ExitDetector,
         quarantined: quarantine.Quarantine,
     ) -> None:
         self._quarantine = quarantined
-        self._endings = endings
+        self._exit_detector = exit_detector
         self._startup = startup
         self._dialect = dialect
         self._selector = selector
@@ -242,7 +242,7 @@
             if not error.sent:
                 return refusals.NotRun(str(error), sent=False)
             assert exchange is not None
-            await self._endings.learn(asked, target, exchange.sent_at, 0)
+            await self._exit_detector.check_target(asked, target, exchange.sent_at, 0)
             return Unknown(f"{address}: {error}")
         finally:
             self._usage.add(address, unread=-unread)
--- a/tillerlane/gateway/relayed.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -7,7 +7,7 @@
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import events, handovers, http_client, http_server, runs
 
-__all__ = ["Relayed", "Stop"]
+__all__ = ["Stop", "StreamRelay"]
 
 BEFORE_FIRST_ID = "0"
 """Runners number events from 1; a stream that begins with a later one has lost its beginning."""
@@ -34,7 +34,7 @@
     """The runner has stopped the run, though the end of its stream has not come."""
 
 
-class Relayed:
+class StreamRelay:
     """A stream on its way to the caller.
 
     Attributes
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -12,21 +12,21 @@
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import (
     availability,
+    exit_detection,
     handovers,
     http_head,
     http_server,
     quarantine,
     refusals,
-    relayed,
     routes,
     runs,
     selection,
     sending,
+    stream_relay,
 )
 from tillerlane.gateway import budget as budgets
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import endings as ends
 from tillerlane.gateway import meters as entry_meters
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
@@ -67,7 +67,7 @@
         Takes the decisions.
     meters : entry_meters.EntryMeters
         Counts outcomes.
-    endings : ends.Endings
+    exit_detector : exit_detection.ExitDetector
         Asks after runners that broke off.
     quarantined : quarantine.Quarantine
         Takes note of streams that ended well.
@@ -85,13 +85,13 @@
         mover: runs.Mover,
         timeline: timelines.Timeline,
         meters: entry_meters.EntryMeters,
-        endings: ends.Endings,
+        exit_detector: exit_detection.ExitDetector,
         quarantined: quarantine.Quarantine,
         orders: handovers.Handovers,
     ) -> None:
         self._handovers = orders
         self._quarantine = quarantined
-        self._endings = endings
+        self._exit_detector = exit_detector
         self._sender = sender
         self._selector = selector
         self._available = available
@@ -114,7 +114,7 @@
         run = runs.Run(asked.facts.request_id, asked.pool, target, asked.tokens, tried.backup)
         run.is_long = asked.is_long
         run.events_left = asked.count_events_left(0)
-        stream = relayed.Relayed(asked, responder, run, outcome.exchange)
+        stream = stream_relay.StreamRelay(asked, responder, run, outcome.exchange)
         stream.runs_begun = tried.runs
         stream.on_growth = self._note_growth
         stream.on_events = self._note_events
@@ -136,7 +136,7 @@
             if not responder.is_done:
                 responder.abort()
 
-    def _hold(self, stream: relayed.Relayed) -> None:
+    def _hold(self, stream: stream_relay.StreamRelay) -> None:
         """Take a run that has begun, and count its copy elsewhere while it goes on."""
         run = stream.run
         assert stream.exchange is not None
@@ -159,7 +159,7 @@
         if run.backup is not None:
             self._usage.add(run.backup.address, tokens=grown)
 
-    def _drop(self, stream: relayed.Relayed) -> None:
+    def _drop(self, stream: stream_relay.StreamRelay) -> None:
         """Let go of the run that a stream comes from."""
         if stream.exchange is not None:
             stream.exchange.abort()
@@ -172,19 +172,21 @@
                 self._usage.add(run.backup.address, tokens=-run.tokens)
         self._mover.remove(stream.run)
 
-    async def _relay_runs(self, stream: relayed.Relayed) -> None:
+    async def _relay_runs(self, stream: stream_relay.StreamRelay) -> None:
         """Relay a stream over as many runners as its run is moved to."""
         while True:
             stop = await stream.relay()
-            if stop is relayed.Stop.WHOLE:
+            if stop is stream_relay.Stop.WHOLE:
                 await stream.responder.finish()
                 self._note_end(stream)
                 return
-            if stop is relayed.Stop.BROKEN_OFF:
+            if stop is stream_relay.Stop.BROKEN_OFF:
                 assert stream.exchange is not None
                 sent_at = stream.exchange.sent_at
-                await self._endings.learn(stream.asked, stream.run.target, sent_at, stream.events)
-            if stop is relayed.Stop.CAN_GO_ON:
+                await self._exit_detector.check_target(
+                    stream.asked, stream.run.target, sent_at, stream.events
+                )
+            if stop is stream_relay.Stop.CAN_GO_ON:
                 self._hand_over(stream)
                 continue
             if await self._go_on_from_copy(stream) or await self._run_anew(stream):
@@ -206,7 +208,7 @@
             return None
         return runs.Continuation(backup, dialects.MemoryCopy(backup.address, run.request_id))
 
-    def _hand_over(self, stream: relayed.Relayed) -> None:
+    def _hand_over(self, stream: stream_relay.StreamRelay) -> None:
         """Have the runner stop a run whose copy is ready elsewhere.
 
         Its stream is relayed until the runner has let go of the run, and only then the run goes on
@@ -226,7 +228,7 @@
 
     def _order_stop(
         self,
-        stream: relayed.Relayed,
+        stream: stream_relay.StreamRelay,
         destination: directories.Target,
         *,
         is_stream_open: bool = True,
@@ -241,7 +243,7 @@
             stopping.on_let_go = stream.exchange.interrupt
         return stopping
 
-    async def _go_on_from_copy(self, stream: relayed.Relayed) -> bool:
+    async def _go_on_from_copy(self, stream: stream_relay.StreamRelay) -> bool:
         """Go on with a copy after the run's own runner let go of it, or broke off."""
         continuation = await self._await_move(stream.run)
         continuation = continuation or self._find_backup(stream.run)
@@ -266,7 +268,7 @@
         return is_taken
 
     async def _learn_end(
-        self, stream: relayed.Relayed, destination: directories.Target
+        self, stream: stream_relay.StreamRelay, destination: directories.Target
     ) -> handover.Evidence:
         """Whether the former runner still works on a run whose stream has ended here."""
         if stream.stopping is None:
@@ -277,7 +279,7 @@
         return await stream.stopping.wait(STOP_SECONDS)
 
     async def _return_to_source(
-        self, stream: relayed.Relayed, stopping: handovers.Stopping
+        self, stream: stream_relay.StreamRelay, stopping: handovers.Stopping
     ) -> sending.Outcome:
         """Have a run go on where it stopped, since nobody else took it up."""
         run = stream.run
@@ -290,7 +292,7 @@
             return refusals.NotRun("no memory of the run is left where it may go", sent=False)
         return await self._take_up(stream, runs.Continuation(run.target, copy))
 
-    async def _run_anew(self, stream: relayed.Relayed) -> bool:
+    async def _run_anew(self, stream: stream_relay.StreamRelay) -> bool:
         """Have another run go on behind the last event, where the route allows it."""
         asked = stream.asked
         held_back = self._sender.refuse_held(asked)
@@ -316,7 +318,7 @@
         return isinstance(outcome, sending.Stream)
 
     async def _take_up(
-        self, stream: relayed.Relayed, continuation: runs.Continuation
+        self, stream: stream_relay.StreamRelay, continuation: runs.Continuation
     ) -> sending.Outcome:
         """Have the run go on with a copy of its memory, as soon as its runner bears one more."""
         target = continuation.target
@@ -334,7 +336,7 @@
                 return outcome
 
     async def _send_copy(
-        self, stream: relayed.Relayed, continuation: runs.Continuation
+        self, stream: stream_relay.StreamRelay, continuation: runs.Continuation
     ) -> sending.Outcome:
         asked, target = stream.asked, continuation.target
         backup = self._sender.choose_backup(asked, target)
@@ -357,7 +359,7 @@
 
     async def _send_on(
         self,
-        stream: relayed.Relayed,
+        stream: stream_relay.StreamRelay,
         target: directories.Target,
         plan: dialects.ForwardPlan,
         backup: directories.Target | None,
@@ -395,7 +397,7 @@
         self._hold(stream)
         return outcome
 
-    def _note_end(self, stream: relayed.Relayed) -> None:
+    def _note_end(self, stream: stream_relay.StreamRelay) -> None:
         asked = stream.asked
         self._quarantine.note_good(asked.fingerprint)
         self._meters.requests.labels(asked.route.name, "200").inc()
@@ -414,7 +416,7 @@
             runners=stream.runners,
         )
 
-    def _note_broken(self, stream: relayed.Relayed, reason: str) -> None:
+    def _note_broken(self, stream: stream_relay.StreamRelay, reason: str) -> None:
         self._meters.requests.labels(stream.asked.route.name, "broken").inc()
         self._timeline.record(
             "stream.break",
--- a/tillerlane/gateway/tests/test_handover_second_look.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest import mock
 
-from tillerlane.gateway import dialect, handovers, http_head, http_server, relayed
+from tillerlane.gateway import dialect, handovers, http_head, http_server, stream_relay
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway.tests import test_handover, test_handover_orders
 from tillerlane.testing import gateway_lab, gateway_scenes, lab, platform_runner
@@ -129,15 +129,15 @@
             stage.beat("t2", "llm")
             second.loses_copies = True
             lost = test_handover_orders.lose_first_stop(first)
-            pass_on = relayed.Relayed._pass_on
+            pass_on = stream_relay.StreamRelay._pass_on
 
-            async def pass_on_slowly(stream: relayed.Relayed, data: bytes) -> bool:
+            async def pass_on_slowly(stream: stream_relay.StreamRelay, data: bytes) -> bool:
                 good = await pass_on(stream, data)
                 if stream.events > 29:
                     await asyncio.sleep(0.5)
                 return good
 
-            with mock.patch.object(relayed.Relayed, "_pass_on", pass_on_slowly):
+            with mock.patch.object(stream_relay.StreamRelay, "_pass_on", pass_on_slowly):
                 stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
                 while not first.ran[0].ended:
                     await asyncio.sleep(0.005)
