--- a/tillerlane/gateway/admission.py
+++ b/tillerlane/gateway/admission.py
@@ -139,7 +139,7 @@
         route = table.find_route(host.decode("latin-1").lower(), path)
         if route is None:
             return Refusal(404, f"no route in version {table.version}")
-        facts = self._dialect.read_request(request.head)
+        facts = self._dialect.decode_request(request.head)
         workspace = None
         if table.workspaces and not route.is_public:
             if not self.is_fresh():
--- a/tillerlane/gateway/dialect.py
+++ b/tillerlane/gateway/dialect.py
@@ -170,16 +170,16 @@
 
     Attributes
     ----------
-    read_request : callable
+    decode_request : callable
         (head) gives the facts of a caller's request.
-    write_forward : callable
+    build_forward : callable
         (head, plan) gives the head for a target.
-    read_answer : callable
+    decode_response : callable
         (head) gives the facts of a target's answer.
-    write_refusal : callable
+    build_refusal : callable
         (status, seconds until another try may succeed or None) gives the headers of an answer
         of our own.
-    read_table : callable
+    parse_table : callable
         (document) gives the routing table, or raises `faults.FaultError`.
     copy_run : callable
         (source address, request id, destination address, seconds) copies a run's memory while the
@@ -191,11 +191,11 @@
         (copy) frees a copy that will not be used.
     """
 
-    read_request: Callable[[http_head.RequestHead], RequestFacts]
-    write_forward: Callable[[http_head.RequestHead, ForwardPlan], http_head.RequestHead]
-    read_answer: Callable[[http_head.ResponseHead], ResponseFacts]
-    write_refusal: Callable[[int, float | None], http_head.ResponseHead]
-    read_table: Callable[[bytes], routes.RoutingTable]
+    decode_request: Callable[[http_head.RequestHead], RequestFacts]
+    build_forward: Callable[[http_head.RequestHead, ForwardPlan], http_head.RequestHead]
+    decode_response: Callable[[http_head.ResponseHead], ResponseFacts]
+    build_refusal: Callable[[int, float | None], http_head.ResponseHead]
+    parse_table: Callable[[bytes], routes.RoutingTable]
     copy_run: Callable[[str, str, str, float], Awaitable[MoveResult]]
     stop_run: Callable[[str, str, str, float], Awaitable[MoveResult]]
     drop_copy: Callable[[MemoryCopy], Awaitable[None]]
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -314,7 +314,7 @@
 
     def _put_in_force(self, publication: messages.Publication) -> None:
         try:
-            table = self._dialect.read_table(publication.content)
+            table = self._dialect.parse_table(publication.content)
         except faults.FaultError as error:
             # Keepers check a document before it is published; keep serving under the former one.
             self.timeline.record("config.unreadable", message=error.fault.message)
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -72,7 +72,7 @@
             await self._wait_ready(request)
         asked = self._gate.admit(request)
         if isinstance(asked, admissions.Refusal):
-            facts = self._dialect.read_request(request.head)
+            facts = self._dialect.decode_request(request.head)
             await self._refuse(facts.request_id, "", responder, asked)
             return
         self._budget.note_request(asked.pool.name, self._loop.time())
@@ -88,7 +88,7 @@
 
     async def _wait_ready(self, request: http_server.Request) -> None:
         """Have a request that came before the configuration wait for it a while."""
-        facts = self._dialect.read_request(request.head)
+        facts = self._dialect.decode_request(request.head)
         await self._startup.wait_ready(request.arrived, facts.wait_seconds)
         self._timeline.record(
             "request.held",
@@ -112,7 +112,7 @@
             reason=refusal.reason,
             retry_after=refusal.retry_after,
         )
-        head = self._dialect.write_refusal(refusal.status, refusal.retry_after)
+        head = self._dialect.build_refusal(refusal.status, refusal.retry_after)
         await responder.send_whole(head, b"")
 
     async def _answer(
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -224,7 +224,7 @@
                 if obstacle is not None:
                     reason = f"{address} gets nothing of this entry now: {obstacle.cause.value}"
                     return refusals.NotRun(reason, sent=False, is_held_up=True)
-                head = self._dialect.write_forward(asked.request.head, plan)
+                head = self._dialect.build_forward(asked.request.head, plan)
                 exchange.send(head, asked.request.body)
                 outcome = await self._read_answer(asked, target, exchange)
             keep = isinstance(outcome, Stream)
@@ -269,7 +269,7 @@
         exchange: http_client.Exchange,
     ) -> Outcome:
         head = await exchange.read_head()
-        facts = self._dialect.read_answer(head)
+        facts = self._dialect.decode_response(head)
         is_of_request = facts.request_id == asked.facts.request_id
         if is_of_request and not facts.is_other_target:
             self._advice.take(asked.facts.request_id, target, facts, exchange.sent_at)
--- a/tillerlane/platform/adapter.py
+++ b/tillerlane/platform/adapter.py
@@ -9,11 +9,11 @@
 def build_dialect() -> dialect.Dialect:
     """How callers and targets of the platform speak."""
     return dialect.Dialect(
-        read_request=wire.read_request,
-        write_forward=wire.write_forward,
-        read_answer=wire.read_answer,
-        write_refusal=wire.write_refusal,
-        read_table=wire.read_table,
+        decode_request=wire.decode_request,
+        build_forward=wire.build_forward,
+        decode_response=wire.decode_response,
+        build_refusal=wire.build_refusal,
+        parse_table=wire.parse_table,
         copy_run=calls.copy_run,
         stop_run=calls.stop_run,
         drop_copy=calls.drop_copy,
--- a/tillerlane/platform/tests/test_wire.py
+++ b/tillerlane/platform/tests/test_wire.py
@@ -92,7 +92,7 @@
     """Heads of requests and answers."""
 
     def test_facts_of_a_request(self) -> None:
-        facts = wire.read_request(
+        facts = wire.decode_request(
             build_head(
                 Request_Id="r", Deadline_Ms="1500", Token_Counts="3000,200", Length_Hint="900"
             )
@@ -103,7 +103,9 @@
     @profiles.choose(200)
     @given(strategies.text(alphabet="0123456789,.:-x", max_size=30))
     def test_odd_numbers_are_read_as_absent(self, text: str) -> None:
-        facts = wire.read_request(build_head(Deadline_Ms=text, Token_Counts=text, Length_Hint=text))
+        facts = wire.decode_request(
+            build_head(Deadline_Ms=text, Token_Counts=text, Length_Hint=text)
+        )
         self.assertGreaterEqual(facts.prompt_tokens, 0)
         self.assertGreaterEqual(facts.output_tokens, 0)
 
@@ -121,7 +123,7 @@
             X_Hop="1",
             X_Own="kept",
         )
-        head = wire.write_forward(forged, PLAN)
+        head = wire.build_forward(forged, PLAN)
         found = {name.decode().lower(): value.decode() for name, value in head.headers}
         self.assertEqual(found["tenant"], "workspace-a")
         self.assertEqual(found["expect-instance"], "i-1")
@@ -134,24 +136,24 @@
         plan = dialect.ForwardPlan(
             1.0, "i", "", 0, last_event_id="7", copy=dialect.MemoryCopy("10.0.0.1:80", "h1")
         )
-        head = wire.write_forward(build_head(Host="h"), plan)
+        head = wire.build_forward(build_head(Host="h"), plan)
         self.assertEqual(http_head.get_header(head.headers, b"kv-from"), b"10.0.0.1:80/h1")
         self.assertEqual(http_head.get_header(head.headers, b"last-event-id"), b"7")
 
     def test_only_the_targets_own_word_says_not_run(self) -> None:
-        def read_answer(status: int, **headers: str) -> bool:
+        def decode_response(status: int, **headers: str) -> bool:
             found = build_head(**headers).headers
-            return wire.read_answer(http_head.ResponseHead(status, found)).did_run
+            return wire.decode_response(http_head.ResponseHead(status, found)).did_run
 
-        self.assertTrue(read_answer(503))
-        self.assertFalse(read_answer(503, Not_Run="1"))
-        self.assertFalse(read_answer(421))
-        self.assertTrue(read_answer(429))
+        self.assertTrue(decode_response(503))
+        self.assertFalse(decode_response(503, Not_Run="1"))
+        self.assertFalse(decode_response(421))
+        self.assertTrue(decode_response(429))
 
     def read_limit(self, *values: bytes) -> tuple[float | None, str | None]:
         """Limit, and what could not be read, of an answer that names these values."""
         headers = [(b"server-limit", value) for value in values]
-        facts = wire.read_answer(http_head.ResponseHead(200, headers))
+        facts = wire.decode_response(http_head.ResponseHead(200, headers))
         texts = [unread.text for unread in facts.unread if unread.word == "limit"]
         return facts.rate_limit, texts[0] if texts else None
 
@@ -174,7 +176,7 @@
     def test_target_leaves_by_its_own_plain_word_only(self) -> None:
         def read_leaving(*values: bytes) -> tuple[bool, bool]:
             headers = [(b"Server-Leaving", value) for value in values]
-            facts = wire.read_answer(http_head.ResponseHead(200, headers))
+            facts = wire.decode_response(http_head.ResponseHead(200, headers))
             return facts.is_leaving, facts.has_unread("leaving")
 
         self.assertEqual(read_leaving(), (False, False))
@@ -186,7 +188,7 @@
     def read_backoff(self, status: int, *values: bytes) -> tuple[float | None, bool]:
         """Back-off of an answer that asks for these values, and whether it could not be read."""
         headers = [(b"Retry-After", value) for value in values]
-        facts = wire.read_answer(http_head.ResponseHead(status, headers))
+        facts = wire.decode_response(http_head.ResponseHead(status, headers))
         return facts.backoff_seconds, facts.has_unread("backoff")
 
     def test_only_a_503_asks_for_backoff(self) -> None:
--- a/tillerlane/platform/wire.py
+++ b/tillerlane/platform/wire.py
@@ -14,15 +14,15 @@
 __all__ = [
     "Heartbeat",
     "Leave",
+    "build_forward",
+    "build_refusal",
     "check_document",
     "check_target_name",
-    "read_answer",
+    "decode_request",
+    "decode_response",
+    "parse_table",
     "read_heartbeat",
     "read_leave",
-    "read_request",
-    "read_table",
-    "write_forward",
-    "write_refusal",
 ]
 
 REQUEST_ID = b"Request-Id"
@@ -78,7 +78,7 @@
     return min(int(value), LONGEST_WAIT_MS)
 
 
-def read_request(head: http_head.RequestHead) -> dialect.RequestFacts:
+def decode_request(head: http_head.RequestHead) -> dialect.RequestFacts:
     """Facts of a caller's request."""
     found = {name.lower(): value for name, value in head.headers}
 
@@ -100,7 +100,7 @@
     )
 
 
-def write_forward(head: http_head.RequestHead, plan: dialect.ForwardPlan) -> http_head.RequestHead:
+def build_forward(head: http_head.RequestHead, plan: dialect.ForwardPlan) -> http_head.RequestHead:
     """The head of a request for one target."""
     headers = http_head.list_end_to_end(head.headers, _OURS)
     headers.append((TARGET_ID, incarnations.split_id(plan.target_id).name.encode()))
@@ -119,7 +119,7 @@
     return http_head.RequestHead(head.method, head.target, headers)
 
 
-def read_answer(head: http_head.ResponseHead) -> dialect.ResponseFacts:
+def decode_response(head: http_head.ResponseHead) -> dialect.ResponseFacts:
     """Facts of a target's answer."""
     request_id = http_head.get_header(head.headers, REQUEST_ID.lower())
     is_other = head.status == 421
@@ -157,7 +157,7 @@
     return ", ".join(dict.fromkeys(values))[:MAX_NAME_LETTERS] if values else None
 
 
-def write_refusal(status: int, retry_after: float | None) -> http_head.ResponseHead:
+def build_refusal(status: int, retry_after: float | None) -> http_head.ResponseHead:
     """The head of an answer of our own."""
     headers: http_head.Headers = []
     if retry_after is not None:
@@ -325,7 +325,7 @@
     return table
 
 
-def read_table(content: bytes) -> routes.RoutingTable:
+def parse_table(content: bytes) -> routes.RoutingTable:
     """The routing table of a published document, as keepers hold it."""
     return check_document(zlib.decompress(content))
 
