--- a/tillerlane/gateway/dialect.py
+++ b/tillerlane/gateway/dialect.py
@@ -10,11 +10,11 @@
 from tillerlane.gateway import http_head, routes
 
 __all__ = [
+    "CopyOutcome",
+    "CopyResult",
     "Dialect",
     "ForwardPlan",
     "MemoryCopy",
-    "MoveOutcome",
-    "MoveResult",
     "RequestFacts",
     "ResponseFacts",
     "Unread",
@@ -128,7 +128,7 @@
         return any(item.word == word for item in self.unread)
 
 
-class MoveOutcome(enum.StrEnum):
+class CopyOutcome(enum.StrEnum):
     """How an order to copy a run's memory ended."""
 
     COPIED = "copied"
@@ -141,25 +141,25 @@
     """The runner's host refuses connections to it: its process has ended."""
     UNREACHABLE = "unreachable"
     """No connection to it came about."""
-    NOT_UNDERSTOOD = "not_understood"
+    UNSUPPORTED = "not_understood"
     """What answers there knows no such order."""
 
     @property
-    def is_without_answer(self) -> bool:
+    def is_unanswered(self) -> bool:
         """Whether the runner has not answered so that anything is known of its runs."""
         return self not in (
-            MoveOutcome.COPIED,
-            MoveOutcome.NO_RUN,
-            MoveOutcome.BUSY,
-            MoveOutcome.NO_ROOM,
+            CopyOutcome.COPIED,
+            CopyOutcome.NO_RUN,
+            CopyOutcome.BUSY,
+            CopyOutcome.NO_ROOM,
         )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class MoveResult:
+class CopyResult:
     """Answer to such an order; `handle` is empty where no memory is kept."""
 
-    outcome: MoveOutcome
+    outcome: CopyOutcome
     handle: str = ""
     events: int = 0
 
@@ -196,6 +196,6 @@
     decode_response: Callable[[http_head.ResponseHead], ResponseFacts]
     build_refusal: Callable[[int, float | None], http_head.ResponseHead]
     parse_table: Callable[[bytes], routes.RoutingTable]
-    copy_run: Callable[[str, str, str, float], Awaitable[MoveResult]]
-    stop_run: Callable[[str, str, str, float], Awaitable[MoveResult]]
+    copy_run: Callable[[str, str, str, float], Awaitable[CopyResult]]
+    stop_run: Callable[[str, str, str, float], Awaitable[CopyResult]]
     drop_copy: Callable[[MemoryCopy], Awaitable[None]]
--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -26,29 +26,29 @@
 after another, has carried the run's memory: 0.02 to 0.8 s on a day with many moves."""
 
 _WORDS = {
-    dialects.MoveOutcome.COPIED: handover.Word.STOPPED,
-    dialects.MoveOutcome.NO_RUN: handover.Word.NO_RUN,
-    dialects.MoveOutcome.BUSY: handover.Word.ORDER_UNDER_WAY,
-    dialects.MoveOutcome.REFUSED: handover.Word.REFUSED,
-    dialects.MoveOutcome.UNREACHABLE: handover.Word.UNREACHABLE,
+    dialects.CopyOutcome.COPIED: handover.Word.STOPPED,
+    dialects.CopyOutcome.NO_RUN: handover.Word.NO_RUN,
+    dialects.CopyOutcome.BUSY: handover.Word.ORDER_UNDER_WAY,
+    dialects.CopyOutcome.REFUSED: handover.Word.REFUSED,
+    dialects.CopyOutcome.UNREACHABLE: handover.Word.UNREACHABLE,
 }
 
 _NOT_TAKEN = frozenset(
     (
-        dialects.MoveOutcome.NO_RUN,
-        dialects.MoveOutcome.BUSY,
-        dialects.MoveOutcome.NO_ROOM,
-        dialects.MoveOutcome.REFUSED,
-        dialects.MoveOutcome.UNREACHABLE,
-        dialects.MoveOutcome.NOT_UNDERSTOOD,
+        dialects.CopyOutcome.NO_RUN,
+        dialects.CopyOutcome.BUSY,
+        dialects.CopyOutcome.NO_ROOM,
+        dialects.CopyOutcome.REFUSED,
+        dialects.CopyOutcome.UNREACHABLE,
+        dialects.CopyOutcome.UNSUPPORTED,
     )
 )
 """What comes of an order that the runner does not carry out, if it names no memory of the run."""
 
 
-def _read_word(result: dialects.MoveResult) -> handover.Word:
+def _read_word(result: dialects.CopyResult) -> handover.Word:
     """What a runner said; without room for a copy, it names the memory that it keeps."""
-    if result.outcome is dialects.MoveOutcome.NO_ROOM and result.handle:
+    if result.outcome is dialects.CopyOutcome.NO_ROOM and result.handle:
         return handover.Word.STOPPED
     return _WORDS.get(result.outcome, handover.Word.NOTHING)
 
@@ -230,11 +230,11 @@
         )
         if result.outcome in _NOT_TAKEN and not result.handle:
             stopping.unanswered -= 1
-        if result.outcome is dialects.MoveOutcome.NOT_UNDERSTOOD:
+        if result.outcome is dialects.CopyOutcome.UNSUPPORTED:
             stopping.note_not_understood()
         if result.handle:
             stopping.copy = dialects.MemoryCopy(run.target.address, result.handle)
-            stopping.is_at_destination = result.outcome is dialects.MoveOutcome.COPIED
+            stopping.is_at_destination = result.outcome is dialects.CopyOutcome.COPIED
             if not stopping.is_needed:
                 self._drop_copy(stopping)
         evidence = handover.judge(
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -233,12 +233,12 @@
                 continue
             if destination is not None:
                 result = await self._copy(run, destination)
-                if result.outcome is dialects.MoveOutcome.COPIED:
+                if result.outcome is dialects.CopyOutcome.COPIED:
                     copy = dialects.MemoryCopy(run.target.address, result.handle)
                     return Continuation(destination, copy)
-                if result.outcome.is_without_answer:
+                if result.outcome.is_unanswered:
                     return None
-                if result.outcome is dialects.MoveOutcome.NO_ROOM:
+                if result.outcome is dialects.CopyOutcome.NO_ROOM:
                     excluded.add(destination.target_id)
             else:
                 excluded = {run.target.target_id, *run.refused_by}
@@ -267,7 +267,7 @@
         share = self._selector.read_own_share(run.target)
         return self._selector.read_copy_seconds(run.pool, ordered + run.tokens) <= left * share
 
-    async def _copy(self, run: Run, destination: directories.Target) -> dialects.MoveResult:
+    async def _copy(self, run: Run, destination: directories.Target) -> dialects.CopyResult:
         """Copy a run's memory while it goes on, and count the copy as memory meanwhile."""
         tokens = run.tokens
         lingers = True  # unless the runners say otherwise
@@ -275,7 +275,7 @@
         self._count_ordered(run, tokens)
         try:
             result = await self._order(run, destination)
-            lingers = result.outcome.is_without_answer
+            lingers = result.outcome.is_unanswered
             return result
         finally:
             self._release(run, destination, tokens, lingers)
@@ -318,14 +318,14 @@
         waited = asyncio.get_running_loop().time() - run.leaving_since
         return found if waited > LATE_SECONDS else None
 
-    async def _order(self, run: Run, destination: directories.Target) -> dialects.MoveResult:
+    async def _order(self, run: Run, destination: directories.Target) -> dialects.CopyResult:
         loop = asyncio.get_running_loop()
         began = loop.time()
         run.may_be_copying = True
         result = await self._dialect.copy_run(
             run.target.address, run.request_id, destination.address, COPY_SECONDS
         )
-        run.may_be_copying = result.outcome.is_without_answer
+        run.may_be_copying = result.outcome.is_unanswered
         self._meters.moves.labels(result.outcome.value).inc()
         self._timeline.record(
             "run.move",
--- a/tillerlane/gateway/tests/test_handover_evidence.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -235,12 +235,12 @@
     def test_call_under_way_that_is_no_order_of_ours_stops_no_run(self) -> None:
         self.play_silent(409)
 
-    def judge_orders(self, *outcomes: dialect.MoveOutcome, may_be_copying: bool) -> str:
+    def judge_orders(self, *outcomes: dialect.CopyOutcome, may_be_copying: bool) -> str:
         """What is known after orders with these outcomes, the last of which stays so."""
         left = list(outcomes)
 
-        async def stop_run(*order: Any) -> dialect.MoveResult:
-            return dialect.MoveResult(left.pop(0) if len(left) > 1 else left[0])
+        async def stop_run(*order: Any) -> dialect.CopyResult:
+            return dialect.CopyResult(left.pop(0) if len(left) > 1 else left[0])
 
         async def run() -> str:
             orders = handovers.Handovers(
@@ -255,23 +255,23 @@
         return lab.run_virtual(run())
 
     def test_order_under_way_is_ours_only_if_one_is_unanswered_and_no_copy_is(self) -> None:
-        lost, busy = dialect.MoveOutcome.LOST, dialect.MoveOutcome.BUSY
+        lost, busy = dialect.CopyOutcome.LOST, dialect.CopyOutcome.BUSY
         self.assertEqual(self.judge_orders(lost, busy, may_be_copying=False), "stopped")
         self.assertEqual(self.judge_orders(lost, busy, may_be_copying=True), "none")
         self.assertEqual(self.judge_orders(busy, may_be_copying=False), "none")
 
     def test_order_that_was_answered_is_none_that_may_be_carried_out(self) -> None:
         """An answer of 503 that names no memory says that the run was not stopped."""
-        no_room, busy = dialect.MoveOutcome.NO_ROOM, dialect.MoveOutcome.BUSY
+        no_room, busy = dialect.CopyOutcome.NO_ROOM, dialect.CopyOutcome.BUSY
         self.assertEqual(self.judge_orders(no_room, busy, may_be_copying=False), "none")
 
     def test_no_run_said_to_an_order_from_before_the_streams_end_proves_nothing(self) -> None:
-        outcomes = [dialect.MoveOutcome.NO_RUN, dialect.MoveOutcome.LOST]
+        outcomes = [dialect.CopyOutcome.NO_RUN, dialect.CopyOutcome.LOST]
 
-        async def stop_run(*order: Any) -> dialect.MoveResult:
+        async def stop_run(*order: Any) -> dialect.CopyResult:
             outcome = outcomes.pop(0) if len(outcomes) > 1 else outcomes[0]
             await asyncio.sleep(0.1)
-            return dialect.MoveResult(outcome)
+            return dialect.CopyResult(outcome)
 
         async def run() -> str:
             orders = handovers.Handovers(
--- a/tillerlane/platform/calls.py
+++ b/tillerlane/platform/calls.py
@@ -22,10 +22,10 @@
 
 
 _OUTCOMES = {
-    200: dialect.MoveOutcome.COPIED,
-    404: dialect.MoveOutcome.NO_RUN,
-    409: dialect.MoveOutcome.BUSY,
-    503: dialect.MoveOutcome.NO_ROOM,
+    200: dialect.CopyOutcome.COPIED,
+    404: dialect.CopyOutcome.NO_RUN,
+    409: dialect.CopyOutcome.BUSY,
+    503: dialect.CopyOutcome.NO_ROOM,
 }
 
 _LATER = frozenset({408, 425, 429})
@@ -75,49 +75,49 @@
 
 async def copy_run(
     source: str, request_id: str, destination: str, seconds: float
-) -> dialect.MoveResult:
+) -> dialect.CopyResult:
     """Copy a run's memory from one runner to another while the run goes on."""
     return await _order_move(source, _MoveOrder(request_id, destination), seconds)
 
 
 async def stop_run(
     source: str, request_id: str, destination: str, seconds: float
-) -> dialect.MoveResult:
+) -> dialect.CopyResult:
     """Have a runner stop a run, and copy its memory to another one."""
     return await _order_move(source, _MoveOrder(request_id, destination, last=True), seconds)
 
 
-async def _order_move(source: str, order: _MoveOrder, seconds: float) -> dialect.MoveResult:
+async def _order_move(source: str, order: _MoveOrder, seconds: float) -> dialect.CopyResult:
     try:
         status, body = await _call(
             source, b"POST", b"/kv-move", msgspec.json.encode(order), seconds
         )
     except http_client.ExchangeError as error:
-        return dialect.MoveResult(_judge_broken(error))
+        return dialect.CopyResult(_judge_broken(error))
     outcome = _judge_status(status)
-    if outcome not in (dialect.MoveOutcome.COPIED, dialect.MoveOutcome.NO_ROOM):
-        return dialect.MoveResult(outcome)
+    if outcome not in (dialect.CopyOutcome.COPIED, dialect.CopyOutcome.NO_ROOM):
+        return dialect.CopyResult(outcome)
     try:
         moved = msgspec.json.decode(body, type=_Moved) if body else _Moved()
     except msgspec.DecodeError:
-        return dialect.MoveResult(dialect.MoveOutcome.LOST)
-    return dialect.MoveResult(outcome, moved.handle, moved.made)
+        return dialect.CopyResult(dialect.CopyOutcome.LOST)
+    return dialect.CopyResult(outcome, moved.handle, moved.made)
 
 
-def _judge_status(status: int) -> dialect.MoveOutcome:
+def _judge_status(status: int) -> dialect.CopyOutcome:
     if status in _OUTCOMES:
         return _OUTCOMES[status]
     is_refusal = 400 <= status < 500 and status not in _LATER
-    return dialect.MoveOutcome.NOT_UNDERSTOOD if is_refusal else dialect.MoveOutcome.LOST
+    return dialect.CopyOutcome.UNSUPPORTED if is_refusal else dialect.CopyOutcome.LOST
 
 
-def _judge_broken(error: http_client.ExchangeError) -> dialect.MoveOutcome:
+def _judge_broken(error: http_client.ExchangeError) -> dialect.CopyOutcome:
     """What it says of a runner that it gave no answer."""
     if error.sent:
-        return dialect.MoveOutcome.LOST
+        return dialect.CopyOutcome.LOST
     if isinstance(error.__cause__, ConnectionRefusedError):
-        return dialect.MoveOutcome.REFUSED
-    return dialect.MoveOutcome.UNREACHABLE
+        return dialect.CopyOutcome.REFUSED
+    return dialect.CopyOutcome.UNREACHABLE
 
 
 async def drop_copy(copy: dialect.MemoryCopy) -> None:
