--- a/tillerlane/gateway/advice.py
+++ b/tillerlane/gateway/advice.py
@@ -75,16 +75,16 @@
 
         What can't be read changes nothing.
         """
-        for unread in facts.unread:
-            self._meters.words.labels(unread.word, "unread").inc()
+        for header in facts.invalid:
+            self._meters.words.labels(header.name, "unread").inc()
             self._timeline.record(
                 "target.unread",
                 request_id=request_id,
                 target=target.target_id,
-                word=unread.word,
-                text=unread.text,
+                word=header.name,
+                text=header.text,
             )
-        if not facts.has_unread("limit"):
+        if not facts.has_invalid("limit"):
             self._take_limit(request_id, target, facts.rate_limit)
         if facts.is_leaving:
             self._take_leaving(request_id, target)
--- a/tillerlane/gateway/dialect.py
+++ b/tillerlane/gateway/dialect.py
@@ -14,10 +14,10 @@
     "CopyResult",
     "Dialect",
     "ForwardPlan",
+    "InvalidHeader",
     "MemoryCopy",
     "RequestFacts",
     "ResponseFacts",
-    "Unread",
 ]
 
 
@@ -89,10 +89,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unread:
+class InvalidHeader:
     """Something that a target says of itself and that can't be read: which word, and its text."""
 
-    word: str
+    name: str
     text: str
 
 
@@ -111,7 +111,7 @@
         How long the target wants nothing more from this entry; None if it does not say so.
     is_leaving : bool
         Whether the target says that it leaves.
-    unread : tuple of Unread
+    invalid : tuple of InvalidHeader
         What it says of itself and can't be read.
     """
 
@@ -121,11 +121,11 @@
     is_leaving: bool = False
     rate_limit: float | None = None
     backoff_seconds: float | None = None
-    unread: tuple[Unread, ...] = ()
+    invalid: tuple[InvalidHeader, ...] = ()
 
-    def has_unread(self, word: str) -> bool:
+    def has_invalid(self, name: str) -> bool:
         """Whether the target says something by a word that can't be read."""
-        return any(item.word == word for item in self.unread)
+        return any(item.name == name for item in self.invalid)
 
 
 class CopyOutcome(enum.StrEnum):
--- a/tillerlane/platform/tests/test_wire.py
+++ b/tillerlane/platform/tests/test_wire.py
@@ -154,7 +154,7 @@
         """Limit, and what could not be read, of an answer that names these values."""
         headers = [(b"server-limit", value) for value in values]
         facts = wire.decode_response(http_head.ResponseHead(200, headers))
-        texts = [unread.text for unread in facts.unread if unread.word == "limit"]
+        texts = [item.text for item in facts.invalid if item.name == "limit"]
         return facts.rate_limit, texts[0] if texts else None
 
     def test_limit_that_a_target_names_is_a_plain_decimal_number(self) -> None:
@@ -167,17 +167,17 @@
         bad = (b"-1", b"+2", b"nan", b"inf", b"", b" ", b"1e308", b"1e3", b"0x1f", b"1_0", b"1.")
         for value in (*bad, b"9" * 10_000, b"1,9", "\u0661".encode()):
             with self.subTest(value=value[:20]):
-                limit, unread = self.read_limit(value)
+                limit, invalid = self.read_limit(value)
                 self.assertIsNone(limit)
-                self.assertIsNotNone(unread)
-                self.assertLessEqual(len(unread or ""), wire.MAX_NAME_LETTERS)
+                self.assertIsNotNone(invalid)
+                self.assertLessEqual(len(invalid or ""), wire.MAX_NAME_LETTERS)
         self.assertEqual(self.read_limit(b"1.9", b"2.5"), (None, "1.9, 2.5"))
 
     def test_target_leaves_by_its_own_plain_word_only(self) -> None:
         def read_leaving(*values: bytes) -> tuple[bool, bool]:
             headers = [(b"Server-Leaving", value) for value in values]
             facts = wire.decode_response(http_head.ResponseHead(200, headers))
-            return facts.is_leaving, facts.has_unread("leaving")
+            return facts.is_leaving, facts.has_invalid("leaving")
 
         self.assertEqual(read_leaving(), (False, False))
         self.assertEqual(read_leaving(b" 1 "), (True, False))
@@ -189,7 +189,7 @@
         """Back-off of an answer that asks for these values, and whether it could not be read."""
         headers = [(b"Retry-After", value) for value in values]
         facts = wire.decode_response(http_head.ResponseHead(status, headers))
-        return facts.backoff_seconds, facts.has_unread("backoff")
+        return facts.backoff_seconds, facts.has_invalid("backoff")
 
     def test_only_a_503_asks_for_backoff(self) -> None:
         self.assertEqual(self.read_backoff(503), (None, False))
--- a/tillerlane/platform/wire.py
+++ b/tillerlane/platform/wire.py
@@ -137,8 +137,10 @@
         is_leaving=leaving == "1",
         rate_limit=limit if isinstance(limit, float) else None,
         backoff_seconds=backoff if isinstance(backoff, float) else None,
-        unread=tuple(
-            dialect.Unread(word, value) for word, value in words.items() if isinstance(value, str)
+        invalid=tuple(
+            dialect.InvalidHeader(name, value)
+            for name, value in words.items()
+            if isinstance(value, str)
         ),
     )
 
