--- a/tillerlane/gateway/admission.py
+++ b/tillerlane/gateway/admission.py
@@ -102,7 +102,7 @@
     @property
     def is_stream(self) -> bool:
         """Whether a good answer is a stream of events."""
-        return self.route.repeat is routes.Repeat.STREAM
+        return self.route.repeat is routes.RepeatPolicy.STREAM
 
 
 class Gate:
--- a/tillerlane/gateway/routes.py
+++ b/tillerlane/gateway/routes.py
@@ -10,7 +10,7 @@
     "ClientLimits",
     "Engine",
     "Pool",
-    "Repeat",
+    "RepeatPolicy",
     "Route",
     "RoutingTable",
     "Workspace",
@@ -18,7 +18,7 @@
 ]
 
 
-class Repeat(enum.StrEnum):
+class RepeatPolicy(enum.StrEnum):
     """How often a request may run."""
 
     FREELY = "freely"
@@ -37,7 +37,7 @@
         Pools with their weights.
     timeout_seconds : float or None
         Longest time that a request is held.
-    aim_seconds : float
+    objective_seconds : float
         An answer (of a stream: its first event) within it is in time.
     priority : int
         0 is the most urgent.
@@ -47,27 +47,29 @@
         Whether requests need no key.
     is_resumable : bool
         Whether another run may go on behind a stream's last event.
-    pause_aim_seconds : float or None
+    pause_objective_seconds : float or None
         Longest pause between events that is still in time.
     """
 
     name: str
     host: str
     path_prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     pools: tuple[tuple[str, float], ...]
     timeout_seconds: float | None
-    aim_seconds: float
+    objective_seconds: float
     priority: int
     max_attempts: int
     is_public: bool
     is_resumable: bool
-    pause_aim_seconds: float | None
+    pause_objective_seconds: float | None
 
     @property
     def is_repeatable(self) -> bool:
         """Whether a request that may have run may be sent again."""
-        return self.repeat is Repeat.FREELY or (self.repeat is Repeat.STREAM and self.is_resumable)
+        return self.repeat is RepeatPolicy.FREELY or (
+            self.repeat is RepeatPolicy.STREAM and self.is_resumable
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,7 +88,7 @@
         Tokens that one event of a stream holds.
     can_move, can_back_up : bool
         Whether a run's memory can go to another runner on order, or all the while.
-    hold_seconds : float
+    copy_retention_seconds : float
         How long a runner keeps memory that was moved to it.
     """
 
@@ -97,7 +99,7 @@
     event_tokens: int
     can_move: bool
     can_back_up: bool
-    hold_seconds: float
+    copy_retention_seconds: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -290,7 +290,8 @@
             self._usage.add(destination.address, tokens=-tokens)
             return
         asyncio.get_running_loop().call_later(
-            engine.hold_seconds, lambda: self._usage.add(destination.address, tokens=-tokens)
+            engine.copy_retention_seconds,
+            lambda: self._usage.add(destination.address, tokens=-tokens),
         )
 
     def _drop_copy(self, run: Run, unused: Continuation) -> None:
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -402,7 +402,7 @@
 
     def _read_limit(self, asked: admissions.Admission, runs: int) -> float | None:
         """Until when an answer is waited for, where another target may be asked after it."""
-        if asked.route.repeat is not routes.Repeat.FREELY:
+        if asked.route.repeat is not routes.RepeatPolicy.FREELY:
             return None
         if runs + 1 >= asked.route.max_attempts:
             return None
@@ -422,19 +422,19 @@
 
     def _read_patience(self, asked: admissions.Admission) -> float:
         """Until when a request waits for memory; then the caller is told when to come back."""
-        return asked.request.arrived + asked.route.aim_seconds * ROOM_WAIT_SHARE
+        return asked.request.arrived + asked.route.objective_seconds * ROOM_WAIT_SHARE
 
     def _may_begin(self, asked: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner may get a prompt now, or the prompt has waited for long enough here."""
         if asked.pool.engine is None:
             return True
         waited = self._loop.time() - asked.request.arrived
-        aim_seconds = asked.route.aim_seconds
-        if waited > aim_seconds * READING_WAIT_SHARE:
+        objective_seconds = asked.route.objective_seconds
+        if waited > objective_seconds * READING_WAIT_SHARE:
             return True
         unread = self._usage.read(target.address).unread
         prompt_tokens = asked.facts.prompt_tokens
-        return queueing.may_begin(unread, prompt_tokens, aim_seconds, is_long=asked.is_long)
+        return queueing.may_begin(unread, prompt_tokens, objective_seconds, is_long=asked.is_long)
 
     def _has_room(self, asked: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner has memory for a request; short ones are gone before it runs out."""
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -323,8 +323,8 @@
         """Have the run go on with a copy of its memory, as soon as its runner bears one more."""
         target = continuation.target
         engine = stream.run.pool.engine
-        hold_seconds = engine.hold_seconds if engine is not None else 0.0
-        until = self._loop.time() + hold_seconds * BEARING_WAIT_SHARE
+        copy_retention_seconds = engine.copy_retention_seconds if engine is not None else 0.0
+        until = self._loop.time() + copy_retention_seconds * BEARING_WAIT_SHARE
         while True:
             await self._await_bearing(stream.run.pool, target, until)
             if not stream.run.may_go_to(target):
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -20,7 +20,18 @@
 def build_route(name: str, prefix: str = "/a/", **changes: object) -> routes.Route:
     """A route to one pool."""
     route = routes.Route(
-        name, "h", prefix, routes.Repeat.ONCE, (("pool", 1.0),), 1.0, 0.5, 1, 1, False, False, None
+        name,
+        "h",
+        prefix,
+        routes.RepeatPolicy.ONCE,
+        (("pool", 1.0),),
+        1.0,
+        0.5,
+        1,
+        1,
+        False,
+        False,
+        None,
     )
     return dataclasses.replace(route, **changes)  # type: ignore[arg-type]
 
--- a/tillerlane/gateway/tests/test_selection.py
+++ b/tillerlane/gateway/tests/test_selection.py
@@ -19,7 +19,7 @@
     event_tokens=4,
     can_move=True,
     can_back_up=True,
-    hold_seconds=5.0,
+    copy_retention_seconds=5.0,
 )
 
 
--- a/tillerlane/platform/tests/test_wire.py
+++ b/tillerlane/platform/tests/test_wire.py
@@ -29,8 +29,8 @@
     def test_valid_document_is_decoded_once_and_whole(self) -> None:
         table = read(gateway_lab.build_document(7))
         route = table.find_route(caller.HOST, "/record/x")
-        self.assertEqual((table.version, route.repeat), (7, routes.Repeat.STREAM))
-        self.assertEqual((route.timeout_seconds, route.aim_seconds), (20.0, 0.5))
+        self.assertEqual((table.version, route.repeat), (7, routes.RepeatPolicy.STREAM))
+        self.assertEqual((route.timeout_seconds, route.objective_seconds), (20.0, 0.5))
         engine = table.pools["llm"].engine
         self.assertEqual((engine.memory_tokens, engine.event_tokens), (34_000, 4))
         self.assertEqual(table.find_workspace(caller.KEY).name, "workspace-a")
--- a/tillerlane/platform/wire.py
+++ b/tillerlane/platform/wire.py
@@ -240,9 +240,9 @@
 
 _decode_document = msgspec.json.Decoder(_Document).decode
 _REPEATS = {
-    "idempotent": routes.Repeat.FREELY,
-    "non_idempotent": routes.Repeat.ONCE,
-    "streaming": routes.Repeat.STREAM,
+    "idempotent": routes.RepeatPolicy.FREELY,
+    "non_idempotent": routes.RepeatPolicy.ONCE,
+    "streaming": routes.RepeatPolicy.STREAM,
 }
 
 
@@ -260,12 +260,12 @@
         repeat=_REPEATS[item.kind],
         pools=pools,
         timeout_seconds=None if item.timeout_ms is None else item.timeout_ms / 1000,
-        aim_seconds=item.goal_ms / 1000,
+        objective_seconds=item.goal_ms / 1000,
         priority=item.priority,
         max_attempts=max(1, item.max_attempts),
         is_public=item.public,
         is_resumable=item.resumable,
-        pause_aim_seconds=None if item.gap_aim_ms is None else item.gap_aim_ms / 1000,
+        pause_objective_seconds=None if item.gap_aim_ms is None else item.gap_aim_ms / 1000,
     )
 
 
@@ -284,7 +284,7 @@
         event_tokens=max(1, item.stride),
         can_move=item.moves,
         can_back_up=item.backups,
-        hold_seconds=item.handle_s,
+        copy_retention_seconds=item.handle_s,
     )
 
 
