--- a/tillerlane/gateway/events.py
+++ b/tillerlane/gateway/events.py
@@ -1,19 +1,19 @@
 """Server-sent events cut out of a stream of bytes, whole ones only."""
 
-__all__ = ["Splitter", "read_event_id"]
+__all__ = ["EventSplitter", "parse_event_id"]
 
 MAX_EVENT_BYTES = 1024 * 1024
 _ENDS = (b"\n\n", b"\r\n\r\n")
 
 
-class Splitter:
+class EventSplitter:
     """Collects bytes and gives the whole events among them."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
-    def has_part(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether a part of an event is left."""
         return bool(self._buffer)
 
@@ -39,12 +39,12 @@
         return found
 
 
-def read_event_id(event: bytes) -> str:
+def parse_event_id(event: bytes) -> str:
     """An event's id; empty if it has none.
 
     Examples
     --------
-    >>> read_event_id(b"id: 7\\ndata: x\\n\\n")
+    >>> parse_event_id(b"id: 7\\ndata: x\\n\\n")
     '7'
     """
     for line in event.splitlines():
--- a/tillerlane/gateway/stream_relay.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -75,7 +75,7 @@
         self.paused_at = ""
         """Last event before the longest pause."""
         self._wrote_at = 0.0
-        self._splitter = events.Splitter()
+        self._splitter = events.EventSplitter()
         self.problem = ""
         self.is_out_of_reach = False
         self.stopping: handovers.Stopping | None = None
@@ -93,7 +93,7 @@
         if self.stopping is not None:
             self.left.append(self.stopping)
         self.stopping = None
-        self._splitter = events.Splitter()
+        self._splitter = events.EventSplitter()
         self._heard_at = 0.0
 
     async def relay(self) -> Stop:
@@ -114,7 +114,7 @@
         except http_client.ExchangeError as error:
             self.problem = str(error)
             return Stop.BROKEN_OFF
-        if self._splitter.has_part:
+        if self._splitter.has_partial_event:
             self.problem = "ended within an event"
             return Stop.BROKEN
         if self.stopping is not None and self.exchange.ends_by_close:
@@ -161,7 +161,7 @@
     def _take_in_order(self, found: list[bytes]) -> tuple[list[bytes], str]:
         """Take the events up to the first that does not follow; and what is wrong with that."""
         for position, event in enumerate(found):
-            event_id = events.read_event_id(event)
+            event_id = events.parse_event_id(event)
             former_id = self.last_event_id or BEFORE_FIRST_ID
             if event_id.isdigit() and former_id.isdigit():
                 expected = int(former_id) + 1
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -178,15 +178,15 @@
         end = b"\r\n\r\n" if crlf else b"\n\n"
         whole = [f"id: {number}\ndata: {'x' * number}".encode() + end for number in range(1, 6)]
         data = b"".join(whole)
-        splitter = events.Splitter()
+        splitter = events.EventSplitter()
         found: list[bytes] = []
         for cut in cuts:
             found += splitter.feed(data[:cut])
             data = data[cut:]
         found += splitter.feed(data)
         self.assertEqual(found, whole)
-        self.assertFalse(splitter.has_part)
-        self.assertEqual([events.read_event_id(item) for item in found], list("12345"))
+        self.assertFalse(splitter.has_partial_event)
+        self.assertEqual([events.parse_event_id(item) for item in found], list("12345"))
 
 
 if __name__ == "__main__":
