--- a/tillerlane/gateway/exit_detection.py
+++ b/tillerlane/gateway/exit_detection.py
@@ -51,7 +51,7 @@
         self._timeline = timeline
         self._meters = meters
         self._loop = asyncio.get_running_loop()
-        self._probing: dict[str, asyncio.Task[http_client.Reach]] = {}
+        self._probing: dict[str, asyncio.Task[http_client.ProbeResult]] = {}
         """Probes under way by target: all answers that break off with one share it."""
 
     async def check_target(
@@ -86,12 +86,14 @@
             events=events,
             requests_there=self._usage.read(target.address).requests,
         )
-        if reach is http_client.Reach.REFUSED:
+        if reach is http_client.ProbeResult.REFUSED:
             self._quarantine.note_end(asked.fingerprint, target)
 
-    async def _probe(self, target: directories.Target) -> http_client.Reach:
+    async def _probe(self, target: directories.Target) -> http_client.ProbeResult:
         if target.is_over:
-            return http_client.Reach.REFUSED  # it has started again, so the former start has ended
+            return (
+                http_client.ProbeResult.REFUSED
+            )  # it has started again, so the former start has ended
         task = self._probing.get(target.target_id)
         if task is None:
             task = self._loop.create_task(http_client.probe(target.address, PROBE_SECONDS))
--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -284,6 +284,6 @@
 
     async def _try_to_reach(self, address: str, ends_at: float) -> None:
         while self._loop.time() < ends_at:
-            if await http_client.probe(address) is not http_client.Reach.SILENT:
+            if await http_client.probe(address) is not http_client.ProbeResult.UNREACHABLE:
                 return
             await asyncio.sleep(AGAIN_SECONDS)
--- a/tillerlane/gateway/http_client.py
+++ b/tillerlane/gateway/http_client.py
@@ -16,12 +16,12 @@
 from tillerlane.gateway import http_head
 from tillerlane.peers import node as nodes
 
-__all__ = ["Exchange", "ExchangeError", "Reach", "connect", "is_reachable", "probe"]
+__all__ = ["Exchange", "ExchangeError", "ProbeResult", "connect", "is_reachable", "probe"]
 
-REACH_SECONDS = 0.3
+PROBE_TIMEOUT_SECONDS = 0.3
 """Longest wait for a connection that only shows whether somebody is there."""
 
-HIGH_BYTES = 256 * 1024
+READ_BUFFER_BYTES = 256 * 1024
 """Unread bytes of an answer above which the target is not read from."""
 _NO_BODY = frozenset({204, 304})
 _BODILESS_METHODS = frozenset({b"GET", b"HEAD", b"DELETE", b"OPTIONS"})
@@ -41,13 +41,13 @@
         self.sent = sent
 
 
-class Reach(enum.StrEnum):
+class ProbeResult(enum.StrEnum):
     """What a new connection finds at an address."""
 
     OPEN = "open"
     REFUSED = "refused"
     """The host answers, and nothing listens there."""
-    SILENT = "silent"
+    UNREACHABLE = "silent"
     """No answer: the host is dark, cut off or overloaded."""
 
 
@@ -75,7 +75,7 @@
         self._paused = False
         self._is_whole = False
         self._broken: str | None = None
-        self.ends_by_close = False
+        self.is_close_delimited = False
         """Whether the answer has no length, so that its end is its connection's."""
         self._method = b""
         self._is_interrupted = False
@@ -199,14 +199,14 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._break(f"no HTTP answer: {error}")
             self.abort()
-        if self._buffered > HIGH_BYTES and not self._paused and self._transport is not None:
+        if self._buffered > READ_BUFFER_BYTES and not self._paused and self._transport is not None:
             self._paused = True
             self._transport.pause_reading()
         self._changed.set()
 
     def connection_lost(self, error: Exception | None) -> None:
         """Take the end; an answer without a length is whole only if it was closed in order."""
-        if self.ends_by_close and error is None and self._broken is None:
+        if self.is_close_delimited and error is None and self._broken is None:
             self._is_whole = True
         self._break(f"connection ended: {error or 'closed'}")
         self._changed.set()
@@ -235,7 +235,7 @@
         if self._method == b"HEAD" or status in _NO_BODY:
             self._is_whole = True
         elif not has_length and not is_chunked:
-            self.ends_by_close = True
+            self.is_close_delimited = True
 
     def on_body(self, data: bytes) -> None:
         """Take a part of the body."""
@@ -245,7 +245,7 @@
 
     def on_message_complete(self) -> None:
         """Take the end of the body."""
-        if self._head is not None and not self.ends_by_close:
+        if self._head is not None and not self.is_close_delimited:
             self._is_whole = True
 
 
@@ -268,17 +268,17 @@
     return exchange
 
 
-async def probe(address: str, timeout: float = REACH_SECONDS) -> Reach:
+async def probe(address: str, timeout: float = PROBE_TIMEOUT_SECONDS) -> ProbeResult:
     """What a new connection finds at a target's address within `timeout` seconds."""
     try:
         exchange = await connect(address, timeout)
     except ExchangeError as error:
         is_refused = isinstance(error.__cause__, ConnectionRefusedError)
-        return Reach.REFUSED if is_refused else Reach.SILENT
+        return ProbeResult.REFUSED if is_refused else ProbeResult.UNREACHABLE
     exchange.abort()
-    return Reach.OPEN
+    return ProbeResult.OPEN
 
 
 async def is_reachable(address: str) -> bool:
     """Whether a target takes connections."""
-    return await probe(address) is Reach.OPEN
+    return await probe(address) is ProbeResult.OPEN
--- a/tillerlane/gateway/stream_relay.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -117,7 +117,7 @@
         if self._splitter.has_partial_event:
             self.problem = "ended within an event"
             return Stop.BROKEN
-        if self.stopping is not None and self.exchange.ends_by_close:
+        if self.stopping is not None and self.exchange.is_close_delimited:
             # A stopped stream ends by its connection's close too, and is not whole then.
             self.problem = "closed after it was to stop"
             return Stop.BROKEN_OFF
