--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -531,7 +531,7 @@
         if is_ready and table is not None and table.workspaces:
             is_ready = self._is_fresh()
         head = http_head.ResponseHead(200 if is_ready else 503, [])
-        await responder.send_whole(head, b"")
+        await responder.send_response(head, b"")
 
     def _note_error(self, error: Exception) -> None:
         links.log_exception("gateway", error)
--- a/tillerlane/gateway/exchanges.py
+++ b/tillerlane/gateway/exchanges.py
@@ -7,7 +7,7 @@
 
 __all__ = ["Exchanges"]
 
-TOLD_MARGIN_SECONDS = 0.05
+HEARTBEAT_AGE_MARGIN_SECONDS = 0.05
 """How much later than it really was a target's last word may seem to be, by ages cut to
 milliseconds and by the way from keeper to entry."""
 
@@ -49,7 +49,7 @@
         # The former incarnation lived when it last told of itself, so what was connected before
         # was connected to it.  A later connection may have reached the present one, which may have
         # the same address; if it did not, it is reset once the target's host answers.
-        until = target.heard_at - TOLD_MARGIN_SECONDS
+        until = target.heard_at - HEARTBEAT_AGE_MARGIN_SECONDS
         for exchange in list(self._open.get(target.target_id, ())):
             if exchange.connected_at < until:
                 exchange.fail(f"{target.target_id} has started again")
--- a/tillerlane/gateway/http_server.py
+++ b/tillerlane/gateway/http_server.py
@@ -18,10 +18,10 @@
 
 __all__ = ["Request", "Responder", "Server", "ServerLimits"]
 
-HIGH_BYTES = 64 * 1024
+WRITE_BUFFER_BYTES = 64 * 1024
 """Unsent bytes of an answer above which its writer waits for the caller."""
 MAX_PIPELINED = 8
-FIRST_SECONDS = 0.3
+FIRST_REQUEST_TIMEOUT_SECONDS = 0.3
 """How long a new connection has for its first request when the server ends its connections."""
 BACKLOG = 1_024
 
@@ -55,7 +55,7 @@
     arrived: float
 
 
-Serve = Callable[[Request, "Responder"], Awaitable[None]]
+Handler = Callable[[Request, "Responder"], Awaitable[None]]
 
 
 @dataclasses.dataclass(slots=True)
@@ -104,7 +104,7 @@
         """Take the connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.set_write_buffer_limits(high=HIGH_BYTES)
+        transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         self._server.connections.add(self)
         self._set_timer(self._server.limits.idle_seconds)
         if self._server.is_closing:
@@ -160,10 +160,10 @@
         if self._has_begun:
             self.transport.close()
         else:
-            self._set_timer(FIRST_SECONDS)
+            self._set_timer(FIRST_REQUEST_TIMEOUT_SECONDS)
 
     @property
-    def is_awaited(self) -> bool:
+    def is_first_request_pending(self) -> bool:
         """Whether a connection that is to end may still get its first request."""
         return self.closing and not self._has_begun
 
@@ -271,9 +271,9 @@
                 responder.abort()
                 raise
             except Exception as error:
-                self._server.note_error(error)
+                self._server.on_error(error)
                 responder.abort()
-            if not responder.is_done:
+            if not responder.is_finished:
                 responder.abort()
             if not responder.keeps_connection:
                 self.closing = True
@@ -308,8 +308,8 @@
         self._keep_alive = keep_alive
         self._method = method
         self._chunked = False
-        self.has_begun = False
-        self.is_done = False
+        self.has_started = False
+        self.is_finished = False
 
     @property
     def keeps_connection(self) -> bool:
@@ -327,17 +327,17 @@
             framing.append((b"Connection", b"close"))
         return framing
 
-    async def send_whole(self, head: http_head.ResponseHead, body: bytes) -> None:
+    async def send_response(self, head: http_head.ResponseHead, body: bytes) -> None:
         """Send a whole answer; `head` has no framing headers."""
-        self.has_begun = True
+        self.has_started = True
         headers = [*head.headers, *self._build_framing(len(body))]
         data = http_head.encode_response_head(http_head.ResponseHead(head.status, headers))
         await self._connection.write(data if self._method == b"HEAD" else data + body)
-        self.is_done = True
+        self.is_finished = True
 
-    async def begin(self, head: http_head.ResponseHead) -> None:
+    async def start_response(self, head: http_head.ResponseHead) -> None:
         """Begin an answer whose length is not known."""
-        self.has_begun = True
+        self.has_started = True
         self._chunked = True
         headers = [*head.headers, *self._build_framing(None)]
         data = http_head.encode_response_head(http_head.ResponseHead(head.status, headers))
@@ -351,11 +351,11 @@
     async def finish(self) -> None:
         """End a begun answer as whole."""
         await self._connection.write(b"0\r\n\r\n")
-        self.is_done = True
+        self.is_finished = True
 
     def abort(self) -> None:
         """End the connection; a begun answer does not look whole."""
-        if not self.is_done:
+        if not self.is_finished:
             self._keep_alive = False
             self._connection.abort()
 
@@ -369,16 +369,16 @@
         Coroutine function called with (request, responder) for each request.
     limits : ServerLimits
         Bounds on requests.
-    note_error : callable
+    on_error : callable
         Called with an exception that `serve` let through.
     """
 
     def __init__(
-        self, serve: Serve, limits: ServerLimits, note_error: Callable[[Exception], None]
+        self, serve: Handler, limits: ServerLimits, on_error: Callable[[Exception], None]
     ) -> None:
         self.serve = serve
         self.limits = limits
-        self.note_error = note_error
+        self.on_error = on_error
         self.connections: set[Connection] = set()
         self.is_closing = False
         """Whether connections end as soon as they rest."""
@@ -416,7 +416,7 @@
             except BlockingIOError:
                 return  # nobody waits
             except OSError as error:
-                self.note_error(error)
+                self.on_error(error)
                 return
             caller.setblocking(False)
             made = loop.connect_accepted_socket(lambda: Connection(self), caller)
@@ -432,7 +432,7 @@
 
     def count_busy(self) -> int:
         """Connections with a request that is being read or served, or may be on its way."""
-        busy = sum(not item.is_idle or item.is_awaited for item in self.connections)
+        busy = sum(not item.is_idle or item.is_first_request_pending for item in self.connections)
         return busy + len(self._accepted)
 
     def abort_all(self) -> None:
--- a/tillerlane/gateway/meters.py
+++ b/tillerlane/gateway/meters.py
@@ -166,6 +166,6 @@
     async def serve(request: http_server.Request, responder: http_server.Responder) -> None:
         body = prometheus_client.generate_latest(registry)
         kind = prometheus_client.CONTENT_TYPE_LATEST.encode()
-        await responder.send_whole(http_head.ResponseHead(200, [(b"Content-Type", kind)]), body)
+        await responder.send_response(http_head.ResponseHead(200, [(b"Content-Type", kind)]), body)
 
     return http_server.Server(serve, http_server.ServerLimits(), lambda error: None)
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -113,7 +113,7 @@
             retry_after=refusal.retry_after,
         )
         head = self._dialect.build_refusal(refusal.status, refusal.retry_after)
-        await responder.send_whole(head, b"")
+        await responder.send_response(head, b"")
 
     async def _answer(
         self,
@@ -127,7 +127,7 @@
         if isinstance(outcome, sending.Whole):
             headers = http_head.list_end_to_end(outcome.head.headers)
             head = http_head.ResponseHead(outcome.head.status, headers)
-            await responder.send_whole(head, outcome.body)
+            await responder.send_response(head, outcome.body)
             self._note_answer(asked, tried, outcome.head.status)
         elif isinstance(outcome, refusals.NotRun):
             refusal = admissions.Refusal(503, outcome.reason, outcome.retry_after)
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -121,7 +121,7 @@
         self._hold(stream)
         try:
             headers = http_head.list_end_to_end(outcome.head.headers)
-            await responder.begin(http_head.ResponseHead(outcome.head.status, headers))
+            await responder.start_response(http_head.ResponseHead(outcome.head.status, headers))
             async with asyncio.timeout_at(asked.ends_at):
                 await self._relay_runs(stream)
         except TimeoutError:
@@ -133,7 +133,7 @@
             if stream.stopping is not None:
                 self._handovers.release(stream.stopping, used=None)
             self._drop(stream)
-            if not responder.is_done:
+            if not responder.is_finished:
                 responder.abort()
 
     def _hold(self, stream: stream_relay.StreamRelay) -> None:
--- a/tillerlane/gateway/tests/test_handover_evidence.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -33,7 +33,7 @@
             return False
         asked.append(order)
         await asyncio.sleep(0.005)
-        await responder.send_whole(http_head.ResponseHead(status, []), b"")
+        await responder.send_response(http_head.ResponseHead(status, []), b"")
         return True
 
     test_handover_orders.intercept(runner, take)
@@ -414,7 +414,7 @@
                 if order.get("last"):
                     orders.append(order)
                 if len(orders) > 1:
-                    await responder.send_whole(http_head.ResponseHead(429, []), b"")
+                    await responder.send_response(http_head.ResponseHead(429, []), b"")
                 return len(orders) > 1
 
             test_handover_orders.intercept(first, take)
--- a/tillerlane/gateway/tests/test_handover_orders.py
+++ b/tillerlane/gateway/tests/test_handover_orders.py
@@ -123,7 +123,7 @@
                 if not order.get("last") or asyncio.get_running_loop().time() > until:
                     return False
                 pushed_aside.append(order)
-                await responder.send_whole(http_head.ResponseHead(404, []), b"")
+                await responder.send_response(http_head.ResponseHead(404, []), b"")
                 return True
 
             intercept(first, take)
@@ -149,7 +149,7 @@
                 if not order.get("last") or pushed_aside:
                     return False
                 pushed_aside.append(order)
-                await responder.send_whole(http_head.ResponseHead(404, []), b"")
+                await responder.send_response(http_head.ResponseHead(404, []), b"")
                 return True
 
             intercept(first, take)
@@ -263,7 +263,7 @@
                 def __init__(self, responder: http_server.Responder) -> None:
                     self._wire = responder._connection
 
-                async def begin(self, head: http_head.ResponseHead) -> None:
+                async def start_response(self, head: http_head.ResponseHead) -> None:
                     lines = [b"HTTP/1.1 200 OK"]
                     lines += [name + b": " + value for name, value in head.headers]
                     lines += [b"Connection: close", b"", b""]
@@ -377,7 +377,7 @@
             async def take(order: Order, responder: http_server.Responder) -> bool:
                 asked.append(order)
                 head = http_head.ResponseHead(404, [(b"Content-Type", b"text/plain")])
-                await responder.send_whole(head, b"no such run")
+                await responder.send_response(head, b"no such run")
                 return True
 
             intercept(runners[0], take)
@@ -399,7 +399,9 @@
             async def take(order: Order, responder: http_server.Responder) -> bool:
                 """A request without an id, at a service that knows no such order."""
                 asked.append(order)
-                await responder.send_whole(http_head.ResponseHead(400, [(b"Not-Run", b"1")]), b"")
+                await responder.send_response(
+                    http_head.ResponseHead(400, [(b"Not-Run", b"1")]), b""
+                )
                 return True
 
             intercept(runners[0], take)
--- a/tillerlane/gateway/tests/test_http.py
+++ b/tillerlane/gateway/tests/test_http.py
@@ -17,12 +17,12 @@
 async def echo(request: http_server.Request, responder: http_server.Responder) -> None:
     """Answer with the target and the body."""
     head = http_head.ResponseHead(200, [(b"X", request.head.target)])
-    await responder.send_whole(head, request.body)
+    await responder.send_response(head, request.body)
 
 
 async def talk(
     data: bytes,
-    serve: http_server.Serve = echo,
+    serve: http_server.Handler = echo,
     wait: float = 0.5,
     later: tuple[bytes, ...] = (),
     pause: float = 0.0,
@@ -104,7 +104,7 @@
 
     def test_aborted_stream_does_not_look_whole(self) -> None:
         async def break_off(request: http_server.Request, responder: http_server.Responder) -> None:
-            await responder.begin(http_head.ResponseHead(200, []))
+            await responder.start_response(http_head.ResponseHead(200, []))
             await responder.write(b"part")
             await asyncio.sleep(0.1)
             raise RuntimeError("fails")
--- a/tillerlane/gateway/tests/test_planned_close.py
+++ b/tillerlane/gateway/tests/test_planned_close.py
@@ -12,7 +12,7 @@
 
 async def answer(request: http_server.Request, responder: http_server.Responder) -> None:
     """Answer every request with 200."""
-    await responder.send_whole(http_head.ResponseHead(200, []), b"ok")
+    await responder.send_response(http_head.ResponseHead(200, []), b"ok")
 
 
 async def ask(*, is_accepted: bool) -> bytes:
--- a/tillerlane/platform/control_api.py
+++ b/tillerlane/platform/control_api.py
@@ -40,14 +40,14 @@
             keeper.meters.seconds.labels(call).observe(seconds)
             keeper.meters.calls.labels(call, str(status)).inc()
         headers = list(_JSON) if body else []
-        await responder.send_whole(http_head.ResponseHead(status, headers), body)
+        await responder.send_response(http_head.ResponseHead(status, headers), body)
 
     limits = http_server.ServerLimits(body_bytes=MAX_BODY_BYTES, idle_seconds=IDLE_SECONDS)
 
-    def note_error(error: Exception) -> None:
+    def on_error(error: Exception) -> None:
         keeper.timeline.record("internal.error", error=repr(error)[:200])
 
-    return http_server.Server(serve, limits, note_error)
+    return http_server.Server(serve, limits, on_error)
 
 
 async def _answer(keeper: control.Control, request: http_server.Request) -> tuple[int, bytes]:
--- a/tillerlane/platform/tests/test_early.py
+++ b/tillerlane/platform/tests/test_early.py
@@ -32,7 +32,7 @@
 
         async def serve(request: http_server.Request, responder: http_server.Responder) -> None:
             head = http_head.ResponseHead(200, [])
-            await responder.send_whole(head, request.head.path)
+            await responder.send_response(head, request.head.path)
 
         async def scene() -> bytes:
             address = listener.getsockname()  # type: ignore[attr-defined]
--- a/tillerlane/testing/platform_runner.py
+++ b/tillerlane/testing/platform_runner.py
@@ -266,7 +266,7 @@
             await self._move(msgspec.json.decode(request.body), responder)
         elif path.startswith("/kv-handle/"):
             self._drop_copy(path.rpartition("/")[2])
-            await responder.send_whole(http_head.ResponseHead(200, []), b"")
+            await responder.send_response(http_head.ResponseHead(200, []), b"")
         else:
             await self._run(request, headers, responder)
 
@@ -295,7 +295,7 @@
         extra += self._list_advice(status)
         if not self.names_no_request:
             extra.append((b"Request-Id", (self.answers_for or request_id).encode()))
-        await responder.send_whole(http_head.ResponseHead(status, extra), b"")
+        await responder.send_response(http_head.ResponseHead(status, extra), b"")
 
     async def _run(
         self,
@@ -360,7 +360,7 @@
         )
         connection = responder._connection  # a sound server offers no way to write such bytes
         await connection.write(self.preface)
-        await responder.send_whole(head, b"answer to " + request_id.encode())
+        await responder.send_response(head, b"answer to " + request_id.encode())
         await connection.write(self.surplus)
 
     async def _work(self, run: RanRequest) -> None:
@@ -408,7 +408,7 @@
             await self._read_prompt(run)
             run.is_mute = self.is_mute
             if not run.is_mute:
-                await responder.begin(head)
+                await responder.start_response(head)
             await self._die_of(run)
             if await self._write_events(run, responder):
                 await responder.finish()
@@ -499,7 +499,7 @@
         run = self._find_memory(str(order["id"]))
         if run is None or run.request_id in self._carrying:
             status = 404 if run is None else 409
-            await responder.send_whole(http_head.ResponseHead(status, []), b"")
+            await responder.send_response(http_head.ResponseHead(status, []), b"")
             return
         destination = self.others.get(str(order["target_version"]))
         place = (run.request_id, str(order["target_version"]))
@@ -525,4 +525,4 @@
         if order.get("last"):
             self.copies[handle] = copy
         body = msgspec.json.encode(answer if status == 200 or order.get("last") else {})
-        await responder.send_whole(http_head.ResponseHead(status, []), body)
+        await responder.send_response(http_head.ResponseHead(status, []), body)
--- a/tillerlane/testing/platform_target.py
+++ b/tillerlane/testing/platform_target.py
@@ -156,7 +156,7 @@
         source = self.others.get(told.source)
         copy = platform_runner.MemoryCopy(told.request_id, told.events, source)
         self.copies[path.rpartition("/")[2]] = copy
-        await responder.send_whole(http_head.ResponseHead(200, []), b"")
+        await responder.send_response(http_head.ResponseHead(200, []), b"")
 
     def _grow_copy(self, run: platform_runner.RanRequest) -> None:
         self._record.note_event(run, time.monotonic())
