--- a/tillerlane/gateway/availability.py
+++ b/tillerlane/gateway/availability.py
@@ -103,20 +103,20 @@
         pool: routes.Pool,
         target: directories.Target,
         *,
-        goes_on: bool = False,
+        is_resumed: bool = False,
         is_counted: bool = False,
     ) -> Obstacle | None:
         """What keeps one more request from a target now; None if it may be sent.
 
-        A run that `goes_on` with a copy of its memory may go to a target that has begun to leave,
-        and takes no further place of those left after a back-off: its copy holds one there.
+        A run that `is_resumed` with a copy of its memory may go to a target that has begun to
+        leave, and takes no further place of those left after a back-off: its copy holds one there.
         With `is_counted` the request is among those under way there already.
         """
         if self.is_evacuated(target):
             return _EVACUATED
-        if target.is_leaving and not goes_on:
+        if target.is_leaving and not is_resumed:
             return _LEAVING
-        under_way = 0 if goes_on else self._usage.count_own_at(target.address) - is_counted
+        under_way = 0 if is_resumed else self._usage.count_own_at(target.address) - is_counted
         backoff_until = self._backoffs.find_end(target.target_id, under_way)
         if backoff_until is not None:
             return Obstacle(Cause.BACKOFF, backoff_until)
@@ -131,10 +131,10 @@
         return self._backoffs.is_hinted(target.target_id)
 
     def take(
-        self, pool: routes.Pool, target: directories.Target, *, goes_on: bool = False
+        self, pool: routes.Pool, target: directories.Target, *, is_resumed: bool = False
     ) -> Obstacle | None:
         """Count a request that goes out to a target now, unless something keeps it from there."""
-        obstacle = self.find_obstacle(pool, target, goes_on=goes_on, is_counted=True)
+        obstacle = self.find_obstacle(pool, target, is_resumed=is_resumed, is_counted=True)
         if obstacle is None:
             self._cold.note_sent(target, self._now())
             self._permits.note_sent(target.target_id)
@@ -146,7 +146,7 @@
 
         Permits are asked for where that would help.
         """
-        obstacle = self.find_obstacle(pool, target, goes_on=True)
+        obstacle = self.find_obstacle(pool, target, is_resumed=True)
         if obstacle is not None and obstacle.cause is Cause.LIMITED:
             self.wish(target)
         return obstacle is not None and obstacle.cause is not Cause.EVACUATED
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -77,7 +77,7 @@
             return
         self._budget.note_request(asked.pool.name, self._loop.time())
         try:
-            tried = await self._sender.try_targets(asked)
+            tried = await self._sender.send_with_retries(asked)
         except asyncio.CancelledError:
             self._note_left(asked)
             raise
@@ -119,12 +119,12 @@
         self,
         asked: admissions.Admission,
         responder: http_server.Responder,
-        tried: sending.Tried,
+        tried: sending.SendResult,
     ) -> None:
         """Answer a caller who has got nothing yet."""
         outcome = tried.outcome
         request_id = asked.facts.request_id
-        if isinstance(outcome, sending.Whole):
+        if isinstance(outcome, sending.Response):
             headers = http_head.list_end_to_end(outcome.head.headers)
             head = http_head.ResponseHead(outcome.head.status, headers)
             await responder.send_response(head, outcome.body)
@@ -150,7 +150,9 @@
             waited_ms=int((self._loop.time() - asked.request.arrived) * 1000),
         )
 
-    def _note_answer(self, asked: admissions.Admission, tried: sending.Tried, status: int) -> None:
+    def _note_answer(
+        self, asked: admissions.Admission, tried: sending.SendResult, status: int
+    ) -> None:
         """Note a whole answer that a target gave."""
         if status < 400:
             self._quarantine.note_good(asked.fingerprint)
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -30,7 +30,7 @@
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Outcome", "Sender", "Stream", "Tried", "Unknown", "Whole"]
+__all__ = ["Outcome", "Response", "SendResult", "Sender", "Stream", "Unknown"]
 
 CONNECT_SECONDS = 0.3
 """A connection within a region takes milliseconds; a target that is dark never answers."""
@@ -76,12 +76,12 @@
 and other entries' sends are heard of late."""
 MARGIN_SECONDS = 0.03
 """How long before the end of a request's time its last answer is written."""
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise a caller that its request did not run and never will."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Whole:
+class Response:
     """A target's whole answer."""
 
     head: http_head.ResponseHead
@@ -104,11 +104,19 @@
     exchange: http_client.Exchange
 
 
-Outcome = Whole | refusals.NotRun | Unknown | Stream
+Outcome = Response | refusals.NotRun | Unknown | Stream
+
+_OUTCOME_LABELS: dict[type[Outcome], str] = {
+    Response: "whole",
+    refusals.NotRun: "notrun",
+    Unknown: "unknown",
+    Stream: "stream",
+}
+"""Names of outcomes in metrics and log events."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tried:
+class SendResult:
     """How far a request got.
 
     Attributes
@@ -200,7 +208,7 @@
         `tokens` is the memory that a run which goes on is counted with, `until` the loop's time
         at which the answer is no longer waited for.
         """
-        held_back = self.refuse_held(asked)
+        held_back = self.refuse_quarantined(asked)
         if held_back is not None:
             return held_back
         began = self._loop.time()
@@ -217,10 +225,12 @@
             async with asyncio.timeout_at(until):
                 exchange = await http_client.connect(address, CONNECT_SECONDS)
                 self._exchanges.add(target, exchange)
-                held_back = self.refuse_held(asked)
+                held_back = self.refuse_quarantined(asked)
                 if held_back is not None:
                     return held_back
-                obstacle = self._available.take(asked.pool, target, goes_on=plan.copy is not None)
+                obstacle = self._available.take(
+                    asked.pool, target, is_resumed=plan.copy is not None
+                )
                 if obstacle is not None:
                     reason = f"{address} gets nothing of this entry now: {obstacle.cause.value}"
                     return refusals.NotRun(reason, sent=False, is_held_up=True)
@@ -228,7 +238,7 @@
                 exchange.send(head, asked.request.body)
                 outcome = await self._read_answer(asked, target, exchange)
             keep = isinstance(outcome, Stream)
-            self._judge(target, outcome, goes_on=plan.copy is not None)
+            self._judge(target, outcome, is_resumed=plan.copy is not None)
             return outcome
         except TimeoutError:
             sent = exchange is not None and exchange.sent
@@ -251,7 +261,7 @@
                 if exchange is not None:
                     exchange.abort()
 
-    def refuse_held(self, asked: admissions.Admission) -> refusals.NotRun | None:
+    def refuse_quarantined(self, asked: admissions.Admission) -> refusals.NotRun | None:
         """Refuse a request under which targets ended; None if it may go to one.
 
         Every way to a target asks this, and last when a connection to one is there: while that came
@@ -284,24 +294,24 @@
         if asked.is_stream and head.status == 200:
             return Stream(head, exchange)
         body = await exchange.read_body(MAX_ANSWER_BYTES)
-        if head.status in PROMISES:
+        if head.status in NOT_RUN_STATUSES:
             # To the caller these would promise that nothing ran; this target promised nothing.
             return Unknown(f"status {head.status} without a promise")
-        return Whole(head, body)
+        return Response(head, body)
 
-    def _judge(self, target: directories.Target, outcome: Outcome, *, goes_on: bool) -> None:
+    def _judge(self, target: directories.Target, outcome: Outcome, *, is_resumed: bool) -> None:
         """Keep whether a target is worth another request.
 
-        One that has no copy of a run that `goes_on` may have room for others.
+        One that has no copy of a run that `is_resumed` may have room for others.
         """
         if not isinstance(outcome, refusals.NotRun):
             self._selector.caution.note_success(target.target_id)
         elif outcome.is_other_target:
             self._selector.caution.note_failure(target.target_id, self._loop.time())
-        elif outcome.sent and not goes_on:
+        elif outcome.sent and not is_resumed:
             self._selector.caution.note_turned_away(target.target_id, self._loop.time())
 
-    def plan(
+    def build_plan(
         self,
         asked: admissions.Admission,
         target: directories.Target,
@@ -337,16 +347,16 @@
         has_room = self._selector.has_room(asked.pool, backup, asked.tokens, BACKUP_MEMORY_SHARE)
         return backup if has_room else None
 
-    async def try_targets(self, asked: admissions.Admission) -> Tried:
+    async def send_with_retries(self, asked: admissions.Admission) -> SendResult:
         """Send a request until it is answered or may not be sent again."""
         excluded: set[str] = set()
-        tried = Tried(refusals.NotRun("no target", sent=False))
+        tried = SendResult(refusals.NotRun("no target", sent=False))
         unsent = 0
         asks = 0
         while unsent < UNSENT_TRIES:
-            held_back = self.refuse_held(asked)
+            held_back = self.refuse_quarantined(asked)
             if held_back is not None:
-                return tried if tried.sends else Tried(held_back)
+                return tried if tried.sends else SendResult(held_back)
             may_ask = asks < MOST_ASKS
             target = self._selector.choose(asked.pool, asked.work, excluded, may_ask=may_ask)
             if target is not None and may_ask and self._available.needs_permit(target):
@@ -365,7 +375,7 @@
                 if self._loop.time() < self._read_patience(asked):
                     await asyncio.sleep(ROOM_CHECK_SECONDS)
                     continue
-                return tried if tried.sends else Tried(self._refusals.build_no_room(asked))
+                return tried if tried.sends else SendResult(self._refusals.build_no_room(asked))
             if not self._may_begin(asked, target):
                 await asyncio.sleep(ROOM_CHECK_SECONDS)
                 continue
@@ -378,27 +388,31 @@
                 break
         return self._finish(asked, tried)
 
-    def _finish(self, asked: admissions.Admission, tried: Tried) -> Tried:
+    def _finish(self, asked: admissions.Admission, tried: SendResult) -> SendResult:
         """Have callers of requests that no target takes come back when one may."""
         if tried.target is None:
-            return Tried(self._refusals.build_no_target(asked))
+            return SendResult(self._refusals.build_no_target(asked))
         if isinstance(tried.outcome, refusals.NotRun):
             outcome = self._refusals.set_return(asked, tried.outcome)
             return dataclasses.replace(tried, outcome=outcome)
         return tried
 
     async def _try_target(
-        self, asked: admissions.Admission, target: directories.Target, former: Tried
-    ) -> Tried:
+        self, asked: admissions.Admission, target: directories.Target, former: SendResult
+    ) -> SendResult:
         backup = self.choose_backup(asked, target)
-        plan = self.plan(asked, target, last_event_id=asked.facts.last_event_id, backup=backup)
+        plan = self.build_plan(
+            asked, target, last_event_id=asked.facts.last_event_id, backup=backup
+        )
         until = self._read_limit(asked, former.runs)
         began = self._loop.time()
         outcome = await self.send(asked, target, plan, until=until)
         self._note_send(asked, target, outcome, former.sends, began - asked.request.arrived)
         may_have_run = not isinstance(outcome, refusals.NotRun)
         was_sent = may_have_run or outcome.sent
-        return Tried(outcome, target, backup, former.sends + was_sent, former.runs + may_have_run)
+        return SendResult(
+            outcome, target, backup, former.sends + was_sent, former.runs + may_have_run
+        )
 
     def _read_limit(self, asked: admissions.Admission, runs: int) -> float | None:
         """Until when an answer is waited for, where another target may be asked after it."""
@@ -442,13 +456,13 @@
         share = 1.0 if is_short or asked.priority == 0 else RUN_MEMORY_SHARE
         return self._selector.has_room(asked.pool, target, asked.tokens, share)
 
-    def _may_send_again(self, asked: admissions.Admission, tried: Tried) -> bool:
+    def _may_send_again(self, asked: admissions.Admission, tried: SendResult) -> bool:
         outcome = tried.outcome
         if tried.runs >= asked.route.max_attempts or isinstance(outcome, Stream):
             return False
         if tried.sends - tried.runs >= MOST_TURNED_AWAY:
             return False
-        if isinstance(outcome, Whole) and outcome.head.status < 500:
+        if isinstance(outcome, Response) and outcome.head.status < 500:
             return False
         # A failure of the target's own, or none of its word: another one may do better.
         if not isinstance(outcome, refusals.NotRun) and not asked.route.is_repeatable:
@@ -463,13 +477,13 @@
         sends: int,
         waited: float,
     ) -> None:
-        kind = type(outcome).__name__.strip("_").lower()
+        kind = _OUTCOME_LABELS[type(outcome)]
         self._meters.sends.labels(asked.pool.name, kind).inc()
-        if isinstance(outcome, Whole) and outcome.head.status < 500:
+        if isinstance(outcome, Response) and outcome.head.status < 500:
             return
         use = self._usage.read(target.address)
         reason = getattr(outcome, "reason", "")
-        status = outcome.head.status if isinstance(outcome, Whole | Stream) else 0
+        status = outcome.head.status if isinstance(outcome, Response | Stream) else 0
         limit = self._available.read_limit(target)
         self._timeline.record(
             "request.send",
@@ -492,7 +506,7 @@
         )
 
 
-def _keep_true(former: Tried, latest: Tried) -> Tried:
+def _keep_true(former: SendResult, latest: SendResult) -> SendResult:
     """What holds of a request after one more try.
 
     That one target did not run it says nothing of a former one that may have, so a caller is told
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -106,7 +106,7 @@
         self,
         asked: admissions.Admission,
         responder: http_server.Responder,
-        tried: sending.Tried,
+        tried: sending.SendResult,
     ) -> None:
         """Relay a stream that a target has begun."""
         outcome, target = tried.outcome, tried.target
@@ -219,7 +219,7 @@
         continuation = run.read_continuation()
         assert continuation is not None
         target = continuation.target
-        if self._sender.refuse_held(stream.asked) is not None:
+        if self._sender.refuse_quarantined(stream.asked) is not None:
             self._mover.give_up(run)  # nobody would take it up; it may end here yet
         elif self._available.is_evacuated(target) or not run.may_go_to(target):
             self._mover.move_again(run)
@@ -283,7 +283,7 @@
     ) -> sending.Outcome:
         """Have a run go on where it stopped, since nobody else took it up."""
         run = stream.run
-        refused = self._sender.refuse_held(stream.asked)
+        refused = self._sender.refuse_quarantined(stream.asked)
         if refused is not None:
             return refused
         has_copy = stopping.evidence is handover.Evidence.STOPPED
@@ -295,7 +295,7 @@
     async def _run_anew(self, stream: stream_relay.StreamRelay) -> bool:
         """Have another run go on behind the last event, where the route allows it."""
         asked = stream.asked
-        held_back = self._sender.refuse_held(asked)
+        held_back = self._sender.refuse_quarantined(asked)
         if held_back is not None:
             stream.problem = held_back.reason
             return False
@@ -312,7 +312,7 @@
             # The former runner may work on; the new run need not wait for its word.
             stream.stopping = self._order_stop(stream, target, is_stream_open=False)
         self._handovers.release(stream.stopping, used=None)
-        plan = self._sender.plan(asked, target, last_event_id=stream.last_event_id)
+        plan = self._sender.build_plan(asked, target, last_event_id=stream.last_event_id)
         stream.runs_begun += 1
         outcome = await self._send_on(stream, target, plan, None)
         return isinstance(outcome, sending.Stream)
@@ -340,7 +340,7 @@
     ) -> sending.Outcome:
         asked, target = stream.asked, continuation.target
         backup = self._sender.choose_backup(asked, target)
-        plan = self._sender.plan(
+        plan = self._sender.build_plan(
             asked,
             target,
             last_event_id=stream.last_event_id,
--- a/tillerlane/gateway/tests/test_backoff.py
+++ b/tillerlane/gateway/tests/test_backoff.py
@@ -193,7 +193,7 @@
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await calls
             self.assertTrue(all(item.is_whole for item in answers if item.status == 200))
-            self.assertTrue(any(run.goes_on for run in stage.runners["llm-3"].ran))
+            self.assertTrue(any(run.is_resumed for run in stage.runners["llm-3"].ran))
             self.assertLessEqual(self.count_most_in_backoff(stage, "llm-2"), 0)
 
         self.play(scene)
@@ -216,7 +216,7 @@
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await asyncio.gather(*calls)
             self.assertTrue(all(answer.is_whole for answer in answers))
-            taken_up = [run for run in stage.runners["llm-9"].ran if run.goes_on]
+            taken_up = [run for run in stage.runners["llm-9"].ran if run.is_resumed]
             self.assertEqual(len(taken_up), 6)
             self.assertLess(max(run.began for run in taken_up), taken_up[0].began + 1.5)
 
--- a/tillerlane/gateway/tests/test_leaving.py
+++ b/tillerlane/gateway/tests/test_leaving.py
@@ -114,7 +114,7 @@
             runner.crash()
             answers = await calls
             self.assertTrue(all(answer.is_whole for answer in answers))
-            taken_up = {run.request_id for run in stage.runners["llm-2"].ran if run.goes_on}
+            taken_up = {run.request_id for run in stage.runners["llm-2"].ran if run.is_resumed}
             self.assertLessEqual({run.request_id for run in running}, taken_up)
 
         self.play(scene)
--- a/tillerlane/gateway/tests/test_named_limits.py
+++ b/tillerlane/gateway/tests/test_named_limits.py
@@ -226,7 +226,7 @@
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await calls
             self.assertTrue(all(item.is_whole for item in answers if item.status == 200))
-            moved = {run.request_id for run in stage.runners["llm-2"].ran if run.goes_on}
+            moved = {run.request_id for run in stage.runners["llm-2"].ran if run.is_resumed}
             self.assertTrue(moved)
 
         self.play(scene)
--- a/tillerlane/testing/platform_checker.py
+++ b/tillerlane/testing/platform_checker.py
@@ -230,7 +230,7 @@
     revoke_seconds: float,
 ) -> list[str]:
     problems = []
-    begun = [run for run in runs if not run.goes_on]
+    begun = [run for run in runs if not run.is_resumed]
     if call.route in ("order", "record") and len(begun) > 1:
         problems.append(f"{call.request_id}: ran {len(begun)} times, may run once")
     if call.route == "record":
--- a/tillerlane/testing/platform_runner.py
+++ b/tillerlane/testing/platform_runner.py
@@ -57,7 +57,7 @@
     target_id: str = ""
 
     @property
-    def goes_on(self) -> bool:
+    def is_resumed(self) -> bool:
         """Whether it is a run that goes on here: with a copy, behind an event that was sent."""
         return bool(self.headers.get("kv-from") and self.headers.get("last-event-id"))
 
--- a/tillerlane/testing/platform_soak.py
+++ b/tillerlane/testing/platform_soak.py
@@ -442,7 +442,7 @@
     whole = sum(call.answer.status == 200 and call.answer.is_whole for call in calls)
     refused = sum(call.answer.status in platform_checker.PROMISES for call in calls)
     runs = [run for ran in soak.seen.ran.values() for run in ran]
-    gone_on = sum(run.goes_on for run in runs)
+    gone_on = sum(run.is_resumed for run in runs)
     faults = ", ".join(f"{name} {number}" for name, number in sorted(soak.done.items()))
     return (
         f"calls {len(calls)}, whole {whole}, refused {refused}; "
--- a/tillerlane/testing/tests/test_platform_soak.py
+++ b/tillerlane/testing/tests/test_platform_soak.py
@@ -373,7 +373,7 @@
     def test_short_run_with_harmed_targets_runs_nothing_twice(self) -> None:
         soak = self.check_run(HARMED_TARGETS_SEED, 10.0)
         runs = [run for ran in soak.seen.ran.values() for run in ran]
-        self.assertTrue(any(run.goes_on for run in runs))
+        self.assertTrue(any(run.is_resumed for run in runs))
 
     def test_overlapping_faults_start_one_process(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tillerlane/testing/tests/test_platform_target.py
+++ b/tillerlane/testing/tests/test_platform_target.py
@@ -52,7 +52,7 @@
         [found] = self.reader.ran
         self.assertEqual((found.request_id, found.target_id, found.events), ("a", "t1", 5))
         self.assertEqual((found.began, found.ended_at, found.ended), (1.0, 3.0, "whole"))
-        self.assertTrue(found.goes_on)
+        self.assertTrue(found.is_resumed)
         self.assertFalse(self.reader.is_busy)
 
     def test_run_of_a_process_that_was_killed_ends_with_its_last_event(self) -> None:
@@ -158,7 +158,7 @@
         again = await self.send(1, b"POST", b"/x", b"", **headers)
         self.assertEqual((await again.read_head()).status, 503)
         self.assertTrue(self.targets[1].is_busy)
-        self.assertTrue(self.targets[1].record.ran[0].goes_on)
+        self.assertTrue(self.targets[1].record.ran[0].is_resumed)
 
 
 if __name__ == "__main__":
