--- a/tillerlane/gateway/stream_relay.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -7,7 +7,7 @@
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import events, handovers, http_client, http_server, runs
 
-__all__ = ["Stop", "StreamRelay"]
+__all__ = ["StopReason", "StreamRelay"]
 
 BEFORE_FIRST_ID = "0"
 """Runners number events from 1; a stream that begins with a later one has lost its beginning."""
@@ -20,17 +20,17 @@
     """A runner is silent and can't be reached, so that nothing is known of its end."""
 
 
-class Stop(enum.Enum):
+class StopReason(enum.Enum):
     """Why the relay of one runner's events stopped."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     BROKEN = "broken"
     """What came does not go on behind the last event, or the runner is out of reach."""
-    BROKEN_OFF = "broken_off"
+    TRUNCATED = "broken_off"
     """The runner ended it early."""
-    CAN_GO_ON = "can_go_on"
+    CAN_RESUME = "can_go_on"
     """It has not ended; a copy of the run is ready elsewhere."""
-    LET_GO = "let_go"
+    RELEASED = "let_go"
     """The runner has stopped the run, though the end of its stream has not come."""
 
 
@@ -41,13 +41,13 @@
     ----------
     last_event_id : str
         Id of the last event that the caller was sent.
-    runs_begun : int
+    runs_started : int
         Runners that may have begun a run of the request; one that goes on counts once.
     runners : int
         Runners that the stream came from.
     problem : str
         Why it broke off, if it did.
-    is_out_of_reach : bool
+    is_unreachable : bool
         Whether it broke off since its runner is silent and no connection to it comes about.
     stopping : handovers.Stopping or None
         The order to its runner to stop the run.
@@ -68,16 +68,16 @@
         self.exchange: http_client.Exchange | None = exchange
         self.last_event_id = asked.facts.last_event_id
         self.events = 0
-        self.runs_begun = 1
+        self.runs_started = 1
         self.runners = 1
-        self.first_at = 0.0
+        self.first_event_at = 0.0
         self.longest_pause = 0.0
-        self.paused_at = ""
+        self.longest_pause_after = ""
         """Last event before the longest pause."""
         self._wrote_at = 0.0
         self._splitter = events.EventSplitter()
         self.problem = ""
-        self.is_out_of_reach = False
+        self.is_unreachable = False
         self.stopping: handovers.Stopping | None = None
         self.left: list[handovers.Stopping] = []
         self._heard_at = 0.0
@@ -85,43 +85,43 @@
         self.on_growth: Callable[[runs.Run, int], None] = lambda run, tokens: None
         self.on_events: Callable[[runs.Run, int, float], None] = lambda run, events, seconds: None
 
-    def take_exchange(self, exchange: http_client.Exchange) -> None:
+    def switch_exchange(self, exchange: http_client.Exchange) -> None:
         """Go on with what another runner sends behind the last event."""
         self.exchange = exchange
         self.problem = ""
-        self.is_out_of_reach = False
+        self.is_unreachable = False
         if self.stopping is not None:
             self.left.append(self.stopping)
         self.stopping = None
         self._splitter = events.EventSplitter()
         self._heard_at = 0.0
 
-    async def relay(self) -> Stop:
+    async def relay(self) -> StopReason:
         """Relay one runner's events until they end or the run can go on elsewhere."""
         assert self.exchange is not None
         try:
             while (data := await self._read_chunk(self.exchange)) is not None:
                 if not await self._pass_on(data):
-                    return Stop.BROKEN
+                    return StopReason.BROKEN
                 if self.stopping is not None and self.stopping.has_let_go:
-                    return Stop.LET_GO
+                    return StopReason.RELEASED
                 if self._can_go_on():
-                    return Stop.CAN_GO_ON
+                    return StopReason.CAN_RESUME
         except (_OutOfReach, ValueError) as error:
             self.problem = str(error)
-            self.is_out_of_reach = isinstance(error, _OutOfReach)
-            return Stop.BROKEN
+            self.is_unreachable = isinstance(error, _OutOfReach)
+            return StopReason.BROKEN
         except http_client.ExchangeError as error:
             self.problem = str(error)
-            return Stop.BROKEN_OFF
+            return StopReason.TRUNCATED
         if self._splitter.has_partial_event:
             self.problem = "ended within an event"
-            return Stop.BROKEN
+            return StopReason.BROKEN
         if self.stopping is not None and self.exchange.is_close_delimited:
             # A stopped stream ends by its connection's close too, and is not whole then.
             self.problem = "closed after it was to stop"
-            return Stop.BROKEN_OFF
-        return Stop.WHOLE
+            return StopReason.TRUNCATED
+        return StopReason.COMPLETE
 
     def _can_go_on(self) -> bool:
         """Whether the run can be handed over: a copy is ready, and there is an event to follow."""
@@ -186,8 +186,8 @@
             self.on_events(self.run, events_now, now - self._heard_at)
         self._heard_at = now
         if not self._wrote_at:
-            self.first_at = now
+            self.first_event_at = now
         elif now - self._wrote_at > self.longest_pause:
             self.longest_pause = now - self._wrote_at
-            self.paused_at = event_before
+            self.longest_pause_after = event_before
         self._wrote_at = now
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -115,7 +115,7 @@
         run.is_long = asked.is_long
         run.events_left = asked.count_events_left(0)
         stream = stream_relay.StreamRelay(asked, responder, run, outcome.exchange)
-        stream.runs_begun = tried.runs
+        stream.runs_started = tried.runs
         stream.on_growth = self._note_growth
         stream.on_events = self._note_events
         self._hold(stream)
@@ -176,17 +176,17 @@
         """Relay a stream over as many runners as its run is moved to."""
         while True:
             stop = await stream.relay()
-            if stop is stream_relay.Stop.WHOLE:
+            if stop is stream_relay.StopReason.COMPLETE:
                 await stream.responder.finish()
                 self._note_end(stream)
                 return
-            if stop is stream_relay.Stop.BROKEN_OFF:
+            if stop is stream_relay.StopReason.TRUNCATED:
                 assert stream.exchange is not None
                 sent_at = stream.exchange.sent_at
                 await self._exit_detector.check_target(
                     stream.asked, stream.run.target, sent_at, stream.events
                 )
-            if stop is stream_relay.Stop.CAN_GO_ON:
+            if stop is stream_relay.StopReason.CAN_RESUME:
                 self._hand_over(stream)
                 continue
             if await self._go_on_from_copy(stream) or await self._run_anew(stream):
@@ -274,7 +274,7 @@
         if stream.stopping is None:
             stream.stopping = self._order_stop(stream, destination, is_stream_open=False)
         self._handovers.note_closed(stream.stopping)
-        if stream.is_out_of_reach and not stream.stopping.has_let_go:
+        if stream.is_unreachable and not stream.stopping.has_let_go:
             return handover.Evidence.OUT_OF_REACH
         return await stream.stopping.wait(STOP_SECONDS)
 
@@ -299,7 +299,7 @@
         if held_back is not None:
             stream.problem = held_back.reason
             return False
-        if not asked.route.is_resumable or stream.runs_begun >= asked.route.max_attempts:
+        if not asked.route.is_resumable or stream.runs_started >= asked.route.max_attempts:
             return False
         if not self._budget.take(asked.pool.name, self._loop.time()):
             return False
@@ -313,7 +313,7 @@
             stream.stopping = self._order_stop(stream, target, is_stream_open=False)
         self._handovers.release(stream.stopping, used=None)
         plan = self._sender.build_plan(asked, target, last_event_id=stream.last_event_id)
-        stream.runs_begun += 1
+        stream.runs_started += 1
         outcome = await self._send_on(stream, target, plan, None)
         return isinstance(outcome, sending.Stream)
 
@@ -389,7 +389,7 @@
             return outcome
         run.moving = None  # its copy is used
         self._drop(stream)
-        stream.take_exchange(outcome.exchange)
+        stream.switch_exchange(outcome.exchange)
         stream.runners += 1
         stream.run = dataclasses.replace(
             run, target=target, backup=backup, moving=None, may_be_copying=False
@@ -401,7 +401,7 @@
         asked = stream.asked
         self._quarantine.note_good(asked.fingerprint)
         self._meters.requests.labels(asked.route.name, "200").inc()
-        first_seconds = stream.first_at - asked.request.arrived
+        first_seconds = stream.first_event_at - asked.request.arrived
         self._meters.seconds.labels(asked.route.name).observe(first_seconds)
         self._meters.pauses.labels(asked.route.name).observe(stream.longest_pause)
         self._timeline.record(
@@ -412,7 +412,7 @@
             events=stream.events,
             first_ms=_milliseconds(first_seconds),
             pause_ms=_milliseconds(stream.longest_pause),
-            paused_at=stream.paused_at,
+            paused_at=stream.longest_pause_after,
             runners=stream.runners,
         )
 
