--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -209,7 +209,7 @@
             self._meters,
             exit_detector,
             self.quarantine,
-            handovers.Handovers(dialect, self.timeline, self._meters),
+            handovers.StopOrders(dialect, self.timeline, self._meters),
         )
         self._relay = relay.Relay(
             self._gate,
--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -10,18 +10,18 @@
 from tillerlane.gateway import meters as entry_meters
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Handovers", "Stopping"]
+__all__ = ["StopOrder", "StopOrders"]
 
-AGAIN_SECONDS = 0.05
+RETRY_DELAY_SECONDS = 0.05
 """Pause before an order without a clear answer is given again, for the first time.  With the time
 in which a connection comes about or not (0.3 s) it stays below the 0.4 s that two runners may work
 on one run: one that can be reached again is told within that time."""
-LONGEST_AGAIN_SECONDS = 1.0
+MAX_RETRY_DELAY_SECONDS = 1.0
 """Pause before the later ones, each of which is twice the one before."""
-ANSWER_SECONDS = 0.15
+ANSWER_TIMEOUT_SECONDS = 0.15
 """Time after which an order counts as not answered and is given anew; its answer is still taken.
 A runner stops a run at once, and tells whoever asks again that an order is under way."""
-ORDER_SECONDS = 4.0
+ORDER_TIMEOUT_SECONDS = 4.0
 """Longest wait for an order's own answer.  It comes when the runner's link, which makes copies one
 after another, has carried the run's memory: 0.02 to 0.8 s on a day with many moves."""
 
@@ -53,7 +53,7 @@
     return _WORDS.get(result.outcome, handover.Word.NOTHING)
 
 
-class Stopping:
+class StopOrder:
     """A run that its runner is told to stop, until it has.
 
     Attributes
@@ -72,15 +72,15 @@
         Whether that lies at the destination too, and not only where the run stopped.
     is_stream_open : bool
         Whether the run's stream has not ended here.
-    is_understood : bool
+    is_supported : bool
         Whether the runner's address knows such orders.
-    is_called_off : bool
+    is_cancelled : bool
         Whether the run goes on at this runner again, so that it is not to be stopped there.
     is_needed : bool
         Whether the run may still go on with what the order copies.
     orders, unanswered : int
         How often the order was given, and how many of these the runner may be carrying out.
-    on_let_go : callable
+    on_release : callable
         Called when the runner has let go.
     """
 
@@ -94,44 +94,44 @@
         self.copy: dialects.MemoryCopy | None = None
         self.is_at_destination = False
         self.is_stream_open = is_stream_open
-        self.is_understood = True
+        self.is_supported = True
         self.is_needed = True
         self.orders = 0
         self.unanswered = 0
-        self.is_called_off = False
+        self.is_cancelled = False
         self._latest_answered = 0
-        self.on_let_go: Callable[[], None] = lambda: None
+        self.on_release: Callable[[], None] = lambda: None
         self._known = asyncio.Event()
 
     @property
-    def has_let_go(self) -> bool:
+    def is_released(self) -> bool:
         """Whether the runner certainly works on the run no more."""
         return handover.has_let_go(self.evidence)
 
-    def note(self, evidence: handover.Evidence) -> None:
+    def record_evidence(self, evidence: handover.Evidence) -> None:
         """Take what is known now; that a runner was out of reach holds until it is reached."""
-        if self.has_let_go:
+        if self.is_released:
             return
         self.evidence = evidence
         if evidence is handover.Evidence.NONE:
             self._known.clear()
         else:
             self._known.set()
-        if self.has_let_go:
-            self.on_let_go()
+        if self.is_released:
+            self.on_release()
 
-    def note_answer(self, number: int, evidence: handover.Evidence) -> None:
+    def record_answer(self, number: int, evidence: handover.Evidence) -> None:
         """Take what an order's answer proves; what does not prove an end may be out of date."""
         if number >= self._latest_answered or handover.has_let_go(evidence):
             self._latest_answered = max(number, self._latest_answered)
-            self.note(evidence)
+            self.record_evidence(evidence)
 
-    def note_not_understood(self) -> None:
+    def record_unsupported(self) -> None:
         """Take that nothing more will be known."""
-        self.is_understood = False
+        self.is_supported = False
         self._known.set()
 
-    async def wait(self, seconds: float) -> handover.Evidence:
+    async def wait_for_evidence(self, seconds: float) -> handover.Evidence:
         """Wait until something is known; what is known then."""
         try:
             async with asyncio.timeout(seconds):
@@ -145,11 +145,11 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while self.copy is None and loop.time() < until:
-            await asyncio.sleep(AGAIN_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
         return self.copy
 
 
-class Handovers:
+class StopOrders:
     """Gives the orders of one entry to stop runs.
 
     Parameters
@@ -178,34 +178,36 @@
 
     def stop(
         self, run: runs.Run, destination: str, ends_at: float, *, is_stream_open: bool
-    ) -> Stopping:
+    ) -> StopOrder:
         """Have a run's runner stop it, and go on saying so until it has let go."""
-        stopping = Stopping(run, destination, ends_at, is_stream_open=is_stream_open)
-        self._begin(self._insist(stopping))
-        return stopping
+        stop_order = StopOrder(run, destination, ends_at, is_stream_open=is_stream_open)
+        self._begin(self._insist(stop_order))
+        return stop_order
 
-    def note_closed(self, stopping: Stopping) -> None:
+    def record_stream_end(self, stop_order: StopOrder) -> None:
         """Take the end of the run's stream, and ask at once what that means.
 
         It may have ended because of the order, or just then by itself.
         """
-        if not stopping.is_stream_open:
+        if not stop_order.is_stream_open:
             return
-        stopping.is_stream_open = False
-        if not stopping.has_let_go:
-            stopping.note(handover.Evidence.NONE)  # of before
-            self._begin(self._order(stopping))
+        stop_order.is_stream_open = False
+        if not stop_order.is_released:
+            stop_order.record_evidence(handover.Evidence.NONE)  # of before
+            self._begin(self._order(stop_order))
 
-    def release(self, stopping: Stopping, *, used: dialects.MemoryCopy | None) -> None:
+    def discard_unused_copy(
+        self, stop_order: StopOrder, *, used: dialects.MemoryCopy | None
+    ) -> None:
         """Need no memory of an order any more: the run goes on with `used`, or not at all.
 
         What is copied besides lies there for nobody, and takes a place and memory for seconds.
         """
-        if not stopping.is_needed:
+        if not stop_order.is_needed:
             return
-        stopping.is_needed = stopping.is_stream_open = False
-        if stopping.copy != used:
-            self._drop_copy(stopping)
+        stop_order.is_needed = stop_order.is_stream_open = False
+        if stop_order.copy != used:
+            self._drop_copy(stop_order)
 
     def _begin(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
         task = self._loop.create_task(work)
@@ -213,71 +215,75 @@
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def _drop_copy(self, stopping: Stopping) -> None:
-        if stopping.copy is not None:
-            self._begin(self._dialect.drop_copy(stopping.copy))
+    def _drop_copy(self, stop_order: StopOrder) -> None:
+        if stop_order.copy is not None:
+            self._begin(self._dialect.drop_copy(stop_order.copy))
 
-    async def _order(self, stopping: Stopping) -> None:
+    async def _order(self, stop_order: StopOrder) -> None:
         """Give the order once, and take its answer whenever it comes."""
-        run = stopping.run
-        is_stream_open = stopping.is_stream_open
-        may_be_copying = run.may_be_copying or not stopping.unanswered
-        stopping.orders += 1
-        number = stopping.orders
-        stopping.unanswered += 1
+        run = stop_order.run
+        is_stream_open = stop_order.is_stream_open
+        may_be_copying = run.may_be_copying or not stop_order.unanswered
+        stop_order.orders += 1
+        number = stop_order.orders
+        stop_order.unanswered += 1
         result = await self._dialect.stop_run(
-            run.target.address, run.request_id, stopping.destination, ORDER_SECONDS
+            run.target.address, run.request_id, stop_order.destination, ORDER_TIMEOUT_SECONDS
         )
         if result.outcome in _NOT_TAKEN and not result.handle:
-            stopping.unanswered -= 1
+            stop_order.unanswered -= 1
         if result.outcome is dialects.CopyOutcome.UNSUPPORTED:
-            stopping.note_not_understood()
+            stop_order.record_unsupported()
         if result.handle:
-            stopping.copy = dialects.MemoryCopy(run.target.address, result.handle)
-            stopping.is_at_destination = result.outcome is dialects.CopyOutcome.COPIED
-            if not stopping.is_needed:
-                self._drop_copy(stopping)
+            stop_order.copy = dialects.MemoryCopy(run.target.address, result.handle)
+            stop_order.is_at_destination = result.outcome is dialects.CopyOutcome.COPIED
+            if not stop_order.is_needed:
+                self._drop_copy(stop_order)
         evidence = handover.judge(
             _read_word(result), is_stream_open=is_stream_open, may_be_copying=may_be_copying
         )
-        stopping.note_answer(number, evidence)
+        stop_order.record_answer(number, evidence)
 
-    async def _insist(self, stopping: Stopping) -> None:
+    async def _insist(self, stop_order: StopOrder) -> None:
         """Give the order until the runner has let go."""
         began = self._loop.time()
-        pause = AGAIN_SECONDS
-        while not stopping.has_let_go and stopping.is_understood and not stopping.is_called_off:
-            if self._loop.time() >= stopping.ends_at:
-                stopping.note(handover.Evidence.EXPIRED)
+        pause = RETRY_DELAY_SECONDS
+        while (
+            not stop_order.is_released and stop_order.is_supported and not stop_order.is_cancelled
+        ):
+            if self._loop.time() >= stop_order.ends_at:
+                stop_order.record_evidence(handover.Evidence.EXPIRED)
                 break
-            await asyncio.wait({self._begin(self._order(stopping))}, timeout=ANSWER_SECONDS)
-            if stopping.has_let_go:
+            await asyncio.wait(
+                {self._begin(self._order(stop_order))}, timeout=ANSWER_TIMEOUT_SECONDS
+            )
+            if stop_order.is_released:
                 break
-            if stopping.evidence is handover.Evidence.OUT_OF_REACH:
-                await self._await_reach(stopping)
-                stopping.note(handover.Evidence.NONE)
+            if stop_order.evidence is handover.Evidence.OUT_OF_REACH:
+                await self._await_reach(stop_order)
+                stop_order.record_evidence(handover.Evidence.NONE)
                 continue
             await asyncio.sleep(pause)
-            pause = min(2 * pause, LONGEST_AGAIN_SECONDS)
-        self._note_over(stopping, began)
+            pause = min(2 * pause, MAX_RETRY_DELAY_SECONDS)
+        self._note_over(stop_order, began)
 
-    def _note_over(self, stopping: Stopping, began: float) -> None:
-        self._meters.stops.labels(stopping.evidence.value).inc()
+    def _note_over(self, stop_order: StopOrder, began: float) -> None:
+        self._meters.stops.labels(stop_order.evidence.value).inc()
         self._timeline.record(
             "run.stop",
-            request_id=stopping.run.request_id,
-            source=stopping.run.target.target_id,
-            evidence=stopping.evidence.value,
-            orders=stopping.orders,
+            request_id=stop_order.run.request_id,
+            source=stop_order.run.target.target_id,
+            evidence=stop_order.evidence.value,
+            orders=stop_order.orders,
             took_ms=int((self._loop.time() - began) * 1000),
         )
 
-    async def _await_reach(self, stopping: Stopping) -> None:
+    async def _await_reach(self, stop_order: StopOrder) -> None:
         """Wait until a connection to a run's runner comes about, or is refused."""
-        address = stopping.run.target.address
+        address = stop_order.run.target.address
         task = self._reaching.get(address)
         if task is None:
-            task = self._begin(self._try_to_reach(address, stopping.ends_at))
+            task = self._begin(self._try_to_reach(address, stop_order.ends_at))
             self._reaching[address] = task
             task.add_done_callback(lambda _: self._reaching.pop(address))
         await asyncio.shield(task)
@@ -286,4 +292,4 @@
         while self._loop.time() < ends_at:
             if await http_client.probe(address) is not http_client.ProbeResult.UNREACHABLE:
                 return
-            await asyncio.sleep(AGAIN_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
--- a/tillerlane/gateway/stream_relay.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -49,9 +49,9 @@
         Why it broke off, if it did.
     is_unreachable : bool
         Whether it broke off since its runner is silent and no connection to it comes about.
-    stopping : handovers.Stopping or None
+    stop_order : handovers.StopOrder or None
         The order to its runner to stop the run.
-    left : list of handovers.Stopping
+    former_stop_orders : list of handovers.StopOrder
         Those to the runners that the run has left.
     """
 
@@ -78,8 +78,8 @@
         self._splitter = events.EventSplitter()
         self.problem = ""
         self.is_unreachable = False
-        self.stopping: handovers.Stopping | None = None
-        self.left: list[handovers.Stopping] = []
+        self.stop_order: handovers.StopOrder | None = None
+        self.former_stop_orders: list[handovers.StopOrder] = []
         self._heard_at = 0.0
         """When the present runner's last event came; 0 before its first."""
         self.on_growth: Callable[[runs.Run, int], None] = lambda run, tokens: None
@@ -90,9 +90,9 @@
         self.exchange = exchange
         self.problem = ""
         self.is_unreachable = False
-        if self.stopping is not None:
-            self.left.append(self.stopping)
-        self.stopping = None
+        if self.stop_order is not None:
+            self.former_stop_orders.append(self.stop_order)
+        self.stop_order = None
         self._splitter = events.EventSplitter()
         self._heard_at = 0.0
 
@@ -103,7 +103,7 @@
             while (data := await self._read_chunk(self.exchange)) is not None:
                 if not await self._pass_on(data):
                     return StopReason.BROKEN
-                if self.stopping is not None and self.stopping.has_let_go:
+                if self.stop_order is not None and self.stop_order.is_released:
                     return StopReason.RELEASED
                 if self._can_go_on():
                     return StopReason.CAN_RESUME
@@ -117,7 +117,7 @@
         if self._splitter.has_partial_event:
             self.problem = "ended within an event"
             return StopReason.BROKEN
-        if self.stopping is not None and self.exchange.is_close_delimited:
+        if self.stop_order is not None and self.exchange.is_close_delimited:
             # A stopped stream ends by its connection's close too, and is not whole then.
             self.problem = "closed after it was to stop"
             return StopReason.TRUNCATED
@@ -126,7 +126,7 @@
     def _can_go_on(self) -> bool:
         """Whether the run can be handed over: a copy is ready, and there is an event to follow."""
         is_ready = self.run.read_continuation() is not None
-        return is_ready and self.stopping is None and bool(self.last_event_id)
+        return is_ready and self.stop_order is None and bool(self.last_event_id)
 
     def _could_go_on(self) -> bool:
         """Whether there is a way on if the runner can't be reached."""
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -71,7 +71,7 @@
         Asks after runners that broke off.
     quarantined : quarantine.Quarantine
         Takes note of streams that ended well.
-    orders : handovers.Handovers
+    orders : handovers.StopOrders
         Has former runners stop runs.
     """
 
@@ -87,9 +87,9 @@
         meters: entry_meters.EntryMeters,
         exit_detector: exit_detection.ExitDetector,
         quarantined: quarantine.Quarantine,
-        orders: handovers.Handovers,
+        orders: handovers.StopOrders,
     ) -> None:
-        self._handovers = orders
+        self._stop_orders = orders
         self._quarantine = quarantined
         self._exit_detector = exit_detector
         self._sender = sender
@@ -130,8 +130,8 @@
             self._note_broken(stream, "caller left")
             raise
         finally:
-            if stream.stopping is not None:
-                self._handovers.release(stream.stopping, used=None)
+            if stream.stop_order is not None:
+                self._stop_orders.discard_unused_copy(stream.stop_order, used=None)
             self._drop(stream)
             if not responder.is_finished:
                 responder.abort()
@@ -224,7 +224,7 @@
         elif self._available.is_evacuated(target) or not run.may_go_to(target):
             self._mover.move_again(run)
         elif not self._available.is_held_up(run.pool, target):  # else again with its next event
-            stream.stopping = self._order_stop(stream, target)
+            stream.stop_order = self._order_stop(stream, target)
 
     def _order_stop(
         self,
@@ -232,16 +232,16 @@
         destination: directories.Target,
         *,
         is_stream_open: bool = True,
-    ) -> handovers.Stopping:
-        stopping = self._handovers.stop(
+    ) -> handovers.StopOrder:
+        stop_order = self._stop_orders.stop(
             stream.run,
             destination.address,
             stream.asked.ends_at,
             is_stream_open=is_stream_open,
         )
         if stream.exchange is not None:
-            stopping.on_let_go = stream.exchange.interrupt
-        return stopping
+            stop_order.on_release = stream.exchange.interrupt
+        return stop_order
 
     async def _go_on_from_copy(self, stream: stream_relay.StreamRelay) -> bool:
         """Go on with a copy after the run's own runner let go of it, or broke off."""
@@ -253,41 +253,41 @@
         if not handover.may_go_on(evidence, stream.last_event_id):
             stream.problem += f"; nothing goes on with it: {evidence.value}"
             return False
-        stopping = stream.stopping
-        assert stopping is not None
-        if stopping.copy is not None and stopping.is_at_destination:
-            continuation = runs.Continuation(continuation.target, stopping.copy)
+        stop_order = stream.stop_order
+        assert stop_order is not None
+        if stop_order.copy is not None and stop_order.is_at_destination:
+            continuation = runs.Continuation(continuation.target, stop_order.copy)
         outcome, used = await self._take_up(stream, continuation), continuation.copy
         if isinstance(outcome, refusals.NotRun):
             if outcome.sent:
                 stream.run.refused_by |= {continuation.target.target_id}
-            outcome = await self._return_to_source(stream, stopping)
-            used = stopping.copy
+            outcome = await self._return_to_source(stream, stop_order)
+            used = stop_order.copy
         is_taken = isinstance(outcome, sending.Stream)
-        self._handovers.release(stopping, used=used if is_taken else None)
+        self._stop_orders.discard_unused_copy(stop_order, used=used if is_taken else None)
         return is_taken
 
     async def _learn_end(
         self, stream: stream_relay.StreamRelay, destination: directories.Target
     ) -> handover.Evidence:
         """Whether the former runner still works on a run whose stream has ended here."""
-        if stream.stopping is None:
-            stream.stopping = self._order_stop(stream, destination, is_stream_open=False)
-        self._handovers.note_closed(stream.stopping)
-        if stream.is_unreachable and not stream.stopping.has_let_go:
+        if stream.stop_order is None:
+            stream.stop_order = self._order_stop(stream, destination, is_stream_open=False)
+        self._stop_orders.record_stream_end(stream.stop_order)
+        if stream.is_unreachable and not stream.stop_order.is_released:
             return handover.Evidence.OUT_OF_REACH
-        return await stream.stopping.wait(STOP_SECONDS)
+        return await stream.stop_order.wait_for_evidence(STOP_SECONDS)
 
     async def _return_to_source(
-        self, stream: stream_relay.StreamRelay, stopping: handovers.Stopping
+        self, stream: stream_relay.StreamRelay, stop_order: handovers.StopOrder
     ) -> sending.Outcome:
         """Have a run go on where it stopped, since nobody else took it up."""
         run = stream.run
         refused = self._sender.refuse_quarantined(stream.asked)
         if refused is not None:
             return refused
-        has_copy = stopping.evidence is handover.Evidence.STOPPED
-        copy = await stopping.wait_for_copy(HANDOVER_SECONDS) if has_copy else None
+        has_copy = stop_order.evidence is handover.Evidence.STOPPED
+        copy = await stop_order.wait_for_copy(HANDOVER_SECONDS) if has_copy else None
         if copy is None or not run.may_go_to(run.target):
             return refusals.NotRun("no memory of the run is left where it may go", sent=False)
         return await self._take_up(stream, runs.Continuation(run.target, copy))
@@ -308,10 +308,10 @@
         target = self._selector.choose(asked.pool, asked.work, {former.target.target_id})
         if target is None:
             return False
-        if stream.stopping is None:
+        if stream.stop_order is None:
             # The former runner may work on; the new run need not wait for its word.
-            stream.stopping = self._order_stop(stream, target, is_stream_open=False)
-        self._handovers.release(stream.stopping, used=None)
+            stream.stop_order = self._order_stop(stream, target, is_stream_open=False)
+        self._stop_orders.discard_unused_copy(stream.stop_order, used=None)
         plan = self._sender.build_plan(asked, target, last_event_id=stream.last_event_id)
         stream.runs_started += 1
         outcome = await self._send_on(stream, target, plan, None)
@@ -367,8 +367,8 @@
         """Send the request to another runner; the stream goes on with its answer if it is one."""
         run = stream.run
         began = self._loop.time()
-        for stopping in stream.left:
-            stopping.is_called_off |= stopping.run.target.target_id == target.target_id
+        for stop_order in stream.former_stop_orders:
+            stop_order.is_cancelled |= stop_order.run.target.target_id == target.target_id
         outcome = await self._sender.send(stream.asked, target, plan, run.tokens)
         taken = isinstance(outcome, sending.Stream)
         self._meters.continuations.labels(str(taken).lower()).inc()
--- a/tillerlane/gateway/tests/test_handover_evidence.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -243,14 +243,14 @@
             return dialect.CopyResult(left.pop(0) if len(left) > 1 else left[0])
 
         async def run() -> str:
-            orders = handovers.Handovers(
+            orders = handovers.StopOrders(
                 mock.Mock(stop_run=stop_run), mock.MagicMock(), mock.MagicMock()
             )
             target = mock.Mock(address="10.0.9.1:9000")
             moved = mock.Mock(target=target, request_id="r1", may_be_copying=may_be_copying)
-            stopping = orders.stop(moved, "10.0.9.2:9000", 100.0, is_stream_open=True)
+            stop_order = orders.stop(moved, "10.0.9.2:9000", 100.0, is_stream_open=True)
             await asyncio.sleep(3.0)
-            return stopping.evidence.value
+            return stop_order.evidence.value
 
         return lab.run_virtual(run())
 
@@ -274,15 +274,15 @@
             return dialect.CopyResult(outcome)
 
         async def run() -> str:
-            orders = handovers.Handovers(
+            orders = handovers.StopOrders(
                 mock.Mock(stop_run=stop_run), mock.MagicMock(), mock.MagicMock()
             )
             moved = mock.Mock(target=mock.Mock(address="10.0.9.1:9000"), request_id="r1")
-            stopping = orders.stop(moved, "10.0.9.2:9000", 100.0, is_stream_open=True)
+            stop_order = orders.stop(moved, "10.0.9.2:9000", 100.0, is_stream_open=True)
             await asyncio.sleep(0.05)
-            orders.note_closed(stopping)
+            orders.record_stream_end(stop_order)
             await asyncio.sleep(0.5)
-            return stopping.evidence.value
+            return stop_order.evidence.value
 
         self.assertEqual(lab.run_virtual(run()), "none")
 
