--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -334,7 +334,7 @@
         """Put orders in force: which data halls and which requests get to no target."""
         self.quarantine.set_held(orders.list_names(stores.QUARANTINE))
         self.directory.set_evacuated(orders.list_names(stores.EVACUATIONS), self._loop.time())
-        self._mover.note_evacuated()
+        self._mover.discard_evacuated_backups()
         self.timeline.record(
             "orders.in_force",
             version=orders.version,
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -20,26 +20,26 @@
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Continuation", "Mover", "Run"]
+__all__ = ["Mover", "ResumePoint", "Run"]
 
-COPY_SECONDS = 4.0
+COPY_TIMEOUT_SECONDS = 4.0
 """Longest wait for a copy: twice the longest notice met (2.1 s); the source is gone by then."""
-LATE_SECONDS = 0.8
+FULL_DESTINATION_DELAY_SECONDS = 0.8
 """Time from a runner's notice after which a destination is asked that is full by our own count;
 the shortest notice met is 1.5 s."""
-NOTICE_SECONDS = 1.5
+MIN_NOTICE_SECONDS = 1.5
 """Shortest time met from a runner's notice to its end, and the time for which a run may still go to
 it."""
-LINK_CHECK_SECONDS = 0.03
+LINK_CHECK_INTERVAL_SECONDS = 0.03
 """Pause of a run that waits for the link: a fifth of the shortest copy seen, so that little of its
 time is lost."""
-MOVE_SECONDS = 6.0
+MOVE_TIMEOUT_SECONDS = 6.0
 """Longest time in which moving one run is tried: a runner that drains may serve on for seconds."""
-RETRY_SECONDS = 0.1
+RETRY_DELAY_SECONDS = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Continuation:
+class ResumePoint:
     """Where a run goes on, and with which memory."""
 
     target: directories.Target
@@ -61,7 +61,7 @@
     backup : directories.Target or None
         Runner that gets its memory as it grows.
     moving : asyncio.Task or None
-        Gives a `Continuation`, or None if the run stays where it is.
+        Gives a `ResumePoint`, or None if the run stays where it is.
     on_copied : callable
         Called when `moving` is done.
     """
@@ -71,32 +71,32 @@
     target: directories.Target
     tokens: int
     backup: directories.Target | None = None
-    events_left: float = 0.0
+    remaining_events: float = 0.0
     """Events that it is expected to write yet."""
     is_long: bool = False
     """Whether its memory is worth a copy."""
     leaving_since: float = 0.0
     """Time of the event loop at which its runner was known to leave."""
-    moving: "asyncio.Task[Continuation | None] | None" = None
+    moving: "asyncio.Task[ResumePoint | None] | None" = None
     on_copied: Callable[[], None] = lambda: None
-    refused_by: frozenset[str] = frozenset()
+    rejected_by: frozenset[str] = frozenset()
     """Runners that did not take it up."""
     may_be_copying: bool = False
     """Whether its runner may be carrying out an order to copy it, of which nobody has an answer."""
 
-    def may_go_to(self, target: directories.Target) -> bool:
+    def can_move_to(self, target: directories.Target) -> bool:
         """Whether the run may go on at a target, as far as that one's leaving goes."""
         if not target.is_leaving:
             return True
         now = asyncio.get_running_loop().time()
-        return target.is_winding_down and now - target.leaving_at < NOTICE_SECONDS
+        return target.is_winding_down and now - target.leaving_at < MIN_NOTICE_SECONDS
 
     @property
     def unsaved_tokens(self) -> int:
         """Memory that it is counted with among the runs without a copy."""
         return self.tokens if self.is_long and self.backup is None else 0
 
-    def read_continuation(self) -> Continuation | None:
+    def get_resume_point(self) -> ResumePoint | None:
         """Where the run can go on by now."""
         task = self.moving
         if task is None or not task.done() or task.cancelled():
@@ -157,24 +157,24 @@
             runs.discard(run)
             if not runs:
                 del self._runs[run.target.target_id]
-        self.give_up(run)
+        self.cancel_move(run)
 
-    def give_up(self, run: Run) -> None:
+    def cancel_move(self, run: Run) -> None:
         """Move a run no more, and free a copy that it does not go on with."""
-        unused = run.read_continuation()
+        unused = run.get_resume_point()
         if unused is not None:
             self._drop_copy(run, unused)
         elif run.moving is not None:
             run.moving.cancel()
         run.moving = None
 
-    def move_again(self, run: Run) -> None:
+    def retry_move(self, run: Run) -> None:
         """Look for another destination after one did not take the run up."""
-        self.give_up(run)
+        self.cancel_move(run)
         if run.target.is_winding_down:
             self._start(run)
 
-    def note_evacuated(self) -> None:
+    def discard_evacuated_backups(self) -> None:
         """Go by no copy in a data hall that gets nothing new: it could not be sent there."""
         self._lose_backups(lambda backup: backup.data_hall in self._directory.evacuated)
 
@@ -221,29 +221,29 @@
         run.moving = asyncio.get_running_loop().create_task(self._move(run))
         run.moving.add_done_callback(lambda task: run.on_copied())
 
-    async def _move(self, run: Run) -> Continuation | None:
+    async def _move(self, run: Run) -> ResumePoint | None:
         """Copy a run's memory to a runner with room; None if it stays."""
-        excluded = {run.target.target_id, *run.refused_by}
+        excluded = {run.target.target_id, *run.rejected_by}
         loop = asyncio.get_running_loop()
-        until = loop.time() + MOVE_SECONDS
+        until = loop.time() + MOVE_TIMEOUT_SECONDS
         while loop.time() < until:
             destination = self._choose(run, excluded)
             if destination is not None and not self._has_link_time(run):
-                await asyncio.sleep(LINK_CHECK_SECONDS)
+                await asyncio.sleep(LINK_CHECK_INTERVAL_SECONDS)
                 continue
             if destination is not None:
                 result = await self._copy(run, destination)
                 if result.outcome is dialects.CopyOutcome.COPIED:
                     copy = dialects.MemoryCopy(run.target.address, result.handle)
-                    return Continuation(destination, copy)
+                    return ResumePoint(destination, copy)
                 if result.outcome.is_unanswered:
                     return None
                 if result.outcome is dialects.CopyOutcome.NO_ROOM:
                     excluded.add(destination.target_id)
             else:
-                excluded = {run.target.target_id, *run.refused_by}
+                excluded = {run.target.target_id, *run.rejected_by}
             # A run that has not begun yet has no memory to copy; room may come.
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
         return None
 
     def _count_ordered(self, run: Run, tokens: int) -> None:
@@ -263,7 +263,7 @@
         if ordered is None:
             return True
         waited = asyncio.get_running_loop().time() - run.leaving_since
-        left = max(0.0, NOTICE_SECONDS - waited)
+        left = max(0.0, MIN_NOTICE_SECONDS - waited)
         share = self._selector.read_own_share(run.target)
         return self._selector.read_copy_seconds(run.pool, ordered + run.tokens) <= left * share
 
@@ -294,7 +294,7 @@
             lambda: self._usage.add(destination.address, tokens=-tokens),
         )
 
-    def _drop_copy(self, run: Run, unused: Continuation) -> None:
+    def _drop_copy(self, run: Run, unused: ResumePoint) -> None:
         """Free a copy that nobody will use; it would hold memory for seconds."""
         self._timeline.record(
             "copy.drop",
@@ -312,19 +312,19 @@
     def _choose(self, run: Run, excluded: set[str]) -> directories.Target | None:
         """The least loaded runner with room for the run; in the end any, whose word it is."""
         hall = run.target.data_hall
-        work = placing.Work(run.tokens, events=run.events_left)
+        work = placing.Work(run.tokens, events=run.remaining_events)
         found = self._selector.choose(run.pool, work, excluded, hall, is_sent_now=False)
         if found is None or self._selector.has_room(run.pool, found, run.tokens, 1.0):
             return found
         waited = asyncio.get_running_loop().time() - run.leaving_since
-        return found if waited > LATE_SECONDS else None
+        return found if waited > FULL_DESTINATION_DELAY_SECONDS else None
 
     async def _order(self, run: Run, destination: directories.Target) -> dialects.CopyResult:
         loop = asyncio.get_running_loop()
         began = loop.time()
         run.may_be_copying = True
         result = await self._dialect.copy_run(
-            run.target.address, run.request_id, destination.address, COPY_SECONDS
+            run.target.address, run.request_id, destination.address, COPY_TIMEOUT_SECONDS
         )
         run.may_be_copying = result.outcome.is_unanswered
         self._meters.moves.labels(result.outcome.value).inc()
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -32,7 +32,7 @@
 
 __all__ = ["Outcome", "Response", "SendResult", "Sender", "Stream", "Unknown"]
 
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 """A connection within a region takes milliseconds; a target that is dark never answers."""
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 ROOM_WAIT_SHARE = 0.2
@@ -223,7 +223,7 @@
         keep = False
         try:
             async with asyncio.timeout_at(until):
-                exchange = await http_client.connect(address, CONNECT_SECONDS)
+                exchange = await http_client.connect(address, CONNECT_TIMEOUT_SECONDS)
                 self._exchanges.add(target, exchange)
                 held_back = self.refuse_quarantined(asked)
                 if held_back is not None:
--- a/tillerlane/gateway/stream_relay.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -125,12 +125,12 @@
 
     def _can_go_on(self) -> bool:
         """Whether the run can be handed over: a copy is ready, and there is an event to follow."""
-        is_ready = self.run.read_continuation() is not None
+        is_ready = self.run.get_resume_point() is not None
         return is_ready and self.stop_order is None and bool(self.last_event_id)
 
     def _could_go_on(self) -> bool:
         """Whether there is a way on if the runner can't be reached."""
-        has_copy = self.run.backup is not None or self.run.read_continuation() is not None
+        has_copy = self.run.backup is not None or self.run.get_resume_point() is not None
         return has_copy or self.asked.route.is_resumable
 
     async def _pass_on(self, data: bytes) -> bool:
@@ -177,7 +177,7 @@
             return
         written = self.events * engine.event_tokens
         tokens = self.asked.facts.prompt_tokens + written
-        self.run.events_left = self.asked.count_events_left(self.events)
+        self.run.remaining_events = self.asked.count_events_left(self.events)
         self.on_growth(self.run, tokens + self.asked.count_growth(written))
 
     def _note_times(self, event_before: str, events_now: int) -> None:
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -113,7 +113,7 @@
         assert isinstance(outcome, sending.Stream) and target is not None
         run = runs.Run(asked.facts.request_id, asked.pool, target, asked.tokens, tried.backup)
         run.is_long = asked.is_long
-        run.events_left = asked.count_events_left(0)
+        run.remaining_events = asked.count_events_left(0)
         stream = stream_relay.StreamRelay(asked, responder, run, outcome.exchange)
         stream.runs_started = tried.runs
         stream.on_growth = self._note_growth
@@ -194,19 +194,19 @@
             self._note_broken(stream, stream.problem)
             return
 
-    async def _await_move(self, run: runs.Run) -> runs.Continuation | None:
+    async def _await_move(self, run: runs.Run) -> runs.ResumePoint | None:
         if run.moving is None:
             return None
         # The order may be given up meanwhile, which ends its task and not this one.
         await asyncio.wait({run.moving}, timeout=HANDOVER_SECONDS)
-        return run.read_continuation()
+        return run.get_resume_point()
 
-    def _find_backup(self, run: runs.Run) -> runs.Continuation | None:
+    def _find_backup(self, run: runs.Run) -> runs.ResumePoint | None:
         """Where a run that broke off can go on from the copy made while it grew."""
         backup = run.backup
         if backup is None or backup.phase is directories.Phase.GONE:
             return None
-        return runs.Continuation(backup, dialects.MemoryCopy(backup.address, run.request_id))
+        return runs.ResumePoint(backup, dialects.MemoryCopy(backup.address, run.request_id))
 
     def _hand_over(self, stream: stream_relay.StreamRelay) -> None:
         """Have the runner stop a run whose copy is ready elsewhere.
@@ -216,13 +216,13 @@
         entry is, and whether or not a runner notices a closed connection.
         """
         run = stream.run
-        continuation = run.read_continuation()
-        assert continuation is not None
-        target = continuation.target
+        resume_point = run.get_resume_point()
+        assert resume_point is not None
+        target = resume_point.target
         if self._sender.refuse_quarantined(stream.asked) is not None:
-            self._mover.give_up(run)  # nobody would take it up; it may end here yet
-        elif self._available.is_evacuated(target) or not run.may_go_to(target):
-            self._mover.move_again(run)
+            self._mover.cancel_move(run)  # nobody would take it up; it may end here yet
+        elif self._available.is_evacuated(target) or not run.can_move_to(target):
+            self._mover.retry_move(run)
         elif not self._available.is_held_up(run.pool, target):  # else again with its next event
             stream.stop_order = self._order_stop(stream, target)
 
@@ -245,22 +245,22 @@
 
     async def _go_on_from_copy(self, stream: stream_relay.StreamRelay) -> bool:
         """Go on with a copy after the run's own runner let go of it, or broke off."""
-        continuation = await self._await_move(stream.run)
-        continuation = continuation or self._find_backup(stream.run)
-        if continuation is None:
+        resume_point = await self._await_move(stream.run)
+        resume_point = resume_point or self._find_backup(stream.run)
+        if resume_point is None:
             return False
-        evidence = await self._learn_end(stream, continuation.target)
+        evidence = await self._learn_end(stream, resume_point.target)
         if not handover.may_go_on(evidence, stream.last_event_id):
             stream.problem += f"; nothing goes on with it: {evidence.value}"
             return False
         stop_order = stream.stop_order
         assert stop_order is not None
         if stop_order.copy is not None and stop_order.is_at_destination:
-            continuation = runs.Continuation(continuation.target, stop_order.copy)
-        outcome, used = await self._take_up(stream, continuation), continuation.copy
+            resume_point = runs.ResumePoint(resume_point.target, stop_order.copy)
+        outcome, used = await self._take_up(stream, resume_point), resume_point.copy
         if isinstance(outcome, refusals.NotRun):
             if outcome.sent:
-                stream.run.refused_by |= {continuation.target.target_id}
+                stream.run.rejected_by |= {resume_point.target.target_id}
             outcome = await self._return_to_source(stream, stop_order)
             used = stop_order.copy
         is_taken = isinstance(outcome, sending.Stream)
@@ -288,9 +288,9 @@
             return refused
         has_copy = stop_order.evidence is handover.Evidence.STOPPED
         copy = await stop_order.wait_for_copy(HANDOVER_SECONDS) if has_copy else None
-        if copy is None or not run.may_go_to(run.target):
+        if copy is None or not run.can_move_to(run.target):
             return refusals.NotRun("no memory of the run is left where it may go", sent=False)
-        return await self._take_up(stream, runs.Continuation(run.target, copy))
+        return await self._take_up(stream, runs.ResumePoint(run.target, copy))
 
     async def _run_anew(self, stream: stream_relay.StreamRelay) -> bool:
         """Have another run go on behind the last event, where the route allows it."""
@@ -318,33 +318,33 @@
         return isinstance(outcome, sending.Stream)
 
     async def _take_up(
-        self, stream: stream_relay.StreamRelay, continuation: runs.Continuation
+        self, stream: stream_relay.StreamRelay, resume_point: runs.ResumePoint
     ) -> sending.Outcome:
         """Have the run go on with a copy of its memory, as soon as its runner bears one more."""
-        target = continuation.target
+        target = resume_point.target
         engine = stream.run.pool.engine
         copy_retention_seconds = engine.copy_retention_seconds if engine is not None else 0.0
         until = self._loop.time() + copy_retention_seconds * BEARING_WAIT_SHARE
         while True:
             await self._await_bearing(stream.run.pool, target, until)
-            if not stream.run.may_go_to(target):
+            if not stream.run.can_move_to(target):
                 return refusals.NotRun(f"{target.target_id} leaves too", sent=False)
-            outcome = await self._send_copy(stream, continuation)
+            outcome = await self._send_copy(stream, resume_point)
             is_refused_here = isinstance(outcome, refusals.NotRun) and not outcome.sent
             is_held_up = self._available.is_held_up(stream.run.pool, target)
             if not is_refused_here or not is_held_up or self._loop.time() >= until:
                 return outcome
 
     async def _send_copy(
-        self, stream: stream_relay.StreamRelay, continuation: runs.Continuation
+        self, stream: stream_relay.StreamRelay, resume_point: runs.ResumePoint
     ) -> sending.Outcome:
-        asked, target = stream.asked, continuation.target
+        asked, target = stream.asked, resume_point.target
         backup = self._sender.choose_backup(asked, target)
         plan = self._sender.build_plan(
             asked,
             target,
             last_event_id=stream.last_event_id,
-            copy=continuation.copy,
+            copy=resume_point.copy,
             backup=backup,
         )
         self._budget.note_repeat(asked.pool.name, self._loop.time())
