--- a/tillerlane/gateway/exit_detection.py
+++ b/tillerlane/gateway/exit_detection.py
@@ -55,7 +55,11 @@
         """Probes under way by target: all answers that break off with one share it."""
 
     async def check_target(
-        self, asked: admissions.Admission, target: directories.Target, sent_at: float, events: int
+        self,
+        admission: admissions.Admission,
+        target: directories.Target,
+        sent_at: float,
+        events: int,
     ) -> None:
         """Find out what became of a target that broke off a request's answer.
 
@@ -63,7 +67,7 @@
 
         Parameters
         ----------
-        asked : admissions.Admission
+        admission : admissions.Admission
             The request.
         sent_at : float
             Time of the event loop at which it was sent there.
@@ -77,8 +81,8 @@
         self._meters.broken_answers.labels(reach.value).inc()
         self._timeline.record(
             "target.broke_off",
-            request_id=asked.facts.request_id,
-            fingerprint=asked.fingerprint,
+            request_id=admission.facts.request_id,
+            fingerprint=admission.fingerprint,
             target=target.target_id,
             address=target.address,
             reach=reach.value,
@@ -87,7 +91,7 @@
             requests_there=self._usage.read(target.address).requests,
         )
         if reach is http_client.ProbeResult.REFUSED:
-            self._quarantine.note_end(asked.fingerprint, target)
+            self._quarantine.note_end(admission.fingerprint, target)
 
     async def _probe(self, target: directories.Target) -> http_client.ProbeResult:
         if target.is_over:
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -70,21 +70,21 @@
         """Serve one request of a caller."""
         if self._startup.ready_at is None:
             await self._wait_ready(request)
-        asked = self._gate.admit(request)
-        if isinstance(asked, admissions.Refusal):
+        admission = self._gate.admit(request)
+        if isinstance(admission, admissions.Refusal):
             facts = self._dialect.decode_request(request.head)
-            await self._refuse(facts.request_id, "", responder, asked)
+            await self._refuse(facts.request_id, "", responder, admission)
             return
-        self._budget.note_request(asked.pool.name, self._loop.time())
+        self._budget.note_request(admission.pool.name, self._loop.time())
         try:
-            tried = await self._sender.send_with_retries(asked)
+            tried = await self._sender.send_with_retries(admission)
         except asyncio.CancelledError:
-            self._note_left(asked)
+            self._note_left(admission)
             raise
         if isinstance(tried.outcome, sending.Stream):
-            await self._streams.serve(asked, responder, tried)
+            await self._streams.serve(admission, responder, tried)
         else:
-            await self._answer(asked, responder, tried)
+            await self._answer(admission, responder, tried)
 
     async def _wait_ready(self, request: http_server.Request) -> None:
         """Have a request that came before the configuration wait for it a while."""
@@ -117,54 +117,54 @@
 
     async def _answer(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         responder: http_server.Responder,
         tried: sending.SendResult,
     ) -> None:
         """Answer a caller who has got nothing yet."""
         outcome = tried.outcome
-        request_id = asked.facts.request_id
+        request_id = admission.facts.request_id
         if isinstance(outcome, sending.Response):
             headers = http_head.list_end_to_end(outcome.head.headers)
             head = http_head.ResponseHead(outcome.head.status, headers)
             await responder.send_response(head, outcome.body)
-            self._note_answer(asked, tried, outcome.head.status)
+            self._note_answer(admission, tried, outcome.head.status)
         elif isinstance(outcome, refusals.NotRun):
             refusal = admissions.Refusal(503, outcome.reason, outcome.retry_after)
-            await self._refuse(request_id, asked.route.name, responder, refusal)
+            await self._refuse(request_id, admission.route.name, responder, refusal)
         else:
             assert isinstance(outcome, sending.Unknown)
             status = 504 if outcome.is_late else 502
             refusal = admissions.Refusal(status, outcome.reason)
-            await self._refuse(request_id, asked.route.name, responder, refusal)
+            await self._refuse(request_id, admission.route.name, responder, refusal)
 
-    def _note_left(self, asked: admissions.Admission) -> None:
+    def _note_left(self, admission: admissions.Admission) -> None:
         """Note a caller that left before it got anything."""
-        self._meters.requests.labels(asked.route.name, "left").inc()
+        self._meters.requests.labels(admission.route.name, "left").inc()
         self._timeline.record(
             "request.leave",
-            request_id=asked.facts.request_id,
-            fingerprint=asked.fingerprint,
-            route=asked.route.name,
-            version=asked.version,
-            waited_ms=int((self._loop.time() - asked.request.arrived) * 1000),
+            request_id=admission.facts.request_id,
+            fingerprint=admission.fingerprint,
+            route=admission.route.name,
+            version=admission.version,
+            waited_ms=int((self._loop.time() - admission.request.arrived) * 1000),
         )
 
     def _note_answer(
-        self, asked: admissions.Admission, tried: sending.SendResult, status: int
+        self, admission: admissions.Admission, tried: sending.SendResult, status: int
     ) -> None:
         """Note a whole answer that a target gave."""
         if status < 400:
-            self._quarantine.note_good(asked.fingerprint)
-        seconds = self._loop.time() - asked.request.arrived
-        self._meters.requests.labels(asked.route.name, str(status)).inc()
-        self._meters.seconds.labels(asked.route.name).observe(seconds)
+            self._quarantine.note_good(admission.fingerprint)
+        seconds = self._loop.time() - admission.request.arrived
+        self._meters.requests.labels(admission.route.name, str(status)).inc()
+        self._meters.seconds.labels(admission.route.name).observe(seconds)
         self._timeline.record(
             "request.end",
-            request_id=asked.facts.request_id,
-            fingerprint=asked.fingerprint,
-            route=asked.route.name,
-            version=asked.version,
+            request_id=admission.facts.request_id,
+            fingerprint=admission.fingerprint,
+            route=admission.route.name,
+            version=admission.version,
             target=tried.target.target_id if tried.target is not None else "",
             status=status,
             took_ms=int(seconds * 1000),
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -197,7 +197,7 @@
 
     async def send(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         target: directories.Target,
         plan: dialects.ForwardPlan,
         tokens: int | None = None,
@@ -208,35 +208,35 @@
         `tokens` is the memory that a run which goes on is counted with, `until` the loop's time
         at which the answer is no longer waited for.
         """
-        held_back = self.refuse_quarantined(asked)
+        held_back = self.refuse_quarantined(admission)
         if held_back is not None:
             return held_back
         began = self._loop.time()
-        until = asked.ends_at - MARGIN_SECONDS if until is None else until
+        until = admission.ends_at - MARGIN_SECONDS if until is None else until
         address = target.address
-        unread = asked.facts.prompt_tokens if tokens is None else 0
-        tokens = asked.tokens if tokens is None else tokens
-        unsaved = tokens if asked.is_long and not plan.backup_address else 0
+        unread = admission.facts.prompt_tokens if tokens is None else 0
+        tokens = admission.tokens if tokens is None else tokens
+        unsaved = tokens if admission.is_long and not plan.backup_address else 0
         self._usage.add(address, requests=1, tokens=tokens, unread=unread, unsaved=unsaved)
-        self._usage.note_request(asked.pool.name, began)
+        self._usage.note_request(admission.pool.name, began)
         exchange: http_client.Exchange | None = None
         keep = False
         try:
             async with asyncio.timeout_at(until):
                 exchange = await http_client.connect(address, CONNECT_TIMEOUT_SECONDS)
                 self._exchanges.add(target, exchange)
-                held_back = self.refuse_quarantined(asked)
+                held_back = self.refuse_quarantined(admission)
                 if held_back is not None:
                     return held_back
                 obstacle = self._available.take(
-                    asked.pool, target, is_resumed=plan.copy is not None
+                    admission.pool, target, is_resumed=plan.copy is not None
                 )
                 if obstacle is not None:
                     reason = f"{address} gets nothing of this entry now: {obstacle.cause.value}"
                     return refusals.NotRun(reason, sent=False, is_held_up=True)
-                head = self._dialect.build_forward(asked.request.head, plan)
-                exchange.send(head, asked.request.body)
-                outcome = await self._read_answer(asked, target, exchange)
+                head = self._dialect.build_forward(admission.request.head, plan)
+                exchange.send(head, admission.request.body)
+                outcome = await self._read_answer(admission, target, exchange)
             keep = isinstance(outcome, Stream)
             self._judge(target, outcome, is_resumed=plan.copy is not None)
             return outcome
@@ -252,7 +252,7 @@
             if not error.sent:
                 return refusals.NotRun(str(error), sent=False)
             assert exchange is not None
-            await self._exit_detector.check_target(asked, target, exchange.sent_at, 0)
+            await self._exit_detector.check_target(admission, target, exchange.sent_at, 0)
             return Unknown(f"{address}: {error}")
         finally:
             self._usage.add(address, unread=-unread)
@@ -261,28 +261,28 @@
                 if exchange is not None:
                     exchange.abort()
 
-    def refuse_quarantined(self, asked: admissions.Admission) -> refusals.NotRun | None:
+    def refuse_quarantined(self, admission: admissions.Admission) -> refusals.NotRun | None:
         """Refuse a request under which targets ended; None if it may go to one.
 
         Every way to a target asks this, and last when a connection to one is there: while that came
         up, the third target may have ended elsewhere.
         """
-        reason = self._quarantine.find_reason(asked.fingerprint)
+        reason = self._quarantine.find_reason(admission.fingerprint)
         return (
             refusals.NotRun(reason, sent=False, retry_after=HELD_RETRY_SECONDS) if reason else None
         )
 
     async def _read_answer(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         target: directories.Target,
         exchange: http_client.Exchange,
     ) -> Outcome:
         head = await exchange.read_head()
         facts = self._dialect.decode_response(head)
-        is_of_request = facts.request_id == asked.facts.request_id
+        is_of_request = facts.request_id == admission.facts.request_id
         if is_of_request and not facts.is_other_target:
-            self._advice.take(asked.facts.request_id, target, facts, exchange.sent_at)
+            self._advice.take(admission.facts.request_id, target, facts, exchange.sent_at)
         if not is_of_request:
             # Each answer of a target names its request; what does not is nobody's word on this one.
             named = facts.request_id or "none"
@@ -291,7 +291,7 @@
             return refusals.NotRun(
                 f"turned away, status {head.status}", True, facts.is_other_target
             )
-        if asked.is_stream and head.status == 200:
+        if admission.is_stream and head.status == 200:
             return Stream(head, exchange)
         body = await exchange.read_body(MAX_ANSWER_BYTES)
         if head.status in NOT_RUN_STATUSES:
@@ -313,7 +313,7 @@
 
     def build_plan(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         target: directories.Target,
         *,
         last_event_id: str = "",
@@ -321,164 +321,170 @@
         backup: directories.Target | None = None,
     ) -> dialects.ForwardPlan:
         return dialects.ForwardPlan(
-            wait_seconds=max(0.001, asked.ends_at - self._loop.time()),
+            wait_seconds=max(0.001, admission.ends_at - self._loop.time()),
             target_id=target.target_id,
-            workspace=asked.workspace.name if asked.workspace is not None else "",
-            priority=asked.runner_rank,
+            workspace=admission.workspace.name if admission.workspace is not None else "",
+            priority=admission.runner_rank,
             last_event_id=last_event_id,
             copy=copy,
             backup_address=backup.address if backup is not None else "",
         )
 
     def choose_backup(
-        self, asked: admissions.Admission, target: directories.Target
+        self, admission: admissions.Admission, target: directories.Target
     ) -> directories.Target | None:
         """A runner to copy a run's memory to while it grows; short runs are not worth it."""
-        engine = asked.pool.engine
-        if engine is None or not engine.can_back_up or not asked.is_long:
+        engine = admission.pool.engine
+        if engine is None or not engine.can_back_up or not admission.is_long:
             return None
-        if self._selector.read_evacuation(asked.pool, target) < EVACUATION_SECONDS:
+        if self._selector.read_evacuation(admission.pool, target) < EVACUATION_SECONDS:
             return None
         backup = self._selector.choose(
-            asked.pool, placing.Work(asked.tokens), {target.target_id}, is_sent_now=False
+            admission.pool, placing.Work(admission.tokens), {target.target_id}, is_sent_now=False
         )
         if backup is None:
             return None
-        has_room = self._selector.has_room(asked.pool, backup, asked.tokens, BACKUP_MEMORY_SHARE)
+        has_room = self._selector.has_room(
+            admission.pool, backup, admission.tokens, BACKUP_MEMORY_SHARE
+        )
         return backup if has_room else None
 
-    async def send_with_retries(self, asked: admissions.Admission) -> SendResult:
+    async def send_with_retries(self, admission: admissions.Admission) -> SendResult:
         """Send a request until it is answered or may not be sent again."""
         excluded: set[str] = set()
         tried = SendResult(refusals.NotRun("no target", sent=False))
         unsent = 0
         asks = 0
         while unsent < UNSENT_TRIES:
-            held_back = self.refuse_quarantined(asked)
+            held_back = self.refuse_quarantined(admission)
             if held_back is not None:
                 return tried if tried.sends else SendResult(held_back)
             may_ask = asks < MOST_ASKS
-            target = self._selector.choose(asked.pool, asked.work, excluded, may_ask=may_ask)
+            target = self._selector.choose(
+                admission.pool, admission.work, excluded, may_ask=may_ask
+            )
             if target is not None and may_ask and self._available.needs_permit(target):
                 asks += 1
                 if not await self._available.ask_permit(target, PERMIT_WAIT_SECONDS):
                     continue
-            if target is None and not excluded and self._may_wait_for_targets(asked):
+            if target is None and not excluded and self._may_wait_for_targets(admission):
                 await asyncio.sleep(ROOM_CHECK_SECONDS)
                 continue
-            if target is None and self._may_wait_for_bearing(asked, excluded):
+            if target is None and self._may_wait_for_bearing(admission, excluded):
                 await self._available.wait_for_permits(ROOM_CHECK_SECONDS)
                 continue
-            if target is None or self._loop.time() + LEAST_SEND_SECONDS > asked.ends_at:
-                return self._finish(asked, tried)
-            if not self._has_room(asked, target):
-                if self._loop.time() < self._read_patience(asked):
+            if target is None or self._loop.time() + LEAST_SEND_SECONDS > admission.ends_at:
+                return self._finish(admission, tried)
+            if not self._has_room(admission, target):
+                if self._loop.time() < self._read_patience(admission):
                     await asyncio.sleep(ROOM_CHECK_SECONDS)
                     continue
-                return tried if tried.sends else SendResult(self._refusals.build_no_room(asked))
-            if not self._may_begin(asked, target):
+                return tried if tried.sends else SendResult(self._refusals.build_no_room(admission))
+            if not self._may_begin(admission, target):
                 await asyncio.sleep(ROOM_CHECK_SECONDS)
                 continue
             excluded.add(target.target_id)
-            latest = await self._try_target(asked, target, tried)
+            latest = await self._try_target(admission, target, tried)
             tried = _keep_true(tried, latest)
             if isinstance(latest.outcome, refusals.NotRun) and not latest.outcome.sent:
                 unsent += not latest.outcome.is_held_up
-            elif not self._may_send_again(asked, latest):
+            elif not self._may_send_again(admission, latest):
                 break
-        return self._finish(asked, tried)
+        return self._finish(admission, tried)
 
-    def _finish(self, asked: admissions.Admission, tried: SendResult) -> SendResult:
+    def _finish(self, admission: admissions.Admission, tried: SendResult) -> SendResult:
         """Have callers of requests that no target takes come back when one may."""
         if tried.target is None:
-            return SendResult(self._refusals.build_no_target(asked))
+            return SendResult(self._refusals.build_no_target(admission))
         if isinstance(tried.outcome, refusals.NotRun):
-            outcome = self._refusals.set_return(asked, tried.outcome)
+            outcome = self._refusals.set_return(admission, tried.outcome)
             return dataclasses.replace(tried, outcome=outcome)
         return tried
 
     async def _try_target(
-        self, asked: admissions.Admission, target: directories.Target, former: SendResult
+        self, admission: admissions.Admission, target: directories.Target, former: SendResult
     ) -> SendResult:
-        backup = self.choose_backup(asked, target)
+        backup = self.choose_backup(admission, target)
         plan = self.build_plan(
-            asked, target, last_event_id=asked.facts.last_event_id, backup=backup
+            admission, target, last_event_id=admission.facts.last_event_id, backup=backup
         )
-        until = self._read_limit(asked, former.runs)
+        until = self._read_limit(admission, former.runs)
         began = self._loop.time()
-        outcome = await self.send(asked, target, plan, until=until)
-        self._note_send(asked, target, outcome, former.sends, began - asked.request.arrived)
+        outcome = await self.send(admission, target, plan, until=until)
+        self._note_send(admission, target, outcome, former.sends, began - admission.request.arrived)
         may_have_run = not isinstance(outcome, refusals.NotRun)
         was_sent = may_have_run or outcome.sent
         return SendResult(
             outcome, target, backup, former.sends + was_sent, former.runs + may_have_run
         )
 
-    def _read_limit(self, asked: admissions.Admission, runs: int) -> float | None:
+    def _read_limit(self, admission: admissions.Admission, runs: int) -> float | None:
         """Until when an answer is waited for, where another target may be asked after it."""
-        if asked.route.repeat is not routes.RepeatPolicy.FREELY:
+        if admission.route.repeat is not routes.RepeatPolicy.FREELY:
             return None
-        if runs + 1 >= asked.route.max_attempts:
+        if runs + 1 >= admission.route.max_attempts:
             return None
         now = self._loop.time()
-        return now + (asked.ends_at - now) * FIRST_SEND_SHARE
+        return now + (admission.ends_at - now) * FIRST_SEND_SHARE
 
-    def _may_wait_for_targets(self, asked: admissions.Admission) -> bool:
-        arrived = asked.request.arrived
-        return self._startup.may_wait_for_targets(arrived, asked.ends_at - arrived)
+    def _may_wait_for_targets(self, admission: admissions.Admission) -> bool:
+        arrived = admission.request.arrived
+        return self._startup.may_wait_for_targets(arrived, admission.ends_at - arrived)
 
-    def _may_wait_for_bearing(self, asked: admissions.Admission, excluded: set[str]) -> bool:
+    def _may_wait_for_bearing(self, admission: admissions.Admission, excluded: set[str]) -> bool:
         """Whether a target that gets nothing now may take a request in time."""
-        patience = self._read_patience(asked)
+        patience = self._read_patience(admission)
         if self._loop.time() >= patience:
             return False
-        return self._available.read_opening(asked.pool, excluded) <= patience
+        return self._available.read_opening(admission.pool, excluded) <= patience
 
-    def _read_patience(self, asked: admissions.Admission) -> float:
+    def _read_patience(self, admission: admissions.Admission) -> float:
         """Until when a request waits for memory; then the caller is told when to come back."""
-        return asked.request.arrived + asked.route.objective_seconds * ROOM_WAIT_SHARE
+        return admission.request.arrived + admission.route.objective_seconds * ROOM_WAIT_SHARE
 
-    def _may_begin(self, asked: admissions.Admission, target: directories.Target) -> bool:
+    def _may_begin(self, admission: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner may get a prompt now, or the prompt has waited for long enough here."""
-        if asked.pool.engine is None:
+        if admission.pool.engine is None:
             return True
-        waited = self._loop.time() - asked.request.arrived
-        objective_seconds = asked.route.objective_seconds
+        waited = self._loop.time() - admission.request.arrived
+        objective_seconds = admission.route.objective_seconds
         if waited > objective_seconds * READING_WAIT_SHARE:
             return True
         unread = self._usage.read(target.address).unread
-        prompt_tokens = asked.facts.prompt_tokens
-        return queueing.may_begin(unread, prompt_tokens, objective_seconds, is_long=asked.is_long)
+        prompt_tokens = admission.facts.prompt_tokens
+        return queueing.may_begin(
+            unread, prompt_tokens, objective_seconds, is_long=admission.is_long
+        )
 
-    def _has_room(self, asked: admissions.Admission, target: directories.Target) -> bool:
+    def _has_room(self, admission: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner has memory for a request; short ones are gone before it runs out."""
-        is_short = asked.facts.output_tokens < admissions.LONG_TOKENS
-        share = 1.0 if is_short or asked.priority == 0 else RUN_MEMORY_SHARE
-        return self._selector.has_room(asked.pool, target, asked.tokens, share)
+        is_short = admission.facts.output_tokens < admissions.LONG_TOKENS
+        share = 1.0 if is_short or admission.priority == 0 else RUN_MEMORY_SHARE
+        return self._selector.has_room(admission.pool, target, admission.tokens, share)
 
-    def _may_send_again(self, asked: admissions.Admission, tried: SendResult) -> bool:
+    def _may_send_again(self, admission: admissions.Admission, tried: SendResult) -> bool:
         outcome = tried.outcome
-        if tried.runs >= asked.route.max_attempts or isinstance(outcome, Stream):
+        if tried.runs >= admission.route.max_attempts or isinstance(outcome, Stream):
             return False
         if tried.sends - tried.runs >= MOST_TURNED_AWAY:
             return False
         if isinstance(outcome, Response) and outcome.head.status < 500:
             return False
         # A failure of the target's own, or none of its word: another one may do better.
-        if not isinstance(outcome, refusals.NotRun) and not asked.route.is_repeatable:
+        if not isinstance(outcome, refusals.NotRun) and not admission.route.is_repeatable:
             return False
-        return self._budget.take(asked.pool.name, self._loop.time())
+        return self._budget.take(admission.pool.name, self._loop.time())
 
     def _note_send(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         target: directories.Target,
         outcome: Outcome,
         sends: int,
         waited: float,
     ) -> None:
         kind = _OUTCOME_LABELS[type(outcome)]
-        self._meters.sends.labels(asked.pool.name, kind).inc()
+        self._meters.sends.labels(admission.pool.name, kind).inc()
         if isinstance(outcome, Response) and outcome.head.status < 500:
             return
         use = self._usage.read(target.address)
@@ -487,20 +493,20 @@
         limit = self._available.read_limit(target)
         self._timeline.record(
             "request.send",
-            request_id=asked.facts.request_id,
-            fingerprint=asked.fingerprint,
+            request_id=admission.facts.request_id,
+            fingerprint=admission.fingerprint,
             target=target.target_id,
             address=target.address,
             phase=target.phase.value,
             heard_ms=int((self._loop.time() - target.heard_at) * 1000),
-            version=asked.version,
+            version=admission.version,
             send=sends + 1,
             waited_ms=int(waited * 1000),
             outcome=kind,
             status=status,
             requests_there=use.requests,
             tokens_there=use.tokens,
-            tokens=asked.tokens,
+            tokens=admission.tokens,
             limit=limit,
             reason=reason,
         )
--- a/tillerlane/gateway/stream_relay.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -57,16 +57,16 @@
 
     def __init__(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         responder: http_server.Responder,
         run: runs.Run,
         exchange: http_client.Exchange,
     ) -> None:
-        self.asked = asked
+        self.admission = admission
         self.responder = responder
         self.run = run
         self.exchange: http_client.Exchange | None = exchange
-        self.last_event_id = asked.facts.last_event_id
+        self.last_event_id = admission.facts.last_event_id
         self.events = 0
         self.runs_started = 1
         self.runners = 1
@@ -131,7 +131,7 @@
     def _could_go_on(self) -> bool:
         """Whether there is a way on if the runner can't be reached."""
         has_copy = self.run.backup is not None or self.run.get_resume_point() is not None
-        return has_copy or self.asked.route.is_resumable
+        return has_copy or self.admission.route.is_resumable
 
     async def _pass_on(self, data: bytes) -> bool:
         """Pass on whole events; False if one does not follow the last."""
@@ -176,9 +176,9 @@
         if engine is None:
             return
         written = self.events * engine.event_tokens
-        tokens = self.asked.facts.prompt_tokens + written
-        self.run.remaining_events = self.asked.count_events_left(self.events)
-        self.on_growth(self.run, tokens + self.asked.count_growth(written))
+        tokens = self.admission.facts.prompt_tokens + written
+        self.run.remaining_events = self.admission.count_events_left(self.events)
+        self.on_growth(self.run, tokens + self.admission.count_growth(written))
 
     def _note_times(self, event_before: str, events_now: int) -> None:
         now = asyncio.get_running_loop().time()
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -104,17 +104,19 @@
 
     async def serve(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         responder: http_server.Responder,
         tried: sending.SendResult,
     ) -> None:
         """Relay a stream that a target has begun."""
         outcome, target = tried.outcome, tried.target
         assert isinstance(outcome, sending.Stream) and target is not None
-        run = runs.Run(asked.facts.request_id, asked.pool, target, asked.tokens, tried.backup)
-        run.is_long = asked.is_long
-        run.remaining_events = asked.count_events_left(0)
-        stream = stream_relay.StreamRelay(asked, responder, run, outcome.exchange)
+        run = runs.Run(
+            admission.facts.request_id, admission.pool, target, admission.tokens, tried.backup
+        )
+        run.is_long = admission.is_long
+        run.remaining_events = admission.count_events_left(0)
+        stream = stream_relay.StreamRelay(admission, responder, run, outcome.exchange)
         stream.runs_started = tried.runs
         stream.on_growth = self._note_growth
         stream.on_events = self._note_events
@@ -122,7 +124,7 @@
         try:
             headers = http_head.list_end_to_end(outcome.head.headers)
             await responder.start_response(http_head.ResponseHead(outcome.head.status, headers))
-            async with asyncio.timeout_at(asked.ends_at):
+            async with asyncio.timeout_at(admission.ends_at):
                 await self._relay_runs(stream)
         except TimeoutError:
             self._note_broken(stream, "out of time")
@@ -184,7 +186,7 @@
                 assert stream.exchange is not None
                 sent_at = stream.exchange.sent_at
                 await self._exit_detector.check_target(
-                    stream.asked, stream.run.target, sent_at, stream.events
+                    stream.admission, stream.run.target, sent_at, stream.events
                 )
             if stop is stream_relay.StopReason.CAN_RESUME:
                 self._hand_over(stream)
@@ -219,7 +221,7 @@
         resume_point = run.get_resume_point()
         assert resume_point is not None
         target = resume_point.target
-        if self._sender.refuse_quarantined(stream.asked) is not None:
+        if self._sender.refuse_quarantined(stream.admission) is not None:
             self._mover.cancel_move(run)  # nobody would take it up; it may end here yet
         elif self._available.is_evacuated(target) or not run.can_move_to(target):
             self._mover.retry_move(run)
@@ -236,7 +238,7 @@
         stop_order = self._stop_orders.stop(
             stream.run,
             destination.address,
-            stream.asked.ends_at,
+            stream.admission.ends_at,
             is_stream_open=is_stream_open,
         )
         if stream.exchange is not None:
@@ -283,7 +285,7 @@
     ) -> sending.Outcome:
         """Have a run go on where it stopped, since nobody else took it up."""
         run = stream.run
-        refused = self._sender.refuse_quarantined(stream.asked)
+        refused = self._sender.refuse_quarantined(stream.admission)
         if refused is not None:
             return refused
         has_copy = stop_order.evidence is handover.Evidence.STOPPED
@@ -294,25 +296,25 @@
 
     async def _run_anew(self, stream: stream_relay.StreamRelay) -> bool:
         """Have another run go on behind the last event, where the route allows it."""
-        asked = stream.asked
-        held_back = self._sender.refuse_quarantined(asked)
+        admission = stream.admission
+        held_back = self._sender.refuse_quarantined(admission)
         if held_back is not None:
             stream.problem = held_back.reason
             return False
-        if not asked.route.is_resumable or stream.runs_started >= asked.route.max_attempts:
+        if not admission.route.is_resumable or stream.runs_started >= admission.route.max_attempts:
             return False
-        if not self._budget.take(asked.pool.name, self._loop.time()):
+        if not self._budget.take(admission.pool.name, self._loop.time()):
             return False
         former = stream.run
         self._drop(stream)
-        target = self._selector.choose(asked.pool, asked.work, {former.target.target_id})
+        target = self._selector.choose(admission.pool, admission.work, {former.target.target_id})
         if target is None:
             return False
         if stream.stop_order is None:
             # The former runner may work on; the new run need not wait for its word.
             stream.stop_order = self._order_stop(stream, target, is_stream_open=False)
         self._stop_orders.discard_unused_copy(stream.stop_order, used=None)
-        plan = self._sender.build_plan(asked, target, last_event_id=stream.last_event_id)
+        plan = self._sender.build_plan(admission, target, last_event_id=stream.last_event_id)
         stream.runs_started += 1
         outcome = await self._send_on(stream, target, plan, None)
         return isinstance(outcome, sending.Stream)
@@ -338,16 +340,16 @@
     async def _send_copy(
         self, stream: stream_relay.StreamRelay, resume_point: runs.ResumePoint
     ) -> sending.Outcome:
-        asked, target = stream.asked, resume_point.target
-        backup = self._sender.choose_backup(asked, target)
+        admission, target = stream.admission, resume_point.target
+        backup = self._sender.choose_backup(admission, target)
         plan = self._sender.build_plan(
-            asked,
+            admission,
             target,
             last_event_id=stream.last_event_id,
             copy=resume_point.copy,
             backup=backup,
         )
-        self._budget.note_repeat(asked.pool.name, self._loop.time())
+        self._budget.note_repeat(admission.pool.name, self._loop.time())
         return await self._send_on(stream, target, plan, backup)
 
     async def _await_bearing(
@@ -369,12 +371,12 @@
         began = self._loop.time()
         for stop_order in stream.former_stop_orders:
             stop_order.is_cancelled |= stop_order.run.target.target_id == target.target_id
-        outcome = await self._sender.send(stream.asked, target, plan, run.tokens)
+        outcome = await self._sender.send(stream.admission, target, plan, run.tokens)
         taken = isinstance(outcome, sending.Stream)
         self._meters.continuations.labels(str(taken).lower()).inc()
         self._timeline.record(
             "run.go_on",
-            request_id=stream.asked.facts.request_id,
+            request_id=stream.admission.facts.request_id,
             former=run.target.target_id,
             cause=stream.problem or "moved",
             took_ms=_milliseconds(self._loop.time() - began),
@@ -398,16 +400,16 @@
         return outcome
 
     def _note_end(self, stream: stream_relay.StreamRelay) -> None:
-        asked = stream.asked
-        self._quarantine.note_good(asked.fingerprint)
-        self._meters.requests.labels(asked.route.name, "200").inc()
-        first_seconds = stream.first_event_at - asked.request.arrived
-        self._meters.seconds.labels(asked.route.name).observe(first_seconds)
-        self._meters.pauses.labels(asked.route.name).observe(stream.longest_pause)
+        admission = stream.admission
+        self._quarantine.note_good(admission.fingerprint)
+        self._meters.requests.labels(admission.route.name, "200").inc()
+        first_seconds = stream.first_event_at - admission.request.arrived
+        self._meters.seconds.labels(admission.route.name).observe(first_seconds)
+        self._meters.pauses.labels(admission.route.name).observe(stream.longest_pause)
         self._timeline.record(
             "stream.end",
-            request_id=stream.asked.facts.request_id,
-            fingerprint=stream.asked.fingerprint,
+            request_id=stream.admission.facts.request_id,
+            fingerprint=stream.admission.fingerprint,
             target=stream.run.target.target_id,
             events=stream.events,
             first_ms=_milliseconds(first_seconds),
@@ -417,11 +419,11 @@
         )
 
     def _note_broken(self, stream: stream_relay.StreamRelay, reason: str) -> None:
-        self._meters.requests.labels(stream.asked.route.name, "broken").inc()
+        self._meters.requests.labels(stream.admission.route.name, "broken").inc()
         self._timeline.record(
             "stream.break",
-            request_id=stream.asked.facts.request_id,
-            fingerprint=stream.asked.fingerprint,
+            request_id=stream.admission.facts.request_id,
+            fingerprint=stream.admission.fingerprint,
             target=stream.run.target.target_id,
             phase=stream.run.target.phase.value,
             last_event=stream.last_event_id,
