--- a/tillerlane/gateway/admission.py
+++ b/tillerlane/gateway/admission.py
@@ -102,7 +102,7 @@
     @property
     def is_stream(self) -> bool:
         """Whether a good answer is a stream of events."""
-        return self.route.repeat is routes.Repeat.STREAM
+        return self.route.repeat is routes.RepeatPolicy.STREAM
 
 
 class AdmissionControl:
@@ -139,7 +139,7 @@
         route = table.find_route(host.decode("latin-1").lower(), path)
         if route is None:
             return Refusal(404, f"no route in version {table.version}")
-        facts = self._dialect.read_request(request.head)
+        facts = self._dialect.decode_request(request.head)
         workspace = None
         if table.workspaces and not route.is_public:
             if not self.is_fresh():
--- a/tillerlane/gateway/dialect.py
+++ b/tillerlane/gateway/dialect.py
@@ -10,14 +10,14 @@
 from tillerlane.gateway import http_head, routes
 
 __all__ = [
-    "AnswerFacts",
+    "CopyOutcome",
+    "CopyResult",
     "Dialect",
     "ForwardPlan",
+    "InvalidHeader",
     "MemoryCopy",
-    "MoveOutcome",
-    "MoveResult",
     "RequestFacts",
-    "Unread",
+    "ResponseFacts",
 ]
 
 
@@ -89,15 +89,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unread:
+class InvalidHeader:
     """Something that a target says of itself and that can't be read: which word, and its text."""
 
-    word: str
+    name: str
     text: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class ResponseFacts:
     """What a target's head says, decoded.
 
     Attributes
@@ -111,7 +111,7 @@
         How long the target wants nothing more from this entry; None if it does not say so.
     is_leaving : bool
         Whether the target says that it leaves.
-    unread : tuple of Unread
+    invalid : tuple of InvalidHeader
         What it says of itself and can't be read.
     """
 
@@ -121,14 +121,14 @@
     is_leaving: bool = False
     rate_limit: float | None = None
     backoff_seconds: float | None = None
-    unread: tuple[Unread, ...] = ()
+    invalid: tuple[InvalidHeader, ...] = ()
 
-    def has_unread(self, word: str) -> bool:
+    def has_invalid(self, name: str) -> bool:
         """Whether the target says something by a word that can't be read."""
-        return any(item.word == word for item in self.unread)
+        return any(item.name == name for item in self.invalid)
 
 
-class MoveOutcome(enum.StrEnum):
+class CopyOutcome(enum.StrEnum):
     """How an order to copy a run's memory ended."""
 
     COPIED = "copied"
@@ -141,25 +141,25 @@
     """The runner's host refuses connections to it: its process has ended."""
     UNREACHABLE = "unreachable"
     """No connection to it came about."""
-    NOT_UNDERSTOOD = "not_understood"
+    UNSUPPORTED = "not_understood"
     """What answers there knows no such order."""
 
     @property
-    def is_without_answer(self) -> bool:
+    def is_unanswered(self) -> bool:
         """Whether the runner has not answered so that anything is known of its runs."""
         return self not in (
-            MoveOutcome.COPIED,
-            MoveOutcome.NO_RUN,
-            MoveOutcome.BUSY,
-            MoveOutcome.NO_ROOM,
+            CopyOutcome.COPIED,
+            CopyOutcome.NO_RUN,
+            CopyOutcome.BUSY,
+            CopyOutcome.NO_ROOM,
         )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class MoveResult:
+class CopyResult:
     """Answer to such an order; `handle` is empty where no memory is kept."""
 
-    outcome: MoveOutcome
+    outcome: CopyOutcome
     handle: str = ""
     events: int = 0
 
@@ -170,16 +170,16 @@
 
     Attributes
     ----------
-    read_request : callable
+    decode_request : callable
         (head) gives the facts of a caller's request.
-    write_forward : callable
+    build_forward : callable
         (head, plan) gives the head for a target.
-    read_answer : callable
+    decode_response : callable
         (head) gives the facts of a target's answer.
-    write_refusal : callable
+    build_refusal : callable
         (status, seconds until another try may succeed or None) gives the headers of an answer
         of our own.
-    read_table : callable
+    parse_table : callable
         (document) gives the routing table, or raises `faults.FaultError`.
     copy_run : callable
         (source address, request id, destination address, seconds) copies a run's memory while the
@@ -191,11 +191,11 @@
         (copy) frees a copy that will not be used.
     """
 
-    read_request: Callable[[http_head.RequestHead], RequestFacts]
-    write_forward: Callable[[http_head.RequestHead, ForwardPlan], http_head.RequestHead]
-    read_answer: Callable[[http_head.AnswerHead], AnswerFacts]
-    write_refusal: Callable[[int, float | None], http_head.AnswerHead]
-    read_table: Callable[[bytes], routes.RoutingTable]
-    copy_run: Callable[[str, str, str, float], Awaitable[MoveResult]]
-    stop_run: Callable[[str, str, str, float], Awaitable[MoveResult]]
+    decode_request: Callable[[http_head.RequestHead], RequestFacts]
+    build_forward: Callable[[http_head.RequestHead, ForwardPlan], http_head.RequestHead]
+    decode_response: Callable[[http_head.ResponseHead], ResponseFacts]
+    build_refusal: Callable[[int, float | None], http_head.ResponseHead]
+    parse_table: Callable[[bytes], routes.RoutingTable]
+    copy_run: Callable[[str, str, str, float], Awaitable[CopyResult]]
+    stop_run: Callable[[str, str, str, float], Awaitable[CopyResult]]
     drop_copy: Callable[[MemoryCopy], Awaitable[None]]
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -12,7 +12,7 @@
 from tillerlane.gateway import (
     admission,
     availability,
-    endings,
+    exit_detection,
     handovers,
     homes,
     http_head,
@@ -180,7 +180,9 @@
         feedback.notify_limit = self._notify_limit
         feedback.notify_leaving = self._notify_leaving
         feedback.notify_backoff = self._notify_backoff
-        ends = endings.Endings(self.usage, self.quarantine, self.timeline, self._metrics)
+        exit_detector = exit_detection.ExitDetector(
+            self.usage, self.quarantine, self.timeline, self._metrics
+        )
         sender = sending.Sender(
             dialect,
             selector,
@@ -192,11 +194,11 @@
             self._metrics,
             self._startup,
             self.directory,
-            ends,
+            exit_detector,
             self.quarantine,
         )
         self.directory.add_listener(self._handle_target_change)
-        relayed = streams.Streams(
+        relayed_streams = streams.Streams(
             sender,
             selector,
             available,
@@ -205,14 +207,14 @@
             self._mover,
             self.timeline,
             self._metrics,
-            ends,
+            exit_detector,
             self.quarantine,
-            handovers.Handovers(dialect, self.timeline, self._metrics),
+            handovers.StopOrders(dialect, self.timeline, self._metrics),
         )
         self._relay = relay.Relay(
             self._admission_control,
             sender,
-            relayed,
+            relayed_streams,
             self._budget,
             dialect,
             self.timeline,
@@ -314,7 +316,7 @@
 
     def _apply_publication(self, publication: messages.Publication) -> None:
         try:
-            table = self._dialect.read_table(publication.content)
+            table = self._dialect.parse_table(publication.content)
         except faults.FaultError as error:
             # Keepers check a document before it is published; keep serving under the former one.
             self.timeline.record("config.unreadable", message=error.fault.message)
@@ -334,7 +336,7 @@
         """Put orders in force: which data halls and which requests get to no target."""
         self.quarantine.set_held(orders.list_names(stores.QUARANTINE))
         self.directory.set_evacuated(orders.list_names(stores.EVACUATIONS), self._loop.time())
-        self._mover.note_evacuated()
+        self._mover.discard_evacuated_backups()
         self.timeline.record(
             "orders.in_force",
             version=orders.version,
@@ -534,8 +536,8 @@
         is_ready = table is not None and not self._stopping
         if is_ready and table is not None and table.workspaces:
             is_ready = self._is_fresh()
-        head = http_head.AnswerHead(200 if is_ready else 503, [])
-        await responder.send_whole(head, b"")
+        head = http_head.ResponseHead(200 if is_ready else 503, [])
+        await responder.send_response(head, b"")
 
     def _log_error(self, error: Exception) -> None:
         links.log_exception("gateway", error)
--- a/tillerlane/gateway/feedback.py
+++ b/tillerlane/gateway/feedback.py
@@ -68,23 +68,23 @@
         self,
         request_id: str,
         target: directories.Target,
-        facts: dialects.AnswerFacts,
+        facts: dialects.ResponseFacts,
         sent_at: float,
     ) -> None:
         """Take the answer to a request that went out `sent_at` (time of the event loop).
 
         What can't be read changes nothing.
         """
-        for unread in facts.unread:
-            self._metrics.target_reports.labels(unread.word, "unread").inc()
+        for header in facts.invalid:
+            self._metrics.target_reports.labels(header.name, "unread").inc()
             self._timeline.record(
                 "target.unread",
                 request_id=request_id,
                 target=target.target_id,
-                word=unread.word,
-                text=unread.text,
+                word=header.name,
+                text=header.text,
             )
-        if not facts.has_unread("limit"):
+        if not facts.has_invalid("limit"):
             self._handle_limit(request_id, target, facts.rate_limit)
         if facts.is_leaving:
             self._handle_leaving(request_id, target)
--- a/tillerlane/gateway/limit_updates.py
+++ b/tillerlane/gateway/limit_updates.py
@@ -38,7 +38,9 @@
         timeline: timelines.Timeline,
     ) -> None:
         self.table = limits.Limits()
-        self._batcher = batching.UpdateBatcher(pause, lambda words: send(limits.encode_records(words)))
+        self._batcher = batching.UpdateBatcher(
+            pause, lambda words: send(limits.encode_records(words))
+        )
         self._timeline = timeline
 
     def handle_message(self, message: messages.TargetLimits) -> None:
--- a/tillerlane/platform/tests/test_front_listener.py
+++ b/tillerlane/platform/tests/test_front_listener.py
@@ -31,8 +31,8 @@
         listener = self.open_listener('[listen]\nfront = "127.0.0.1:0"')
 
         async def serve(request: http_server.Request, responder: http_server.Responder) -> None:
-            head = http_head.AnswerHead(200, [])
-            await responder.send_whole(head, request.head.path)
+            head = http_head.ResponseHead(200, [])
+            await responder.send_response(head, request.head.path)
 
         async def scene() -> bytes:
             address = listener.getsockname()  # type: ignore[attr-defined]
--- a/tillerlane/platform/wire.py
+++ b/tillerlane/platform/wire.py
@@ -119,7 +119,7 @@
     return http_head.RequestHead(head.method, head.target, headers)
 
 
-def decode_response(head: http_head.AnswerHead) -> dialect.AnswerFacts:
+def decode_response(head: http_head.ResponseHead) -> dialect.ResponseFacts:
     """Facts of a target's answer."""
     request_id = http_head.get_header(head.headers, REQUEST_ID.lower())
     is_other = head.status == 421
@@ -130,15 +130,17 @@
     backoff = _read_decimal(head.headers, RETRY_AFTER) if head.status == 503 else None
     leaving = _join_values(head.headers, LEAVING)
     words = {"limit": limit, "backoff": backoff, "leaving": None if leaving == "1" else leaving}
-    return dialect.AnswerFacts(
+    return dialect.ResponseFacts(
         request_id=(request_id or b"").strip().decode("latin-1"),
         did_run=not refused and not is_other,
         is_other_target=is_other,
         is_leaving=leaving == "1",
         rate_limit=limit if isinstance(limit, float) else None,
         backoff_seconds=backoff if isinstance(backoff, float) else None,
-        unread=tuple(
-            dialect.Unread(word, value) for word, value in words.items() if isinstance(value, str)
+        invalid=tuple(
+            dialect.InvalidHeader(name, value)
+            for name, value in words.items()
+            if isinstance(value, str)
         ),
     )
 
@@ -157,12 +159,12 @@
     return ", ".join(dict.fromkeys(values))[:MAX_NAME_CHARACTERS] if values else None
 
 
-def build_refusal(status: int, retry_after: float | None) -> http_head.AnswerHead:
+def build_refusal(status: int, retry_after: float | None) -> http_head.ResponseHead:
     """The head of an answer of our own."""
     headers: http_head.Headers = []
     if retry_after is not None:
         headers.append((b"Retry-After", f"{retry_after:.2f}".encode()))
-    return http_head.AnswerHead(status, headers)
+    return http_head.ResponseHead(status, headers)
 
 
 # Configuration
@@ -238,9 +240,9 @@
 
 _decode_document = msgspec.json.Decoder(_Document).decode
 _REPEATS = {
-    "idempotent": routes.Repeat.FREELY,
-    "non_idempotent": routes.Repeat.ONCE,
-    "streaming": routes.Repeat.STREAM,
+    "idempotent": routes.RepeatPolicy.FREELY,
+    "non_idempotent": routes.RepeatPolicy.ONCE,
+    "streaming": routes.RepeatPolicy.STREAM,
 }
 
 
@@ -258,12 +260,12 @@
         repeat=_REPEATS[item.kind],
         pools=pools,
         timeout_seconds=None if item.timeout_ms is None else item.timeout_ms / 1000,
-        aim_seconds=item.goal_ms / 1000,
+        objective_seconds=item.goal_ms / 1000,
         priority=item.priority,
         max_attempts=max(1, item.max_attempts),
         is_public=item.public,
         is_resumable=item.resumable,
-        pause_aim_seconds=None if item.gap_aim_ms is None else item.gap_aim_ms / 1000,
+        pause_objective_seconds=None if item.gap_aim_ms is None else item.gap_aim_ms / 1000,
     )
 
 
@@ -282,7 +284,7 @@
         event_tokens=max(1, item.stride),
         can_move=item.moves,
         can_back_up=item.backups,
-        hold_seconds=item.handle_s,
+        copy_retention_seconds=item.handle_s,
     )
 
 
