--- a/tillerlane/decisions/handover.py
+++ b/tillerlane/decisions/handover.py
@@ -7,23 +7,23 @@
 
 import enum
 
-__all__ = ["Evidence", "Word", "has_let_go", "judge", "may_go_on"]
+__all__ = ["Evidence", "StopOutcome", "can_resume", "derive_evidence", "is_released"]
 
 
-class Word(enum.StrEnum):
+class StopOutcome(enum.StrEnum):
     """What came of one order to a runner to stop a run."""
 
     STOPPED = "stopped"
     """It names the run's memory as it was when it stopped."""
     NO_RUN = "no_run"
     """It works on no such run now."""
-    ORDER_UNDER_WAY = "order_under_way"
+    ORDER_IN_PROGRESS = "order_under_way"
     """An order for this run is being carried out already."""
     REFUSED = "refused"
     """Its host is there and refuses connections to it."""
     UNREACHABLE = "unreachable"
     """No connection to it came about."""
-    NOTHING = "nothing"
+    UNCLEAR = "nothing"
     """No clear answer."""
 
 
@@ -39,14 +39,16 @@
     PROCESS_ENDED = "process_ended"
     EXPIRED = "expired"
     """The time limit that it was sent with the run has passed."""
-    OUT_OF_REACH = "out_of_reach"
+    UNREACHABLE = "out_of_reach"
     """It can't be told anything."""
 
 
-_LET_GO = frozenset(Evidence) - {Evidence.NONE, Evidence.OUT_OF_REACH}
+_RELEASED = frozenset(Evidence) - {Evidence.NONE, Evidence.UNREACHABLE}
 
 
-def judge(word: Word, *, is_stream_open: bool, may_be_copying: bool) -> Evidence:
+def derive_evidence(
+    outcome: StopOutcome, *, is_stream_open: bool, may_be_copying: bool
+) -> Evidence:
     """What a runner's word on an order to stop a run proves.
 
     Parameters
@@ -58,29 +60,29 @@
     may_be_copying : bool
         Whether the order under way may be one to copy the run while it goes on, and not to stop it.
     """
-    if is_stream_open and word in (Word.NO_RUN, Word.REFUSED):
+    if is_stream_open and outcome in (StopOutcome.NO_RUN, StopOutcome.REFUSED):
         return Evidence.NONE
-    if word is Word.ORDER_UNDER_WAY:
+    if outcome is StopOutcome.ORDER_IN_PROGRESS:
         return Evidence.NONE if may_be_copying else Evidence.STOPPED
     return {
-        Word.STOPPED: Evidence.STOPPED,
-        Word.NO_RUN: Evidence.NO_RUN,
-        Word.REFUSED: Evidence.PROCESS_ENDED,
-        Word.UNREACHABLE: Evidence.OUT_OF_REACH,
-        Word.NOTHING: Evidence.NONE,
-    }[word]
+        StopOutcome.STOPPED: Evidence.STOPPED,
+        StopOutcome.NO_RUN: Evidence.NO_RUN,
+        StopOutcome.REFUSED: Evidence.PROCESS_ENDED,
+        StopOutcome.UNREACHABLE: Evidence.UNREACHABLE,
+        StopOutcome.UNCLEAR: Evidence.NONE,
+    }[outcome]
 
 
-def has_let_go(evidence: Evidence) -> bool:
+def is_released(evidence: Evidence) -> bool:
     """Whether a former runner certainly works on a run no more."""
-    return evidence in _LET_GO
+    return evidence in _RELEASED
 
 
-def may_go_on(evidence: Evidence, last_event_id: str) -> bool:
+def can_resume(evidence: Evidence, last_event_id: str) -> bool:
     """Whether a run may go on elsewhere with a copy of its memory.
 
     It may also where nobody reaches the former runner: most of these have ended, and a caller would
     wait for nothing.  The order to stop is then given for as long as that one could work on.
     Without an event to go on behind, it would be another run.
     """
-    return bool(last_event_id) and (has_let_go(evidence) or evidence is Evidence.OUT_OF_REACH)
+    return bool(last_event_id) and (is_released(evidence) or evidence is Evidence.UNREACHABLE)
--- a/tillerlane/decisions/tests/test_handover.py
+++ b/tillerlane/decisions/tests/test_handover.py
@@ -6,7 +6,7 @@
 from tillerlane.decisions import handover
 
 Evidence = handover.Evidence
-Word = handover.Word
+StopOutcome = handover.StopOutcome
 
 
 class HandoverTest(unittest.TestCase):
@@ -19,31 +19,31 @@
             Evidence.NO_RUN: True,
             Evidence.PROCESS_ENDED: True,
             Evidence.EXPIRED: True,
-            Evidence.OUT_OF_REACH: False,
+            Evidence.UNREACHABLE: False,
         }
-        self.assertEqual({item: handover.has_let_go(item) for item in Evidence}, let_go)
-        may = {item: handover.may_go_on(item, "7") for item in Evidence}
-        self.assertEqual(may, {**let_go, Evidence.OUT_OF_REACH: True})
+        self.assertEqual({item: handover.is_released(item) for item in Evidence}, let_go)
+        may = {item: handover.can_resume(item, "7") for item in Evidence}
+        self.assertEqual(may, {**let_go, Evidence.UNREACHABLE: True})
 
     def test_not_before_the_first_event(self) -> None:
-        self.assertFalse(any(handover.may_go_on(item, "") for item in Evidence))
+        self.assertFalse(any(handover.can_resume(item, "") for item in Evidence))
 
     def test_words(self) -> None:
         always = {
-            Word.STOPPED: Evidence.STOPPED,
-            Word.UNREACHABLE: Evidence.OUT_OF_REACH,
-            Word.NOTHING: Evidence.NONE,
+            StopOutcome.STOPPED: Evidence.STOPPED,
+            StopOutcome.UNREACHABLE: Evidence.UNREACHABLE,
+            StopOutcome.UNCLEAR: Evidence.NONE,
         }
         for is_open, copying in itertools.product((False, True), repeat=2):
             expected = {
                 **always,
-                Word.NO_RUN: Evidence.NONE if is_open else Evidence.NO_RUN,
-                Word.REFUSED: Evidence.NONE if is_open else Evidence.PROCESS_ENDED,
-                Word.ORDER_UNDER_WAY: Evidence.NONE if copying else Evidence.STOPPED,
+                StopOutcome.NO_RUN: Evidence.NONE if is_open else Evidence.NO_RUN,
+                StopOutcome.REFUSED: Evidence.NONE if is_open else Evidence.PROCESS_ENDED,
+                StopOutcome.ORDER_IN_PROGRESS: Evidence.NONE if copying else Evidence.STOPPED,
             }
             found = {
-                word: handover.judge(word, is_stream_open=is_open, may_be_copying=copying)
-                for word in Word
+                word: handover.derive_evidence(word, is_stream_open=is_open, may_be_copying=copying)
+                for word in StopOutcome
             }
             self.assertEqual(found, expected, (is_open, copying))
 
--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -26,11 +26,11 @@
 after another, has carried the run's memory: 0.02 to 0.8 s on a day with many moves."""
 
 _WORDS = {
-    dialects.MoveOutcome.COPIED: handover.Word.STOPPED,
-    dialects.MoveOutcome.NO_RUN: handover.Word.NO_RUN,
-    dialects.MoveOutcome.BUSY: handover.Word.ORDER_UNDER_WAY,
-    dialects.MoveOutcome.REFUSED: handover.Word.REFUSED,
-    dialects.MoveOutcome.UNREACHABLE: handover.Word.UNREACHABLE,
+    dialects.MoveOutcome.COPIED: handover.StopOutcome.STOPPED,
+    dialects.MoveOutcome.NO_RUN: handover.StopOutcome.NO_RUN,
+    dialects.MoveOutcome.BUSY: handover.StopOutcome.ORDER_IN_PROGRESS,
+    dialects.MoveOutcome.REFUSED: handover.StopOutcome.REFUSED,
+    dialects.MoveOutcome.UNREACHABLE: handover.StopOutcome.UNREACHABLE,
 }
 
 _NOT_TAKEN = frozenset(
@@ -46,11 +46,11 @@
 """What comes of an order that the runner does not carry out, if it names no memory of the run."""
 
 
-def _read_word(result: dialects.MoveResult) -> handover.Word:
+def _read_word(result: dialects.MoveResult) -> handover.StopOutcome:
     """What a runner said; without room for a copy, it names the memory that it keeps."""
     if result.outcome is dialects.MoveOutcome.NO_ROOM and result.handle:
-        return handover.Word.STOPPED
-    return _WORDS.get(result.outcome, handover.Word.NOTHING)
+        return handover.StopOutcome.STOPPED
+    return _WORDS.get(result.outcome, handover.StopOutcome.UNCLEAR)
 
 
 class Stopping:
@@ -106,7 +106,7 @@
     @property
     def has_let_go(self) -> bool:
         """Whether the runner certainly works on the run no more."""
-        return handover.has_let_go(self.evidence)
+        return handover.is_released(self.evidence)
 
     def note(self, evidence: handover.Evidence) -> None:
         """Take what is known now; that a runner was out of reach holds until it is reached."""
@@ -122,7 +122,7 @@
 
     def note_answer(self, number: int, evidence: handover.Evidence) -> None:
         """Take what an order's answer proves; what does not prove an end may be out of date."""
-        if number >= self._latest_answered or handover.has_let_go(evidence):
+        if number >= self._latest_answered or handover.is_released(evidence):
             self._latest_answered = max(number, self._latest_answered)
             self.note(evidence)
 
@@ -237,7 +237,7 @@
             stopping.is_at_destination = result.outcome is dialects.MoveOutcome.COPIED
             if not stopping.is_needed:
                 self._drop_copy(stopping)
-        evidence = handover.judge(
+        evidence = handover.derive_evidence(
             _read_word(result), is_stream_open=is_stream_open, may_be_copying=may_be_copying
         )
         stopping.note_answer(number, evidence)
@@ -253,7 +253,7 @@
             await asyncio.wait({self._begin(self._order(stopping))}, timeout=ANSWER_SECONDS)
             if stopping.has_let_go:
                 break
-            if stopping.evidence is handover.Evidence.OUT_OF_REACH:
+            if stopping.evidence is handover.Evidence.UNREACHABLE:
                 await self._await_reach(stopping)
                 stopping.note(handover.Evidence.NONE)
                 continue
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -248,7 +248,7 @@
         if continuation is None:
             return False
         evidence = await self._learn_end(stream, continuation.target)
-        if not handover.may_go_on(evidence, stream.last_event_id):
+        if not handover.can_resume(evidence, stream.last_event_id):
             stream.problem += f"; nothing goes on with it: {evidence.value}"
             return False
         stopping = stream.stopping
@@ -273,7 +273,7 @@
             stream.stopping = self._order_stop(stream, destination, is_stream_open=False)
         self._handovers.note_closed(stream.stopping)
         if stream.is_out_of_reach and not stream.stopping.has_let_go:
-            return handover.Evidence.OUT_OF_REACH
+            return handover.Evidence.UNREACHABLE
         return await stream.stopping.wait(STOP_SECONDS)
 
     async def _return_to_source(
