--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -95,8 +95,8 @@
 def send_by_lot(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
     """Equal shares, in whole requests by lot."""
     borne = load.limit * limits.WINDOW_SECONDS
-    rate = limits.Rate(borne, borne + limits.SLACK)
-    shares = [limits.count_share(rate, load.entries, rng.random()) for _ in range(load.entries)]
+    rate = limits.WindowQuota(borne, borne + limits.SLACK_REQUESTS)
+    shares = [limits.compute_share(rate, load.entries, rng.random()) for _ in range(load.entries)]
     sent: list[list[float]] = [[] for _ in range(load.entries)]
     for at, entry in arrivals:
         if count_since(sent[entry], at - limits.WINDOW_SECONDS) < shares[entry]:
@@ -140,7 +140,7 @@
 
 def send_by_permit(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
     """Permits of one owner, asked for when a request could use one; it waits for the answer."""
-    use_seconds = limits.read_hold_seconds(load.limit) * permits.USE_SHARE
+    use_seconds = limits.compute_hold_seconds(load.limit) * permits.USE_SHARE
     most = max(1, math.ceil(load.limit * permits.ASK_SECONDS))
     bucket = limits.Bucket(0.0, 0.0)
     askers = [_Asker() for _ in range(load.entries)]
@@ -155,7 +155,7 @@
         asker.wishes += 1
         if at - asker.asked_at < permits.ASK_SECONDS:
             continue
-        bucket, given = bucket.take(min(most, asker.wishes))
+        bucket, given = bucket.acquire(min(most, asker.wishes))
         asker.asked_at, asker.wishes = at, 0
         asker.held += [at + use_seconds] * given
         if given:
@@ -180,7 +180,9 @@
     most = max(
         (bisect.bisect_left(sent, at + window) - place for place, at in enumerate(sent)), default=0
     )
-    return Figures(most / (load.limit * window + limits.SLACK), len(sent) / (load.limit * SECONDS))
+    return Figures(
+        most / (load.limit * window + limits.SLACK_REQUESTS), len(sent) / (load.limit * SECONDS)
+    )
 
 
 def main() -> None:
--- a/tillerlane/decisions/tests/test_limits.py
+++ b/tillerlane/decisions/tests/test_limits.py
@@ -43,9 +43,9 @@
     return [at for times in sent for at in times]
 
 
-def build_shares(rate: limits.Rate, entries: int, rng: random.Random) -> MaySend:
+def build_shares(rate: limits.WindowQuota, entries: int, rng: random.Random) -> MaySend:
     """The decision as entries take it, with their lots for one target."""
-    shares = [limits.count_share(rate, entries, rng.random()) for _ in range(entries)]
+    shares = [limits.compute_share(rate, entries, rng.random()) for _ in range(entries)]
 
     def may_send(entry: int, times: list[float], now: float) -> bool:
         return sum(at > now - 1.0 for at in times) < shares[entry]
@@ -53,9 +53,9 @@
     return may_send
 
 
-def build_savings(rate: limits.Rate, entries: int) -> MaySend:
+def build_savings(rate: limits.WindowQuota, entries: int) -> MaySend:
     """The other way: each entry saves its share of the rate, up to one request."""
-    each = rate.wished / entries
+    each = rate.desired / entries
 
     def may_send(entry: int, times: list[float], now: float) -> bool:
         return not times or now - times[-1] >= 1 / each
@@ -68,12 +68,12 @@
 
     def play_targets(self, wished: float, over: float, slack: float, entries: int) -> float:
         """Assert the bound for many targets; the mean number of sends a second."""
-        rate = limits.Rate(wished, wished * over + slack)
+        rate = limits.WindowQuota(wished, wished * over + slack)
         rng = random.Random(1)
         total = 0.0
         for _ in range(TARGETS):
             times = play_entries(entries, build_shares(rate, entries, rng), 0.0)
-            self.assertLessEqual(count_most(times), rate.most)
+            self.assertLessEqual(count_most(times), rate.maximum)
             total += len(times) / SECONDS
         return total / TARGETS
 
@@ -94,12 +94,12 @@
 
     def test_savings_break_the_bound(self) -> None:
         """What is not chosen: 68 in the first second with a rate of 5 and a bound of 12.5."""
-        rate = limits.Rate(5.0, 12.5)
+        rate = limits.WindowQuota(5.0, 12.5)
         times = play_entries(68, build_savings(rate, 68), 0.0)
-        self.assertGreater(count_most(times), rate.most)
+        self.assertGreater(count_most(times), rate.maximum)
 
     def test_entry_that_does_not_know_the_fleets_size_sends_nothing(self) -> None:
-        self.assertEqual(limits.count_share(limits.Rate(34.0, 56.0), 0, 0.99), 0)
+        self.assertEqual(limits.compute_share(limits.WindowQuota(34.0, 56.0), 0, 0.99), 0)
 
     @profiles.choose(200)
     @given(
@@ -111,11 +111,11 @@
     def test_mean_of_the_shares_is_the_aim(
         self, wished: float, over: float, slack: float, entries: int
     ) -> None:
-        rate = limits.Rate(wished, wished * over + slack)
-        aim = limits.read_aim(rate, entries)
+        rate = limits.WindowQuota(wished, wished * over + slack)
+        aim = limits.compute_expected_requests(rate, entries)
         self.assertLessEqual(aim, wished)
         lots = [(number + 0.5) / 1_000 for number in range(1_000)]
-        mean = sum(limits.count_share(rate, entries, lot) for lot in lots) / 1_000
+        mean = sum(limits.compute_share(rate, entries, lot) for lot in lots) / 1_000
         self.assertAlmostEqual(mean, aim / entries, delta=0.002)
 
 
--- a/tillerlane/decisions/tests/test_permits.py
+++ b/tillerlane/decisions/tests/test_permits.py
@@ -15,14 +15,14 @@
 def play_owner(limit: float, rng: random.Random, *, seconds: float = SECONDS) -> list[float]:
     """Times of sends by entries that ask at random and use permits together, or return them."""
     bucket, now, sent = limits.Bucket(0.0, 0.0), 0.0, []
-    hold = limits.read_hold_seconds(limit)
+    hold = limits.compute_hold_seconds(limit)
     returns: list[float] = []
     while now < seconds:
         now += rng.uniform(0.0, 0.05)
         returned = sum(at <= now for at in returns)
         returns = [at for at in returns if at > now]
         bucket = limits.refill(bucket, limit, now, returned)
-        bucket, given = bucket.take(rng.randrange(4))
+        bucket, given = bucket.acquire(rng.randrange(4))
         for _ in range(given):
             if rng.random() < 0.3:
                 returns.append(now + hold / 2)
@@ -39,14 +39,14 @@
         for limit in LIMITS:
             for seed in range(20):
                 sent = play_owner(limit, random.Random(seed))
-                bound = limit * limits.WINDOW_SECONDS + limits.SLACK
+                bound = limit * limits.WINDOW_SECONDS + limits.SLACK_REQUESTS
                 self.assertLessEqual(limit_scenes.count_most(sent), bound)
 
     def test_nearly_all_of_the_limit_is_given_out(self) -> None:
         for limit in (1.9, 10.0, 50.0):
             bucket, given = limits.Bucket(0.0, 0.0), 0
             for step in range(int(SECONDS / 0.05)):
-                bucket, now_given = limits.refill(bucket, limit, step * 0.05).take(10)
+                bucket, now_given = limits.refill(bucket, limit, step * 0.05).acquire(10)
                 given += now_given
             self.assertGreater(given, 0.9 * limit * SECONDS)
 
@@ -57,12 +57,12 @@
     @profiles.choose(200)
     @given(strategies.floats(0.0, 1e15))
     def test_what_is_saved_and_held_fits_below_the_bound(self, limit: float) -> None:
-        hold = limits.read_hold_seconds(limit)
+        hold = limits.compute_hold_seconds(limit)
         self.assertGreater(hold, 0.1)
         full = limits.refill(limits.Bucket(0.0, 0.0), limit, 1e9).permits
-        rate = max(limits.LEAST_RATE, limits.PERMITTED_SHARE * limit)
+        rate = max(limits.MIN_PERMIT_RATE, limits.PERMITTED_SHARE * limit)
         most = full + rate * (limits.WINDOW_SECONDS + hold)
-        bound = limit * limits.WINDOW_SECONDS + limits.SLACK
+        bound = limit * limits.WINDOW_SECONDS + limits.SLACK_REQUESTS
         self.assertLessEqual(most, bound * (1 + 1e-9))
 
 
@@ -73,10 +73,10 @@
         rng = random.Random(1)
         for limit in (0.4, 1.9, 10.0):
             for entries in (4, 68, 400):
-                rate = limits.build_fallback(limit)
+                rate = limits.compute_fallback_quota(limit)
                 for _ in range(50):
                     shares = sum(
-                        limits.count_share(rate, entries, rng.random()) for _ in range(entries)
+                        limits.compute_share(rate, entries, rng.random()) for _ in range(entries)
                     )
                     permitted = limit * limits.WINDOW_SECONDS
                     self.assertLessEqual(shares + permitted, 1.5 * permitted + 5 + 4)
@@ -88,13 +88,17 @@
     def test_callers_come_back_one_after_another(self) -> None:
         booked_at, times = 0.0, []
         for _ in range(4):
-            booked_at = limits.book_return(booked_at, 10.0, 2.0)
+            booked_at = limits.schedule_retry(booked_at, 10.0, 2.0)
             times.append(booked_at)
         self.assertEqual(times, [10.5, 11.0, 11.5, 12.0])
 
     def test_nobody_is_told_to_wait_for_ever(self) -> None:
-        self.assertEqual(limits.book_return(900.0, 10.0, 2.0), 10.0 + limits.MOST_RETURN_SECONDS)
-        self.assertEqual(limits.book_return(0.0, 10.0, 0.0), 10.0 + limits.MOST_RETURN_SECONDS)
+        self.assertEqual(
+            limits.schedule_retry(900.0, 10.0, 2.0), 10.0 + limits.MAX_RETRY_DELAY_SECONDS
+        )
+        self.assertEqual(
+            limits.schedule_retry(0.0, 10.0, 0.0), 10.0 + limits.MAX_RETRY_DELAY_SECONDS
+        )
 
 
 if __name__ == "__main__":
--- a/tillerlane/gateway/cold.py
+++ b/tillerlane/gateway/cold.py
@@ -44,9 +44,9 @@
         if target.warm_at <= now or pool.cold_rate <= 0:
             return True
         most = pool.cold_rate * self._bounds.over + self._bounds.slack
-        rate = limits.Rate(pool.cold_rate, most)
-        lot = limits.draw_lot(self._entry, target.target_id)
-        share = limits.count_share(rate, entries, lot)
+        rate = limits.WindowQuota(pool.cold_rate, most)
+        lot = limits.compute_hash_fraction(self._entry, target.target_id)
+        share = limits.compute_share(rate, entries, lot)
         sent = self._sent.get(target.target_id, ())
         return sum(at > now - WINDOW_SECONDS for at in sent) < share
 
--- a/tillerlane/gateway/grants.py
+++ b/tillerlane/gateway/grants.py
@@ -84,7 +84,7 @@
             limit = wish.limit if known is None else known
             given = self._take(wish, limit, now)
             if given:
-                hold_ms = int(decisions.read_hold_seconds(limit) * 1000)
+                hold_ms = int(decisions.compute_hold_seconds(limit) * 1000)
                 grants.append(messages.PermitGrant(wish.target_id, given, hold_ms))
         self._forget_old(now)
         return messages.PermitReply(grants)
@@ -92,13 +92,13 @@
     def _take(self, wish: messages.PermitWish, limit: float, now: float) -> int:
         bucket = self._buckets.pop(wish.target_id, decisions.Bucket(0.0, now))
         filled = decisions.refill(bucket, limit, now, wish.returned)
-        self._buckets[wish.target_id], given = filled.take(wish.count)
+        self._buckets[wish.target_id], given = filled.acquire(wish.count)
         return given
 
     def _forget_old(self, now: float) -> None:
         """Drop buckets that were last asked for long ago; they stand in the order of asking."""
         while self._buckets:
             first = next(iter(self._buckets))
-            if now - self._buckets[first].at < FORGET_SECONDS:
+            if now - self._buckets[first].updated_at < FORGET_SECONDS:
                 return
             del self._buckets[first]
--- a/tillerlane/gateway/permits.py
+++ b/tillerlane/gateway/permits.py
@@ -147,8 +147,8 @@
         return len(times)
 
     def _read_share(self, target_id: str, limit: float) -> int:
-        lot = decisions.draw_lot(self._entry, target_id)
-        return decisions.count_share(decisions.build_fallback(limit), self.entries, lot)
+        lot = decisions.compute_hash_fraction(self._entry, target_id)
+        return decisions.compute_share(decisions.compute_fallback_quota(limit), self.entries, lot)
 
     # Asking
 
--- a/tillerlane/gateway/refusals.py
+++ b/tillerlane/gateway/refusals.py
@@ -104,7 +104,7 @@
         """Seconds until one more caller may come back, in turn, `first_at` or later."""
         key = (pool.name, cause)
         booked_at = self._returns.get(key, first_at)
-        self._returns[key] = limits.book_return(booked_at, first_at, rate)
+        self._returns[key] = limits.schedule_retry(booked_at, first_at, rate)
         return self._returns[key] - self._loop.time()
 
     def build_no_room(self, asked: admissions.Admission) -> NotRun:
