--- a/tillerlane/decisions/limits.py
+++ b/tillerlane/decisions/limits.py
@@ -95,8 +95,8 @@
     """Requests within a window that all entries together aim at.
 
     The sum of their lots is spread by the root of the requests that they stand for, and by half the
-    root of their number at most.  The aim is lowered until `MARGIN_DEVIATIONS` times that stays below the
-    bound.
+    root of their number at most.  The aim is lowered until `MARGIN_DEVIATIONS` times that
+    stays below the bound.
     """
     if (
         quota.desired + MARGIN_DEVIATIONS * math.sqrt(min(quota.desired, entries / 4))
--- a/tillerlane/decisions/placing.py
+++ b/tillerlane/decisions/placing.py
@@ -8,31 +8,32 @@
 fewer the more prompts it has not heard of (`count_candidates`).
 
 A long run feels its runner's speed for seconds, a short one hardly, so long runs are worth most on
-fast runners (`weigh`).  Nothing is split beforehand: as the fast ones fill, what waits and runs
-there outweighs their speed, and a full pool is used whole.  A cost is in seconds of waiting.
+fast runners (`estimate_cost`).  Nothing is split beforehand: as the fast ones fill, what waits
+and runs there outweighs their speed, and a full pool is used whole.  A cost is in seconds of
+waiting.
 """
 
 import dataclasses
 from collections.abc import Iterable
 
 __all__ = [
-    "Standing",
+    "CandidateLoad",
     "Work",
+    "compute_pool_event_seconds",
     "count_candidates",
-    "read_event_seconds",
-    "read_pool_pace",
-    "weigh",
+    "estimate_cost",
+    "estimate_event_seconds",
 ]
 
-UNREAD_TOKENS = 7_000
+PREFILL_TOKENS_PER_SECOND = 7_000
 """Prompt tokens that a runner reads in a second beside what it writes: seen to be some 7 a
 millisecond, half of what a runner does that only reads."""
 PRIOR_EVENTS = 20
 """Events seen of a runner that count as much as the mean of its pool: as many as one run of some
 length writes in a second, after which its own pace is known to a tenth."""
-LEAST_CANDIDATES = 2
+MIN_CANDIDATES = 2
 """With two, the longest queue is already far shorter than with one drawn blindly."""
-DRAW_FACTOR = 1.2
+SAMPLING_FACTOR = 1.2
 """Runners are drawn so that, of the prompts not heard of, 1 / 1.2 are expected to have met the same
 best runner.  Played with 30 runners, memory for all, and 49 prompts a second, six seeds:
 first pieces of short answers in time 0.90 with lots among all that one prompt more would make no
@@ -62,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class CandidateLoad:
     """What is under way at a runner, and what it has room for.
 
     Attributes
@@ -85,13 +86,13 @@
     event_seconds: float
 
 
-def count_candidates(targets: int, unheard: float) -> int:
+def count_candidates(targets: int, unreported: float) -> int:
     """How many of so many targets to look at, with so many requests not heard of."""
-    wished = round(targets / max(1.0, DRAW_FACTOR * unheard))
-    return min(targets, max(LEAST_CANDIDATES, wished))
+    wished = round(targets / max(1.0, SAMPLING_FACTOR * unreported))
+    return min(targets, max(MIN_CANDIDATES, wished))
 
 
-def read_pool_pace(seen: Iterable[tuple[int, int]]) -> float:
+def compute_pool_event_seconds(seen: Iterable[tuple[int, int]]) -> float:
     """Seconds an event over all runners of a pool, from (events, milliseconds) of each."""
     events = milliseconds = 0
     for number, took_ms in seen:
@@ -100,12 +101,12 @@
     return milliseconds / events / 1000 if events > 0 else DEFAULT_EVENT_SECONDS
 
 
-def read_event_seconds(events: int, event_ms: int, pool_pace: float) -> float:
+def estimate_event_seconds(events: int, event_ms: int, pool_event_seconds: float) -> float:
     """Seconds an event at one runner; the less was seen of it, the nearer to the pool's."""
-    return (event_ms / 1000 + PRIOR_EVENTS * pool_pace) / (events + PRIOR_EVENTS)
+    return (event_ms / 1000 + PRIOR_EVENTS * pool_event_seconds) / (events + PRIOR_EVENTS)
 
 
-def weigh(work: Work, standing: Standing, pool_pace: float) -> float:
+def estimate_cost(work: Work, load: CandidateLoad, pool_event_seconds: float) -> float:
     """Seconds that a caller waits more if this runner gets the work; only differences count.
 
     They are the prompts that are read before its own, and the time that its run takes beside the
@@ -119,9 +120,9 @@
     a second 0.87 in place of 0.92 of short requests' first pieces in time), and a cost of memory
     that rises faster as memory fills (up to 0.1 fewer of these with 35 prompts a second).
     """
-    slowness = standing.event_seconds / pool_pace
-    crowding = standing.requests / max(1, standing.slots)
-    memory = (standing.tokens + work.memory_tokens) / max(1, standing.memory_tokens)
-    waiting = (standing.unread + work.prompt_tokens) / UNREAD_TOKENS * slowness
-    running = work.events * (standing.event_seconds - pool_pace)
+    slowness = load.event_seconds / pool_event_seconds
+    crowding = load.requests / max(1, load.slots)
+    memory = (load.tokens + work.memory_tokens) / max(1, load.memory_tokens)
+    waiting = (load.unread + work.prompt_tokens) / PREFILL_TOKENS_PER_SECOND * slowness
+    running = work.events * (load.event_seconds - pool_event_seconds)
     return crowding + memory + waiting + running
--- a/tillerlane/decisions/queueing.py
+++ b/tillerlane/decisions/queueing.py
@@ -53,4 +53,4 @@
     if unread <= 0 or aim_seconds <= 0:
         return True
     share = LONG_SHARE if is_long else SHORT_SHARE
-    return unread + prompt_tokens <= share * aim_seconds * placing.UNREAD_TOKENS
+    return unread + prompt_tokens <= share * aim_seconds * placing.PREFILL_TOKENS_PER_SECOND
--- a/tillerlane/decisions/tests/test_placing.py
+++ b/tillerlane/decisions/tests/test_placing.py
@@ -27,7 +27,7 @@
 LONG_EVENTS = 20
 SHORT_MEMORY_TOKENS = 21_870
 STANDINGS = strategies.builds(
-    placing.Standing,
+    placing.CandidateLoad,
     requests=strategies.integers(0, 40),
     slots=strategies.just(24),
     tokens=strategies.integers(0, 34_000),
@@ -43,10 +43,10 @@
 )
 
 
-def build_standing(**changes: float) -> placing.Standing:
+def build_standing(**changes: float) -> placing.CandidateLoad:
     """A runner with two runs."""
     values = {"requests": 2, "slots": 24, "tokens": 7_000, "memory_tokens": 34_340, "unread": 0}
-    return placing.Standing(**{**values, "event_seconds": PACE, **changes})  # type: ignore[arg-type]
+    return placing.CandidateLoad(**{**values, "event_seconds": PACE, **changes})  # type: ignore[arg-type]
 
 
 class CostTest(unittest.TestCase):
@@ -57,7 +57,7 @@
 
     def weigh(self, work: placing.Work, **changes: float) -> float:
         """Cost at a runner."""
-        return placing.weigh(work, build_standing(**changes), PACE)
+        return placing.estimate_cost(work, build_standing(**changes), PACE)
 
     def test_long_run_waits_for_a_fast_runner_and_a_short_one_does_not(self) -> None:
         slow, busy = {"event_seconds": 1.2 * PACE}, {"unread": 6_000}
@@ -71,25 +71,27 @@
     @profiles.choose(100)
     @given(WORKS, STANDINGS)
     def test_more_under_way_never_costs_less(
-        self, work: placing.Work, standing: placing.Standing
+        self, work: placing.Work, standing: placing.CandidateLoad
     ) -> None:
-        cost = placing.weigh(work, standing, PACE)
+        cost = placing.estimate_cost(work, standing, PACE)
         for name in ("requests", "tokens", "unread", "event_seconds"):
             values = {field: getattr(standing, field) for field in standing.__slots__}
             values[name] *= 1.1
-            self.assertGreaterEqual(placing.weigh(work, placing.Standing(**values), PACE), cost)
+            self.assertGreaterEqual(
+                placing.estimate_cost(work, placing.CandidateLoad(**values), PACE), cost
+            )
 
     def test_pace_of_an_unseen_runner_is_that_of_its_pool(self) -> None:
-        self.assertAlmostEqual(placing.read_event_seconds(0, 0, PACE), PACE)
-        seen = placing.read_event_seconds(980, 49_000, PACE)
+        self.assertAlmostEqual(placing.estimate_event_seconds(0, 0, PACE), PACE)
+        seen = placing.estimate_event_seconds(980, 49_000, PACE)
         self.assertAlmostEqual(seen, 0.05, places=3)
-        self.assertEqual(placing.read_pool_pace([]), placing.DEFAULT_EVENT_SECONDS)
-        self.assertAlmostEqual(placing.read_pool_pace([(10, 300), (30, 1_300)]), 0.04)
+        self.assertEqual(placing.compute_pool_event_seconds([]), placing.DEFAULT_EVENT_SECONDS)
+        self.assertAlmostEqual(placing.compute_pool_event_seconds([(10, 300), (30, 1_300)]), 0.04)
 
     def test_fewer_are_looked_at_the_less_is_heard(self) -> None:
         self.assertEqual(placing.count_candidates(30, 0.5), 30)
         self.assertEqual(placing.count_candidates(30, 5.0), 5)
-        self.assertEqual(placing.count_candidates(30, 500.0), placing.LEAST_CANDIDATES)
+        self.assertEqual(placing.count_candidates(30, 500.0), placing.MIN_CANDIDATES)
         self.assertEqual(placing.count_candidates(1, 500.0), 1)
 
 
@@ -101,7 +103,7 @@
     reads_enough: bool = True
     """Whether it has to have read enough, as `queueing.may_begin` says."""
 
-    def have_room(self, work: placing.Work, standing: placing.Standing) -> bool:
+    def have_room(self, work: placing.Work, standing: placing.CandidateLoad) -> bool:
         """Whether a runner may get the work."""
         if standing.tokens + work.memory_tokens > self.memory_share * standing.memory_tokens:
             return False
@@ -115,10 +117,10 @@
 def build_chooser(rng: random.Random, unheard: float) -> engine_play.Choose:
     """The decision as an entry takes it."""
 
-    def choose(work: placing.Work, standings: list[placing.Standing], pace: float) -> int:
+    def choose(work: placing.Work, standings: list[placing.CandidateLoad], pace: float) -> int:
         wished = placing.count_candidates(len(standings), unheard)
         drawn = rng.sample(range(len(standings)), wished)
-        return min(drawn, key=lambda item: placing.weigh(work, standings[item], pace))
+        return min(drawn, key=lambda item: placing.estimate_cost(work, standings[item], pace))
 
     return choose
 
@@ -189,13 +191,15 @@
 def build_holding_chooser(rng: random.Random, unheard: float, bounds: Bounds) -> engine_play.Choose:
     """The decision of an entry that has a request wait where no runner has room for it."""
 
-    def choose(work: placing.Work, standings: list[placing.Standing], pace: float) -> int | None:
+    def choose(
+        work: placing.Work, standings: list[placing.CandidateLoad], pace: float
+    ) -> int | None:
         wished = placing.count_candidates(len(standings), unheard)
         drawn = rng.sample(range(len(standings)), wished)
         free = [item for item in drawn if bounds.have_room(work, standings[item])]
         if not free:
             return None
-        return min(free, key=lambda item: placing.weigh(work, standings[item], pace))
+        return min(free, key=lambda item: placing.estimate_cost(work, standings[item], pace))
 
     return choose
 
--- a/tillerlane/gateway/selection.py
+++ b/tillerlane/gateway/selection.py
@@ -29,10 +29,10 @@
 half the time of the link, of which a leaving runner's runs need all; but where few can take them,
 all entries choose the same ones before they hear of each other."""
 MOST_MOVE_HALL_COST = 0.6
-"""Bound on that, in seconds of a caller's waiting as `placing.weigh` counts: a run of 3,500 tokens
-takes 0.19 s of a link of 19 Gbit/s within the hall and 0.39 s between halls, so that of the runs of
-one runner seven in place of three are copied in the shortest notice met, 1.5 s.  Pairs of whole
-days with 0.15, 0.6 and 2.0 stand in ``docs/design/decisions.md``."""
+"""Bound on that, in seconds of a caller's waiting as `placing.estimate_cost` counts: a run of 3,500
+tokens takes 0.19 s of a link of 19 Gbit/s within the hall and 0.39 s between halls, so that of the
+runs of one runner seven in place of three are copied in the shortest notice met, 1.5 s.  Pairs of
+whole days with 0.15, 0.6 and 2.0 stand in ``docs/design/decisions.md``."""
 FULL_SHARE = 0.9
 """Share of its memory above which a runner counts as full: what runs there still grows."""
 COLD_COST = 0.5
@@ -239,7 +239,7 @@
         if known is not None and now - known[1] < POOL_PACE_SECONDS:
             return known[0]
         uses = [self._usage.read(target.address) for target in listed]
-        pace = placing.read_pool_pace((use.events, use.event_ms) for use in uses)
+        pace = placing.compute_pool_event_seconds((use.events, use.event_ms) for use in uses)
         self._paces[pool.name] = (pace, now)
         return pace
 
@@ -255,15 +255,15 @@
         if pool.engine is None:
             cost = use.requests / max(1, target.slots)
         else:
-            standing = placing.Standing(
+            standing = placing.CandidateLoad(
                 use.requests,
                 target.slots,
                 use.tokens,
                 pool.engine.memory_tokens,
                 use.unread,
-                placing.read_event_seconds(use.events, use.event_ms, pace),
+                placing.estimate_event_seconds(use.events, use.event_ms, pace),
             )
-            cost = placing.weigh(work, standing, pace)
+            cost = placing.estimate_cost(work, standing, pace)
         if target.data_hall != self._data_hall:
             cost += OTHER_HALL_COST
         if target.warm_at > now:
--- a/tillerlane/testing/engine_play.py
+++ b/tillerlane/testing/engine_play.py
@@ -188,7 +188,7 @@
 
 
 Pool = list[RunnerSpec]
-Choose = Callable[[placing.Work, list[placing.Standing], float], int | None]
+Choose = Callable[[placing.Work, list[placing.CandidateLoad], float], int | None]
 
 
 def play(
@@ -262,15 +262,15 @@
     knows_pace: bool,
 ) -> int | None:
     paces = [(events, event_ms) if knows_pace else (0, 0) for *_, events, event_ms in seen]
-    pool_pace = placing.read_pool_pace(paces)
+    pool_pace = placing.compute_pool_event_seconds(paces)
     standings = [
-        placing.Standing(
+        placing.CandidateLoad(
             requests,
             spec.slots,
             tokens,
             spec.memory_tokens,
             unread,
-            placing.read_event_seconds(*pace, pool_pace),
+            placing.estimate_event_seconds(*pace, pool_pace),
         )
         for spec, (requests, tokens, unread, *_), pace in zip(pool, seen, paces, strict=True)
     ]
