--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -96,19 +96,19 @@
 
 def judge_by_count(cases: Cases, name: str) -> bool:
     """The decision that stands."""
-    return quarantine.is_deadly(len(cases.get(name, ())))
+    return quarantine.is_poison(len(cases.get(name, ())))
 
 
 def judge_unexplained(cases: Cases, name: str) -> bool:
     """Ends that a more suspected request explains do not count against the others."""
-    if len(cases.get(name, ())) < quarantine.LEAST_ENDED:
+    if len(cases.get(name, ())) < quarantine.MIN_TARGET_EXITS:
         return False
     explained: set[str] = set()
     for other, ends in sorted(cases.items(), key=lambda item: -len(item[1])):
         left = len(ends.keys() - explained)
         if other == name:
-            return left >= quarantine.LEAST_ENDED
-        if left >= quarantine.LEAST_ENDED:
+            return left >= quarantine.MIN_TARGET_EXITS
+        if left >= quarantine.MIN_TARGET_EXITS:
             explained |= ends.keys()
     return False
 
@@ -116,7 +116,7 @@
 def judge_alone(cases: Cases, name: str) -> bool:
     """Three ends, or two of which one took nobody else along."""
     ends = cases.get(name, {})
-    return len(ends) >= quarantine.LEAST_ENDED or (len(ends) >= 2 and 1 in ends.values())
+    return len(ends) >= quarantine.MIN_TARGET_EXITS or (len(ends) >= 2 and 1 in ends.values())
 
 
 WAYS: tuple[tuple[str, Judge, bool], ...] = (
@@ -250,7 +250,7 @@
         for victim in victims:
             ends = self._cases[victim.name]
             ends[runner] = len(victims)
-            if len(ends) == quarantine.LEAST_ENDED:
+            if len(ends) == quarantine.MIN_TARGET_EXITS:
                 self._third_at.setdefault(victim.name, self._now)
         for victim in victims:
             self._come_again(victim)
--- a/tillerlane/decisions/queueing.py
+++ b/tillerlane/decisions/queueing.py
@@ -9,20 +9,20 @@
 
 from tillerlane.decisions import placing
 
-__all__ = ["RUNNER_RANK", "may_begin"]
+__all__ = ["RUNNER_RANK", "can_start"]
 
 RUNNER_RANK = 5
 """Rank at a runner of all runs whose workspace has none of its own.
 
 A runner reads more urgent prompts first and pushes less urgent runs aside for them, in the middle
 of their answer, where memory is short: a long run then pauses for as long as all of it takes to be
-read again.  With the routes' own ranks (short ones first) in the play that `LONG_SHARE` names, at
-0.8 of what runners can read 0.989 of the short requests come in time and 0.899 of the long ones
+read again.  With the routes' own ranks (short ones first) in the play that `LONG_PREFILL_SHARE`
+names, at 0.8 of what runners can read 0.989 of the short requests come in time and 0.899 of the long ones
 unbroken, with one rank 0.988 and 0.982; at 0.95 it is 0.846 and 0.611, and 0.805 and 0.824.
 """
 
-LONG_SHARE = 0.63
-SHORT_SHARE = 0.48
+LONG_PREFILL_SHARE = 0.63
+SHORT_PREFILL_SHARE = 0.48
 """Share of the time within which a first piece is in time that a runner may take to read what it
 has, the new prompt included, for long runs and for short ones: a prompt that is sent then comes in
 time at a runner half as slow again, and no runner is idle while the next prompt is on its way.
@@ -36,7 +36,7 @@
 """
 
 
-def may_begin(unread: int, prompt_tokens: int, aim_seconds: float, *, is_long: bool) -> bool:
+def can_start(unread: int, prompt_tokens: int, objective_seconds: float, *, is_long: bool) -> bool:
     """Whether a runner that has so many prompt tokens to read may get a prompt now.
 
     Parameters
@@ -50,7 +50,7 @@
     is_long : bool
         Whether it is a run that holds memory for long and can't be run again.
     """
-    if unread <= 0 or aim_seconds <= 0:
+    if unread <= 0 or objective_seconds <= 0:
         return True
-    share = LONG_SHARE if is_long else SHORT_SHARE
-    return unread + prompt_tokens <= share * aim_seconds * placing.PREFILL_TOKENS_PER_SECOND
+    share = LONG_PREFILL_SHARE if is_long else SHORT_PREFILL_SHARE
+    return unread + prompt_tokens <= share * objective_seconds * placing.PREFILL_TOKENS_PER_SECOND
--- a/tillerlane/decisions/tests/test_placing.py
+++ b/tillerlane/decisions/tests/test_placing.py
@@ -101,7 +101,7 @@
 
     memory_share: float = 0.95
     reads_enough: bool = True
-    """Whether it has to have read enough, as `queueing.may_begin` says."""
+    """Whether it has to have read enough, as `queueing.can_start` says."""
 
     def have_room(self, work: placing.Work, standing: placing.CandidateLoad) -> bool:
         """Whether a runner may get the work."""
@@ -109,7 +109,7 @@
             return False
         is_long = work.events >= LONG_EVENTS
         aim = LONG_AIM_SECONDS if is_long else FIRST_AIM_SECONDS
-        return not self.reads_enough or queueing.may_begin(
+        return not self.reads_enough or queueing.can_start(
             standing.unread, work.prompt_tokens, aim, is_long=is_long
         )
 
@@ -266,9 +266,9 @@
         self.assertGreater(sum(after), sum(before) + 0.1)
 
     def test_idle_runner_takes_a_prompt_of_any_size(self) -> None:
-        self.assertTrue(queueing.may_begin(0, 50_000, 1.5, is_long=False))
-        self.assertFalse(queueing.may_begin(1, 50_000, 1.5, is_long=False))
-        self.assertTrue(queueing.may_begin(50_000, 1, 0.0, is_long=False))
+        self.assertTrue(queueing.can_start(0, 50_000, 1.5, is_long=False))
+        self.assertFalse(queueing.can_start(1, 50_000, 1.5, is_long=False))
+        self.assertTrue(queueing.can_start(50_000, 1, 0.0, is_long=False))
 
 
 if __name__ == "__main__":
--- a/tillerlane/gateway/quarantine.py
+++ b/tillerlane/gateway/quarantine.py
@@ -55,7 +55,7 @@
         if fingerprint in self._held:
             return f"held back, as targets ended under it: {fingerprint}"
         ended = self.suspects.count(fingerprint)
-        if quarantine.is_deadly(ended):
+        if quarantine.is_poison(ended):
             return f"held back, as {ended} targets ended under it: {fingerprint}"
         return ""
 
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -434,7 +434,7 @@
             return True
         unread = self._usage.read(target.address).unread
         prompt_tokens = asked.facts.prompt_tokens
-        return queueing.may_begin(unread, prompt_tokens, aim_seconds, is_long=asked.is_long)
+        return queueing.can_start(unread, prompt_tokens, aim_seconds, is_long=asked.is_long)
 
     def _has_room(self, asked: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner has memory for a request; short ones are gone before it runs out."""
--- a/tillerlane/gateway/verdicts.py
+++ b/tillerlane/gateway/verdicts.py
@@ -114,7 +114,7 @@
         held = self._store.list_names(stores.QUARANTINE)
         has_room = len(held) < machines.MAX_QUARANTINED
         for fingerprint in self.suspects.list_repeated():
-            is_deadly = quarantine.is_deadly(self.suspects.count(fingerprint))
+            is_deadly = quarantine.is_poison(self.suspects.count(fingerprint))
             if is_deadly and fingerprint not in held and has_room:
                 await self._decide(fingerprint, hold=True)
             elif fingerprint in held and not is_deadly and self.suspects.is_cleared(fingerprint):
