--- a/tillerlane/decisions/tests/test_voters.py
+++ b/tillerlane/decisions/tests/test_voters.py
@@ -23,12 +23,12 @@
 
 def count_bearable(live: str, silent: str) -> int:
     """Disks that may be lost next with these voters."""
-    return voters.count_bearable_losses(len(live) + len(silent), len(live))
+    return voters.count_tolerable_losses(len(live) + len(silent), len(live))
 
 
 def apply(step: voters.Step, live: str, silent: str, ready: str) -> tuple[str, str, str]:
     """Voters and standbys after a step; a live voter that is taken off follows on as a standby."""
-    if isinstance(step, voters.Add):
+    if isinstance(step, voters.AddVoter):
         return live + step.name, silent, ready.replace(step.name, "")
     if step.name in silent:
         return live, silent.replace(step.name, ""), ready
@@ -42,12 +42,12 @@
         self.assertIsNone(choose("abcde", "", "f"))
 
     def test_silent_voter_goes_first_and_the_standby_comes_then(self) -> None:
-        self.assertEqual(choose("abcd", "e", "f"), voters.Remove("e", "silent for 3.0 s"))
-        self.assertEqual(choose("abcd", "", "f"), voters.Add("f"))
+        self.assertEqual(choose("abcd", "e", "f"), voters.RemoveVoter("e", "silent for 3.0 s"))
+        self.assertEqual(choose("abcd", "", "f"), voters.AddVoter("f"))
 
     def test_longest_silence_goes_first(self) -> None:
         step = choose("abc", "de", "f")
-        self.assertEqual(step, voters.Remove("e", "silent for 4.0 s"))
+        self.assertEqual(step, voters.RemoveVoter("e", "silent for 4.0 s"))
 
     def test_silent_voter_stays_while_nobody_could_take_its_vote(self) -> None:
         self.assertIsNone(choose("abcd", "e", ""))
@@ -62,15 +62,15 @@
         self.assertIsNone(voters.choose_step(known, [voters.Standby("f", False)], 5, PATIENCE))
 
     def test_leaving_voter_goes_after_the_standby_has_come(self) -> None:
-        self.assertEqual(choose("abcde", "", "f", leaving="b"), voters.Add("f"))
-        self.assertEqual(choose("abcdef", "", "", leaving="b"), voters.Remove("b", "it stops"))
+        self.assertEqual(choose("abcde", "", "f", leaving="b"), voters.AddVoter("f"))
+        self.assertEqual(choose("abcdef", "", "", leaving="b"), voters.RemoveVoter("b", "it stops"))
 
     def test_leaving_voter_stays_while_nobody_could_take_its_vote(self) -> None:
         self.assertIsNone(choose("abcde", "", "", leaving="b"))
 
     def test_one_voter_too_many_goes_only_if_it_is_silent(self) -> None:
         self.assertIsNone(choose("abcdef", "", "g"))
-        self.assertEqual(choose("abcde", "f", ""), voters.Remove("f", "silent for 3.0 s"))
+        self.assertEqual(choose("abcde", "f", ""), voters.RemoveVoter("f", "silent for 3.0 s"))
 
 
 class SequenceTest(unittest.TestCase):
@@ -111,7 +111,7 @@
         self.assertEqual(left, ("abcd", "", "f"))
         known = [voters.Voter(name, 0.0) for name in left[0]]
         step = voters.choose_step(known, [voters.Standby("f", True)], 5, PATIENCE)
-        self.assertEqual(step, voters.Add("f"))
+        self.assertEqual(step, voters.AddVoter("f"))
 
 
 if __name__ == "__main__":
--- a/tillerlane/decisions/voters.py
+++ b/tillerlane/decisions/voters.py
@@ -15,14 +15,14 @@
 import dataclasses
 
 __all__ = [
-    "Add",
-    "Remove",
+    "AddVoter",
+    "RemoveVoter",
     "Standby",
     "Step",
     "Voter",
     "choose_step",
-    "count_bearable_losses",
-    "count_quorum",
+    "compute_quorum",
+    "count_tolerable_losses",
 ]
 
 
@@ -34,14 +34,14 @@
     ----------
     name : str
         Its daemon id.
-    silent_seconds : float
+    unreachable_seconds : float
         Since it last answered with the disk that is on record; 0 for the leader itself.
     is_leaving : bool
         Whether it says that it stops.
     """
 
     name: str
-    silent_seconds: float
+    unreachable_seconds: float
     is_leaving: bool = False
 
 
@@ -62,29 +62,29 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Add:
+class AddVoter:
     """Give a keeper a vote."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Remove:
+class RemoveVoter:
     """Take a keeper's vote away, for a reason in words."""
 
     name: str
     reason: str
 
 
-Step = Add | Remove
+Step = AddVoter | RemoveVoter
 
 
-def count_quorum(voters: int) -> int:
+def compute_quorum(voters: int) -> int:
     """Voters that decide, of so many."""
     return voters // 2 + 1
 
 
-def count_bearable_losses(voters: int, live: int) -> int:
+def count_tolerable_losses(voters: int, live: int) -> int:
     """Disks that may be lost next while the log can still go on.
 
     Parameters
@@ -99,11 +99,11 @@
     int
         0 if the next loss stops the log; below 0 the log stands still, for want of so many.
     """
-    return live - count_quorum(voters)
+    return live - compute_quorum(voters)
 
 
 def choose_step(
-    voters: list[Voter], standbys: list[Standby], wished: int, patience: float
+    voters: list[Voter], standbys: list[Standby], desired: int, timeout_seconds: float
 ) -> Step | None:
     """The next change of voters; None if all is as it should be, or nothing would better it.
 
@@ -119,15 +119,15 @@
         Seconds of silence after which a voter counts as lost.
     """
     ready = next((standby for standby in standbys if standby.is_ready), None)
-    if len(voters) < wished:
-        return Add(ready.name) if ready else None
-    silent = [voter for voter in voters if voter.silent_seconds > patience]
-    lost = max(silent, key=lambda voter: voter.silent_seconds, default=None)
+    if len(voters) < desired:
+        return AddVoter(ready.name) if ready else None
+    silent = [voter for voter in voters if voter.unreachable_seconds > timeout_seconds]
+    lost = max(silent, key=lambda voter: voter.unreachable_seconds, default=None)
     leaving = next((voter for voter in voters if voter.is_leaving), None)
-    if lost is not None and (ready or len(voters) > wished):
-        return Remove(lost.name, f"silent for {lost.silent_seconds:.1f} s")
-    if leaving is not None and len(voters) > wished:
-        return Remove(leaving.name, "it stops")
+    if lost is not None and (ready or len(voters) > desired):
+        return RemoveVoter(lost.name, f"silent for {lost.unreachable_seconds:.1f} s")
+    if leaving is not None and len(voters) > desired:
+        return RemoveVoter(leaving.name, "it stops")
     if leaving is not None and ready:
-        return Add(ready.name)
+        return AddVoter(ready.name)
     return None
--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -224,7 +224,7 @@
         own = self._member
         request = self._build_vote_request(term, pre=pre)
         others = {name: voter for name, voter in own.voters.items() if name != own.name}
-        needed = voter_rules.count_quorum(len(own.voters))
+        needed = voter_rules.compute_quorum(len(own.voters))
         ballot = await ballots.collect(self._get_link, request, others, needed)
         if not ballot.is_won:
             self._note_lost(request, needed, ballot)
--- a/tillerlane/keeper/followers.py
+++ b/tillerlane/keeper/followers.py
@@ -98,5 +98,5 @@
     others: list[Value], own: Value, voters: dict[str, commands.Voter], own_name: str
 ) -> Value | None:
     values = sorted([*others, own] if own_name in voters else others, reverse=True)
-    needed = voter_rules.count_quorum(len(voters))
+    needed = voter_rules.compute_quorum(len(voters))
     return values[needed - 1] if len(values) >= needed else None
--- a/tillerlane/keeper/quorum.py
+++ b/tillerlane/keeper/quorum.py
@@ -33,7 +33,7 @@
     leader : str
         Whom it follows; empty without one.
     bears : int
-        Disks that may be lost next (`decisions.voters.count_bearable_losses`).
+        Disks that may be lost next (`decisions.voters.count_tolerable_losses`).
     """
 
     voters: tuple[str, ...]
@@ -71,7 +71,7 @@
         waiting=tuple(sorted(set(disks) - set(voters))),
         votes=own in live,
         leader=leader,
-        bears=voter_rules.count_bearable_losses(len(voters), len(live)),
+        bears=voter_rules.count_tolerable_losses(len(voters), len(live)),
     )
 
 
--- a/tillerlane/keeper/turnover.py
+++ b/tillerlane/keeper/turnover.py
@@ -146,7 +146,7 @@
         """Change the voters; False if that is not committed."""
         own = self._replica
         command: commands.VoterAdd | commands.VoterRemove
-        if isinstance(step, voter_rules.Remove):
+        if isinstance(step, voter_rules.RemoveVoter):
             command = commands.VoterRemove(step.name)
             self._timeline.record(
                 "keeper.remove", keeper=step.name, reason=step.reason, voters=sorted(own.voters)
