--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -111,7 +111,7 @@
         await node.listen(address)
     member = messages.Member(name, 1, 0, address, address, hall, ["agent"], targets)
     client = clients.KeeperClient(
-        name, keepers, node, members, lambda link: announcer.tell_anew(link)
+        name, keepers, node, members, lambda link: announcer.reannounce(link)
     )
     announcer = exchange.Announcer(member, members, lambda: client.home)
 
--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -194,7 +194,7 @@
             part, self._get_keeper_link, self._get_subscribers, self._read_ms
         )
         self.placement = leader.PlacementLeader(
-            part, self.members.read_live, self.ask, self.timeline, self._read_ms
+            part, self.members.list_live, self.ask, self.timeline, self._read_ms
         )
         self.exchange = exchange.KeeperExchange(
             self.members, self._get_keeper_links, self._get_subscribers
@@ -242,13 +242,13 @@
                     self.node.dial(address)
             self.keeper.begin()
             self.placement.begin()
-            self.exchange.begin()
+            self.exchange.start()
         self.client.begin()
         if self.agent is not None:
             self.agent.begin()
         self._tasks.append(asyncio.create_task(self._refresh()))
         if self.settings.platform_list is not None:
-            following = platform.follow_list(
+            following = platform.poll_list(
                 self.settings.platform_list, self.members, self._note_platform_list
             )
             self._tasks.append(asyncio.create_task(following))
@@ -339,17 +339,17 @@
         ]
 
     def _is_entry(self, daemon_id: str) -> bool:
-        member = self.members.read(daemon_id)
+        member = self.members.find(daemon_id)
         return member is None or settings.Role.ENTRY.value in member.roles
 
     def _take_home(self, link: links.Link) -> None:
-        self.announcer.tell_anew(link)
+        self.announcer.reannounce(link)
         self.timeline.record("keeper.home", keeper=link.peer_id)
 
     def _note_down(self, link: links.Link) -> None:
         self._pulled_at.pop(link, None)
         if self.exchange is not None:
-            self.exchange.note_down(link)
+            self.exchange.handle_link_down(link)
 
     # Configuration
 
@@ -441,7 +441,7 @@
     def _take_members(self, link: links.Link, body: messages.Members, now: float) -> None:
         others = [item for item in body.members if item.daemon_id != self.settings.daemon]
         if self.exchange is not None:
-            self.exchange.take(link, dataclasses.replace(body, members=others))
+            self.exchange.handle_members(link, dataclasses.replace(body, members=others))
         else:
             self.members.merge(others, now)
 
@@ -456,7 +456,7 @@
                 self._note_standing()
             keepers = {
                 member.daemon_id: member.address
-                for member in self.members.read_live()
+                for member in self.members.list_live()
                 if settings.Role.KEEPER.value in member.roles
             }
             self.client.learn(keepers)
@@ -469,7 +469,7 @@
         """Live entries, this one included."""
         entries = [
             member
-            for member in self.members.read_live()
+            for member in self.members.list_live()
             if settings.Role.ENTRY.value in member.roles and not member.leaving
         ]
         return max(1, len(entries))
--- a/tillerlane/decisions/queueing.py
+++ b/tillerlane/decisions/queueing.py
@@ -18,7 +18,8 @@
 of their answer, where memory is short: a long run then pauses for as long as all of it takes to be
 read again.  With the routes' own ranks (short ones first) in the play that `LONG_PREFILL_SHARE`
 names, at 0.8 of what runners can read 0.989 of the short requests come in time and 0.899 of the
-long ones unbroken, with one rank 0.988 and 0.982; at 0.95 it is 0.846 and 0.611, and 0.805 and 0.824.
+long ones unbroken, with one rank 0.988 and 0.982; at 0.95 it is 0.846 and 0.611, and 0.805 and
+0.824.
 """
 
 LONG_PREFILL_SHARE = 0.63
--- a/tillerlane/entry/fleet.py
+++ b/tillerlane/entry/fleet.py
@@ -103,7 +103,7 @@
         if self._began is None:
             self._began = now
         present: set[str] = set()
-        for member in self._members.read_all():
+        for member in self._members.list_all():
             for name in member.targets:
                 if member.state == views.GONE and not self._is_linked(name, member):
                     continue
@@ -138,7 +138,7 @@
         wanted = set(names) - set(self.targets)
         far = [
             (name, member)
-            for member in self._members.read_live()
+            for member in self._members.list_live()
             if not member.leaving
             for name in member.targets
             if name in wanted and name not in member.leaving_targets
@@ -169,7 +169,7 @@
         record = self.targets.get(name)
         if record is None or record.peer.address != member.address:
             peer = self._node.dial(member.address)
-            newcomer = now if self._members.age(now) > SLOW_START_SECONDS else -math.inf
+            newcomer = now if self._members.get_age(now) > SLOW_START_SECONDS else -math.inf
             first_seen = record.first_seen if record is not None else newcomer
             record = TargetRecord(name, member.daemon_id, peer, member.data_hall, first_seen)
             self.targets[name] = record
--- a/tillerlane/keeper/client.py
+++ b/tillerlane/keeper/client.py
@@ -117,7 +117,7 @@
         return not any(self._is_known_ready(name) for name in self._order)
 
     def _is_known_ready(self, name: str) -> bool:
-        member = self._members.read(name)
+        member = self._members.find(name)
         return member is None or (member.ready and member.state == views.LIVE)
 
     def _move_on(self, now: float) -> None:
--- a/tillerlane/members/exchange.py
+++ b/tillerlane/members/exchange.py
@@ -58,14 +58,14 @@
         if changed == self.member and self.member.sequence > 0:
             return
         self.member = dataclasses.replace(changed, sequence=self.member.sequence + 1)
-        self.tell(self._get_home())
+        self.announce(self._get_home())
 
-    def tell_anew(self, link: links.Link) -> None:
+    def reannounce(self, link: links.Link) -> None:
         """Tell a new home; the rising sequence overrides what the former one suspects."""
         self.member = dataclasses.replace(self.member, sequence=self.member.sequence + 1)
-        self.tell(link)
+        self.announce(link)
 
-    def tell(self, link: links.Link | None) -> None:
+    def announce(self, link: links.Link | None) -> None:
         """Send the record."""
         self._view.merge([self.member], asyncio.get_running_loop().time())
         if link is None:
@@ -106,7 +106,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         view.listen(self._note)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start passing on."""
         self._tasks = [asyncio.create_task(self._pass_on()), asyncio.create_task(self._age())]
 
@@ -115,7 +115,7 @@
         for task in self._tasks:
             task.cancel()
 
-    def take(self, link: links.Link, body: messages.Members) -> None:
+    def handle_members(self, link: links.Link, body: messages.Members) -> None:
         """Take members that a peer told of."""
         now = asyncio.get_running_loop().time()
         for member in body.members:
@@ -126,11 +126,11 @@
 
     def _tell_all(self, link: links.Link) -> None:
         try:
-            link.send(messages.Members(self._view.read_all(), whole=True))
+            link.send(messages.Members(self._view.list_all(), whole=True))
         except links.LinkLost:
             return
 
-    def note_down(self, link: links.Link) -> None:
+    def handle_link_down(self, link: links.Link) -> None:
         """Suspect a daemon that called this keeper its home, once its last link is lost."""
         if link not in self._homed:
             return
@@ -161,7 +161,7 @@
     async def _age(self) -> None:
         while True:
             await asyncio.sleep(AGE_SECONDS)
-            self._view.age_suspects(asyncio.get_running_loop().time())
+            self._view.expire_suspects(asyncio.get_running_loop().time())
 
 
 def _send(peers: list[links.Link], members: list[messages.Member]) -> None:
--- a/tillerlane/members/platform.py
+++ b/tillerlane/members/platform.py
@@ -14,7 +14,7 @@
 
 from tillerlane.members import view as views
 
-__all__ = ["follow_list", "parse_list"]
+__all__ = ["parse_list", "poll_list"]
 
 READ_SECONDS = 0.5
 MAX_LIST_BYTES = 4 * 1024 * 1024
@@ -49,7 +49,7 @@
     return path.read_text()
 
 
-async def follow_list(
+async def poll_list(
     source: str, view: views.MemberView, on_list: Callable[[set[str]], None]
 ) -> None:
     """Read the list for ever; `on_list` gets the leaving names each time they change."""
--- a/tillerlane/members/tests/test_members.py
+++ b/tillerlane/members/tests/test_members.py
@@ -30,26 +30,26 @@
         view = views.MemberView()
         for incarnation, sequence in [*order, *order]:
             view.merge([build_member(incarnation, sequence)], 0.0)
-        latest = view.read("a")
+        latest = view.find("a")
         self.assertEqual((latest.incarnation, latest.sequence), (2, 3))
 
     def test_suspicion_ages_and_own_word_overrides_it(self) -> None:
         view = views.MemberView()
         view.merge([build_member(1, 1)], 0.0)
         view.suspect("a", 1.0)
-        self.assertEqual(len(view.read_live()), 1)
-        view.age_suspects(3.0)
-        self.assertEqual(view.read_live(), [])
+        self.assertEqual(len(view.list_live()), 1)
+        view.expire_suspects(3.0)
+        self.assertEqual(view.list_live(), [])
         view.merge([build_member(1, 2)], 4.0)
-        self.assertEqual(view.read("a").state, views.LIVE)
+        self.assertEqual(view.find("a").state, views.LIVE)
 
     def test_platform_can_only_say_leaving(self) -> None:
         view = views.MemberView()
         view.merge([build_member(1, 1)], 0.0)
         view.set_platform_leaving(["a", "unknown"])
-        self.assertTrue(view.read("a").leaving)
+        self.assertTrue(view.find("a").leaving)
         view.set_platform_leaving([])
-        self.assertFalse(view.read("a").leaving)
+        self.assertFalse(view.find("a").leaving)
 
     def test_lists(self) -> None:
         text = json.dumps({"hosts": {"a": "leaving", "b": "live", "c": "odd"}})
--- a/tillerlane/members/view.py
+++ b/tillerlane/members/view.py
@@ -17,9 +17,9 @@
 SUSPECTED = "suspected"
 GONE = "gone"
 
-SUSPECT_SECONDS = 1.0
+SUSPICION_TIMEOUT_SECONDS = 1.0
 """A member whose link is lost is suspected for this long before it is gone."""
-FORGET_SECONDS = 300.0
+RETENTION_SECONDS = 300.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,7 +50,7 @@
         """Have `listener` called with the members that changed."""
         self._listeners.append(listener)
 
-    def age(self, now: float) -> float:
+    def get_age(self, now: float) -> float:
         """Seconds since the first member was heard of."""
         return now - self._first_at if self._first_at < math.inf else 0.0
 
@@ -72,13 +72,13 @@
         """Take note that a member's link is lost."""
         self._set_state(daemon_id, SUSPECTED, now)
 
-    def age_suspects(self, now: float) -> None:
+    def expire_suspects(self, now: float) -> None:
         """Turn suspects of some time into gone ones; forget those gone for long."""
         for daemon_id, known in list(self._known.items()):
             age = now - known.changed_at
-            if known.member.state == SUSPECTED and age > SUSPECT_SECONDS:
+            if known.member.state == SUSPECTED and age > SUSPICION_TIMEOUT_SECONDS:
                 self._set_state(daemon_id, GONE, now)
-            elif known.member.state == GONE and age > FORGET_SECONDS:
+            elif known.member.state == GONE and age > RETENTION_SECONDS:
                 del self._known[daemon_id]
 
     def _set_state(self, daemon_id: str, state: str, now: float) -> None:
@@ -94,7 +94,7 @@
         leaving = frozenset(daemon_ids)
         changed = leaving ^ self._platform_leaving
         self._platform_leaving = leaving
-        members = [self.read(item) for item in changed]
+        members = [self.find(item) for item in changed]
         self._tell([member for member in members if member is not None])
 
     def _tell(self, changed: list[messages.Member]) -> None:
@@ -106,21 +106,21 @@
             return dataclasses.replace(member, leaving=True)
         return member
 
-    def read(self, daemon_id: str) -> messages.Member | None:
+    def find(self, daemon_id: str) -> messages.Member | None:
         """One member, or None."""
         known = self._known.get(daemon_id)
         return self._see(known.member) if known is not None else None
 
-    def read_all(self) -> list[messages.Member]:
+    def list_all(self) -> list[messages.Member]:
         """Every member still remembered."""
         return [self._see(known.member) for known in self._known.values()]
 
-    def read_live(self) -> list[messages.Member]:
+    def list_live(self) -> list[messages.Member]:
         """Members that are not gone.
 
         A suspected one still counts: its link to a keeper says little of its link to others.
         """
-        return [member for member in self.read_all() if member.state != GONE]
+        return [member for member in self.list_all() if member.state != GONE]
 
 
 _STATE_ORDER = {LIVE: 0, SUSPECTED: 1, GONE: 2}
--- a/tillerlane/operators/api.py
+++ b/tillerlane/operators/api.py
@@ -69,7 +69,7 @@
 
 def _read_versions(daemon: daemons.Daemon) -> dict[str, Any]:
     """Version in force on every daemon, as the keepers know it."""
-    members = daemon.members.read_all()
+    members = daemon.members.list_all()
     return {
         "version": daemon.store.version,
         "daemons": {
@@ -88,7 +88,7 @@
     """Ask this daemon if it is a keeper, or its home keeper."""
     if daemon.keeper is not None:
         return await daemon.answer(subject, arguments)
-    member = daemon.members.read(daemon.client.home_name)
+    member = daemon.members.find(daemon.client.home_name)
     if member is None:
         fault = faults.new_fault(kinds.ErrorKind.UNREACHABLE, "no keeper is known")
         raise faults.FaultError(fault)
--- a/tillerlane/operators/changes.py
+++ b/tillerlane/operators/changes.py
@@ -171,7 +171,7 @@
         ``not_found`` if no daemon is known to be in the data hall, ``no_quorum`` with ``ran:
         unknown`` if the fate is not known.
     """
-    known = {member.data_hall for member in daemon.members.read_all()}
+    known = {member.data_hall for member in daemon.members.list_all()}
     if body.evacuated and body.data_hall not in known:
         message = f"got data hall {body.data_hall!r}, expected one of {sorted(known)}"
         raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NOT_FOUND, message))
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -57,7 +57,7 @@
     if daemon.keeper is None or daemon.placement is None:
         return {}
     own = daemon.keeper.replica
-    leader = daemon.members.read(own.leader)
+    leader = daemon.members.find(own.leader)
     if own.has_lease or leader is None or own.leader == own.name:
         return daemon.placement.read_status()
     return await daemon.ask(leader, "placement", {})
@@ -146,7 +146,7 @@
 ) -> tuple[dict[str, Any], list[str]]:
     """Ask every daemon at once; what each said, and who did not answer."""
     gate = asyncio.Semaphore(MAX_QUERIES_AT_ONCE)
-    members = {member.daemon_id: member for member in daemon.members.read_all()}
+    members = {member.daemon_id: member for member in daemon.members.list_all()}
     members.setdefault(daemon.settings.daemon, daemon.announcer.member)
 
     async def ask_one(member: messages.Member) -> Any:
