--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -119,7 +119,7 @@
         in_force_at[configuration.version] = time.monotonic()
         announcer.update(config_version=configuration.version)
 
-    store.listen(note_configuration)
+    store.add_listener(note_configuration)
     client.begin()
     stand_in = StandIn(name, node, store, client, announcer, in_force_at)
     if report_rate:
--- a/tillerlane/agent/server.py
+++ b/tillerlane/agent/server.py
@@ -100,7 +100,7 @@
         self._orders = {
             name: orders.OrderBook(executor.state) for name, executor in self.executors.items()
         }
-        store.listen(lambda changed: self._take_configuration(changed.current))
+        store.add_listener(lambda changed: self._take_configuration(changed.current))
         self._take_configuration(store.current)
 
     def begin(self) -> None:
--- a/tillerlane/config/store.py
+++ b/tillerlane/config/store.py
@@ -164,7 +164,7 @@
             self._current = build_configuration(self._version, self.get_bodies())
         return self._current
 
-    def listen(self, listener: Callable[[Store], None]) -> None:
+    def add_listener(self, listener: Callable[[Store], None]) -> None:
         """Have `listener` called with this store after each change."""
         self._listeners.append(listener)
 
--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -139,7 +139,7 @@
         self.callers: api.Callers | None = None
         if settings.Role.ENTRY in own.roles:
             self._build_entry()
-        self.store.listen(self._note_configuration)
+        self.store.add_listener(self._note_configuration)
 
     # Building
 
--- a/tillerlane/entry/dispatch.py
+++ b/tillerlane/entry/dispatch.py
@@ -106,7 +106,7 @@
         self.active = 0
         self.unserved: collections.Counter[tuple[str, str]] = collections.Counter()
         """(pool, model) to requests that found no target, since it was last read."""
-        store.listen(lambda changed: self._programs.clear())
+        store.add_listener(lambda changed: self._programs.clear())
 
     def _get_program(self, group: str) -> programs.Program:
         """The policy of a pool; services have the built-in rules."""
--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -188,7 +188,7 @@
         self._told_orders = 0
         """Version of the orders that subscribers were told."""
         state.published.listen(self._note_publication)
-        state.store.listen(self._note_orders)
+        state.store.add_listener(self._note_orders)
         self.meters = meters.build_control_meters()
         self._set_gauges()
         self._figures = meters.build_server(self.meters.registry)
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -134,7 +134,7 @@
         self.published = publications.Publisher()
         self.published.listen(self._put_in_force)
         self.orders = stores.Store()
-        self.orders.listen(self._note_orders)
+        self.orders.add_listener(self._note_orders)
         self.directory = directories.Directory()
         self.usage = usages.Usage(own.name)
         self._budget = budgets.RetryBudget(own.retries, entries=0)
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -46,7 +46,7 @@
         self._now_ms = now_ms
         self._began_ms = 0.0
         """Wall time less the event loop's time, in milliseconds, when the keeper began."""
-        node_replica.machine.store.listen(self._push)
+        node_replica.machine.store.add_listener(self._push)
 
     def begin(self) -> None:
         """Start the keeper."""
--- a/tillerlane/members/exchange.py
+++ b/tillerlane/members/exchange.py
@@ -104,7 +104,7 @@
         self._told: dict[str, messages.Member] = {}
         self._changed = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        view.listen(self._note)
+        view.add_listener(self._note)
 
     def start(self) -> None:
         """Start passing on."""
--- a/tillerlane/members/view.py
+++ b/tillerlane/members/view.py
@@ -46,7 +46,7 @@
         self._first_at: float = math.inf
         self.keeper_addresses = set(keeper_addresses)
 
-    def listen(self, listener: Callable[[list[messages.Member]], None]) -> None:
+    def add_listener(self, listener: Callable[[list[messages.Member]], None]) -> None:
         """Have `listener` called with the members that changed."""
         self._listeners.append(listener)
 
--- a/tillerlane/platform/tests/test_imports.py
+++ b/tillerlane/platform/tests/test_imports.py
@@ -27,7 +27,7 @@
 KEEPER_WORK = """
 from tillerlane.keeper import machine
 state = machine.Machine()
-state.store.listen(lambda configuration: None)
+state.store.add_listener(lambda configuration: None)
 state.load(state.dump())
 """
 
