--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -241,7 +241,7 @@
                 if name != self.settings.daemon:
                     self.node.dial(address)
             self.keeper.begin()
-            self.placement.begin()
+            self.placement.start()
             self.exchange.start()
         self.client.begin()
         if self.agent is not None:
--- a/tillerlane/operators/api.py
+++ b/tillerlane/operators/api.py
@@ -135,7 +135,7 @@
     @litestar.get("/admin/self")
     async def own_status(request: Http) -> dict[str, Any]:
         access.authorize(daemon, request, documents.OperatorRole.READ)
-        return queries.read_status(daemon)
+        return queries.get_status(daemon)
 
     @litestar.get("/admin/timeline")
     async def timeline(request: Http) -> dict[str, Any]:
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -20,7 +20,7 @@
 def register_queries(daemon: daemons.Daemon) -> None:
     """Have the daemon answer the queries of this module."""
     daemon.queries["timeline"] = lambda arguments: _read_timeline(daemon, arguments)
-    daemon.queries["status"] = lambda arguments: read_status(daemon)
+    daemon.queries["status"] = lambda arguments: get_status(daemon)
     daemon.queries["cancel"] = lambda arguments: _cancel(daemon, arguments)
     daemon.queries["demand"] = lambda arguments: _read_demand(daemon)
     daemon.queries["order"] = lambda arguments: _obey(daemon, arguments)
@@ -59,7 +59,7 @@
     own = daemon.keeper.replica
     leader = daemon.members.find(own.leader)
     if own.has_lease or leader is None or own.leader == own.name:
-        return daemon.placement.read_status()
+        return daemon.placement.get_status()
     return await daemon.ask(leader, "placement", {})
 
 
@@ -79,7 +79,7 @@
     return {"found": False}
 
 
-def read_status(daemon: daemons.Daemon) -> dict[str, Any]:
+def get_status(daemon: daemons.Daemon) -> dict[str, Any]:
     """State of one daemon, as operators see it."""
     own = daemon.settings
     status: dict[str, Any] = {
--- a/tillerlane/placement/leader.py
+++ b/tillerlane/placement/leader.py
@@ -21,7 +21,7 @@
 
 PLAN_SECONDS = 2.0
 
-Ask = Callable[[messages.Member, str, dict[str, Any]], Awaitable[Any]]
+Query = Callable[[messages.Member, str, dict[str, Any]], Awaitable[Any]]
 
 
 class PlacementLeader:
@@ -44,14 +44,14 @@
     def __init__(
         self,
         own: replica.Replica,
-        read_members: Callable[[], list[messages.Member]],
-        ask: Ask,
+        list_members: Callable[[], list[messages.Member]],
+        query: Query,
         timeline: timelines.Timeline,
         now_ms: Callable[[], int],
     ) -> None:
         self._replica = own
-        self._read_members = read_members
-        self._ask = ask
+        self._list_members = list_members
+        self._query = query
         self._timeline = timeline
         self._now_ms = now_ms
         self._task: asyncio.Task[None] | None = None
@@ -59,7 +59,7 @@
         self.runners: list[planner.RunnerState] = []
         self.demand: dict[tuple[str, str], planner.Demand] = {}
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start."""
         self._task = asyncio.create_task(self._run())
 
@@ -110,9 +110,9 @@
     async def _gather(self) -> None:
         """Ask agents for their runners and entries for what found no copy."""
         current = self._machine.store.current
-        members = [item for item in self._read_members() if {"agent", "entry"} & set(item.roles)]
+        members = [item for item in self._list_members() if {"agent", "entry"} & set(item.roles)]
         answers = await asyncio.gather(
-            *(self._ask(member, "demand", {}) for member in members), return_exceptions=True
+            *(self._query(member, "demand", {}) for member in members), return_exceptions=True
         )
         runners: list[planner.RunnerState] = []
         demand: dict[tuple[str, str], planner.Demand] = {}
@@ -188,7 +188,7 @@
 
     async def _give(self, record: machine.OrderRecord) -> None:
         """Give an order to the target's agent; no answer leaves it open, to be given again."""
-        for member in self._read_members():
+        for member in self._list_members():
             if record.target in member.targets:
                 arguments = {
                     "order_id": record.order_id,
@@ -197,7 +197,7 @@
                     "model": record.model,
                     "fence": list(record.fence),
                 }
-                answer = await self._ask(member, "order", arguments)
+                answer = await self._query(member, "order", arguments)
                 await self._finish(record.order_id, answer["outcome"])
                 return
         await self._finish(record.order_id, "target gone")
@@ -206,7 +206,7 @@
         self._timeline.record("placement.done", order_id=order_id, outcome=outcome)
         await self._replica.propose(commands.encode(commands.OrderDone(order_id, outcome)))
 
-    def read_status(self) -> dict[str, Any]:
+    def get_status(self) -> dict[str, Any]:
         """What is known and planned, for operators."""
         return {
             "runners": [
--- a/tillerlane/placement/planner.py
+++ b/tillerlane/placement/planner.py
@@ -68,7 +68,7 @@
     runners: list[RunnerState],
     demand: Mapping[tuple[str, str], Demand],
     pins: set[tuple[str, str]],
-    most_models: int,
+    max_models: int,
 ) -> PlannedOrder | None:
     """The one order to give next, or None.
 
@@ -95,7 +95,7 @@
     for plan in (_plan_first_copy, _plan_more, _plan_less):
         for pool, model in pairs:
             wanted = demand.get((pool, model), Demand())
-            order = plan(model, by_pool[pool], wanted, pins, most_models)
+            order = plan(model, by_pool[pool], wanted, pins, max_models)
             if order is not None:
                 return order
     return None
