--- a/tillerlane/agent/tests/test_scheduling.py
+++ b/tillerlane/agent/tests/test_scheduling.py
@@ -240,7 +240,7 @@
         value = broken.evaluate({"priority": lambda: "no number"}, 7.0)
         self.assertEqual(value, 7.0)
         self.assertEqual(seen, ["rank"])
-        self.assertEqual(state.program.faults_seen, 1)
+        self.assertEqual(state.program.fault_count, 1)
 
 
 class LengthsTest(unittest.TestCase):
--- a/tillerlane/cli/policies.py
+++ b/tillerlane/cli/policies.py
@@ -47,10 +47,10 @@
     data = reader.read_file(arguments.facts)
     if isinstance(data, result.Err):
         raise faults.FaultError(data.err_value)
-    given = programs.read_facts(data.ok_value)
+    given = programs.convert_facts(data.ok_value)
     values: dict[str, Any] = {}
     for name, compiled in program.expressions.items():
-        missing = [fact for fact in compiled.needs if fact not in given]
+        missing = [fact for fact in compiled.fact_names if fact not in given]
         if missing:
             values[name] = {"missing": missing}
             continue
--- a/tillerlane/policy/program.py
+++ b/tillerlane/policy/program.py
@@ -23,7 +23,7 @@
 from tillerlane.faults import kinds
 from tillerlane.policy import facts
 
-__all__ = ["Compiled", "Evaluator", "Program", "check_policy", "compile_program"]
+__all__ = ["CompiledExpression", "Evaluator", "Program", "check_policy", "compile_program"]
 
 MAX_SOURCE_CHARACTERS = 2_000
 _MACROS = re.compile(r"\.\s*(map|filter|all|exists|exists_one|matches)\s*\(")
@@ -39,13 +39,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Compiled:
+class CompiledExpression:
     """One checked expression."""
 
     name: str
     source: str
     program: Any
-    needs: tuple[str, ...]
+    fact_names: tuple[str, ...]
     """Facts that it names."""
 
 
@@ -54,9 +54,9 @@
     """A policy's compiled expressions; `on_fault` hears of faults at run time."""
 
     name: str
-    expressions: dict[str, Compiled]
+    expressions: dict[str, CompiledExpression]
     on_fault: Callable[[str, str, str], None] = lambda policy, expression, reason: None
-    faults_seen: int = 0
+    fault_count: int = 0
 
     def bind(self, expression: str, fixed: Mapping[str, Value]) -> "Evaluator":
         """An evaluator with the facts that do not change already set."""
@@ -86,9 +86,9 @@
         self._varying: tuple[str, ...] = ()
         if self._compiled is None:
             return
-        needs = self._compiled.needs
-        self.facts = {name: fixed[name] for name in needs if name in fixed}
-        self._varying = tuple(name for name in needs if name not in fixed)
+        fact_names = self._compiled.fact_names
+        self.facts = {name: fixed[name] for name in fact_names if name in fixed}
+        self._varying = tuple(name for name in fact_names if name not in fixed)
         self._context = cel.Context(variables=self.facts)
 
     @property
@@ -124,7 +124,7 @@
 
     def _fall_back(self, default: Value, reason: str) -> Value:
         program = self._program
-        program.faults_seen += 1
+        program.fault_count += 1
         program.on_fault(program.name, self._compiled.name, reason[:200])
         return default
 
@@ -143,7 +143,7 @@
     return ""
 
 
-def compile_expression(name: str, source: str) -> result.Result[Compiled, str]:
+def compile_expression(name: str, source: str) -> result.Result[CompiledExpression, str]:
     """Parse one expression and check its names, functions and types."""
     expression = facts.EXPRESSIONS[name]
     if len(source) > MAX_SOURCE_CHARACTERS:
@@ -156,8 +156,8 @@
         program = cel.compile(source)
     except ValueError as error:
         return result.Err(_read_parse_error(str(error)))
-    needs = tuple(sorted(set(program.variables())))
-    for fact in needs:
+    fact_names = tuple(sorted(set(program.variables())))
+    for fact in fact_names:
         if fact not in expression.facts:
             position = _write_position(source, max(0, source.find(fact)))
             known = ", ".join(sorted(expression.facts))
@@ -166,7 +166,7 @@
         if function not in _ALLOWED_FUNCTIONS:
             position = _write_position(source, max(0, source.find(function)))
             return result.Err(f"{position}: no function {function!r}")
-    compiled = Compiled(name, source, program, needs)
+    compiled = CompiledExpression(name, source, program, fact_names)
     problem = _try_samples(compiled)
     return result.Err(problem) if problem else result.Ok(compiled)
 
@@ -185,10 +185,10 @@
     return f"line {line}, column {column}: {reason.strip()[:200]}"
 
 
-def _try_samples(compiled: Compiled) -> str:
+def _try_samples(compiled: CompiledExpression) -> str:
     """Evaluate on low, middle and high values; the first problem, or empty."""
     for position in range(3):
-        values = {name: facts.FACTS[name].samples[position] for name in compiled.needs}
+        values = {name: facts.FACTS[name].samples[position] for name in compiled.fact_names}
         try:
             value = compiled.program.execute(values)
         except Exception as error:
@@ -201,7 +201,7 @@
 
 def compile_program(name: str, policy: documents.Policy) -> result.Result[Program, faults.Fault]:
     """Compile a policy; every problem of every expression is named."""
-    compiled: dict[str, Compiled] = {}
+    compiled: dict[str, CompiledExpression] = {}
     problems = []
     for expression in facts.EXPRESSIONS:
         source = getattr(policy, expression)
@@ -237,11 +237,11 @@
     compiled = program.expressions.get(example.expression)
     if compiled is None:
         return f"the program has no expression {example.expression!r}"
-    missing = [name for name in compiled.needs if name not in example.facts]
+    missing = [name for name in compiled.fact_names if name not in example.facts]
     if missing:
         return f"lacks the facts {missing}"
     try:
-        value = compiled.program.execute(read_facts(example.facts))
+        value = compiled.program.execute(convert_facts(example.facts))
     except Exception as error:
         return str(error)
     if isinstance(value, float) and isinstance(example.gives, int | float):
@@ -251,7 +251,7 @@
     return "" if matches else f"{example.expression} gave {value!r}, expected {example.gives!r}"
 
 
-def read_facts(given: Mapping[str, Any]) -> dict[str, Value]:
+def convert_facts(given: Mapping[str, Any]) -> dict[str, Value]:
     """Bring facts from JSON to the types that programs see; unknown ones stay out."""
     known = {name: value for name, value in given.items() if name in facts.FACTS}
     return {name: facts.FACTS[name].type(value) for name, value in known.items()}
