--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -194,7 +194,7 @@
         self._sent_orders_version = 0
         """Version of the orders that subscribers were told."""
         state.published.add_listener(self._handle_publication)
-        state.store.listen(self._handle_orders)
+        state.store.add_listener(self._handle_orders)
         self.metrics = metrics.build_control_metrics()
         self._set_gauges()
         self._metrics_server = metrics.build_server(self.metrics.registry)
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -134,7 +134,7 @@
         self.published = publications.PublicationRegister()
         self.published.add_listener(self._apply_publication)
         self.orders = stores.Store()
-        self.orders.listen(self._apply_orders)
+        self.orders.add_listener(self._apply_orders)
         self.directory = directories.Directory()
         self.usage = usages.Usage(settings.name)
         self._budget = budgets.RetryBudget(settings.retries, entries=0)
--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -26,11 +26,11 @@
 after another, has carried the run's memory: 0.02 to 0.8 s on a day with many moves."""
 
 _WORDS = {
-    dialects.CopyOutcome.COPIED: handover.Word.STOPPED,
-    dialects.CopyOutcome.NO_RUN: handover.Word.NO_RUN,
-    dialects.CopyOutcome.BUSY: handover.Word.ORDER_UNDER_WAY,
-    dialects.CopyOutcome.REFUSED: handover.Word.REFUSED,
-    dialects.CopyOutcome.UNREACHABLE: handover.Word.UNREACHABLE,
+    dialects.CopyOutcome.COPIED: handover.StopOutcome.STOPPED,
+    dialects.CopyOutcome.NO_RUN: handover.StopOutcome.NO_RUN,
+    dialects.CopyOutcome.BUSY: handover.StopOutcome.ORDER_IN_PROGRESS,
+    dialects.CopyOutcome.REFUSED: handover.StopOutcome.REFUSED,
+    dialects.CopyOutcome.UNREACHABLE: handover.StopOutcome.UNREACHABLE,
 }
 
 _NOT_TAKEN = frozenset(
@@ -46,11 +46,11 @@
 """What comes of an order that the runner does not carry out, if it names no memory of the run."""
 
 
-def _read_word(result: dialects.CopyResult) -> handover.Word:
+def _read_word(result: dialects.CopyResult) -> handover.StopOutcome:
     """What a runner said; without room for a copy, it names the memory that it keeps."""
     if result.outcome is dialects.CopyOutcome.NO_ROOM and result.handle:
-        return handover.Word.STOPPED
-    return _WORDS.get(result.outcome, handover.Word.NOTHING)
+        return handover.StopOutcome.STOPPED
+    return _WORDS.get(result.outcome, handover.StopOutcome.UNCLEAR)
 
 
 class StopOrder:
@@ -106,7 +106,7 @@
     @property
     def is_released(self) -> bool:
         """Whether the runner certainly works on the run no more."""
-        return handover.has_let_go(self.evidence)
+        return handover.is_released(self.evidence)
 
     def record_evidence(self, evidence: handover.Evidence) -> None:
         """Take what is known now; that a runner was out of reach holds until it is reached."""
@@ -122,7 +122,7 @@
 
     def record_answer(self, number: int, evidence: handover.Evidence) -> None:
         """Take what an order's answer proves; what does not prove an end may be out of date."""
-        if number >= self._latest_answered or handover.has_let_go(evidence):
+        if number >= self._latest_answered or handover.is_released(evidence):
             self._latest_answered = max(number, self._latest_answered)
             self.record_evidence(evidence)
 
@@ -239,7 +239,7 @@
             stop_order.is_at_destination = result.outcome is dialects.CopyOutcome.COPIED
             if not stop_order.is_needed:
                 self._drop_copy(stop_order)
-        evidence = handover.judge(
+        evidence = handover.derive_evidence(
             _read_word(result), is_stream_open=is_stream_open, may_be_copying=may_be_copying
         )
         stop_order.record_answer(number, evidence)
@@ -259,7 +259,7 @@
             )
             if stop_order.is_released:
                 break
-            if stop_order.evidence is handover.Evidence.OUT_OF_REACH:
+            if stop_order.evidence is handover.Evidence.UNREACHABLE:
                 await self._await_reach(stop_order)
                 stop_order.record_evidence(handover.Evidence.NONE)
                 continue
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -454,7 +454,7 @@
             return True
         unread = self._usage.get(target.address).unread
         prompt_tokens = admission.facts.prompt_tokens
-        return queueing.may_begin(
+        return queueing.can_start(
             unread, prompt_tokens, objective_seconds, is_long=admission.is_long
         )
 
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -252,7 +252,7 @@
         if resume_point is None:
             return False
         evidence = await self._learn_end(stream, resume_point.target)
-        if not handover.may_go_on(evidence, stream.last_event_id):
+        if not handover.can_resume(evidence, stream.last_event_id):
             stream.problem += f"; nothing goes on with it: {evidence.value}"
             return False
         stop_order = stream.stop_order
@@ -277,7 +277,7 @@
             stream.stop_order = self._order_stop(stream, destination, is_stream_open=False)
         self._stop_orders.record_stream_end(stream.stop_order)
         if stream.is_unreachable and not stream.stop_order.is_released:
-            return handover.Evidence.OUT_OF_REACH
+            return handover.Evidence.UNREACHABLE
         return await stream.stop_order.wait_for_evidence(STOP_SECONDS)
 
     async def _return_to_source(
