--- a/tillerlane/decisions/__init__.py
+++ b/tillerlane/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What is decided on requests: plain functions over facts, without I/O, clock or random source."""
+"""Decisions about requests: pure functions without I/O, clock or random source."""
--- a/tillerlane/decisions/handover.py
+++ b/tillerlane/decisions/handover.py
@@ -1,8 +1,8 @@
-"""Whether a run may go on at another runner: what is known of the former one.
+"""Decides whether a run may be resumed at another runner, from what is known of the former one.
 
-A run must not be worked on by two runners.  What an entry does itself, as closing a connection,
-proves nothing about that: some runners work on, and a connection can break while its runner is
-well.  What counts is the former runner's word, or that its process has ended.
+At most one runner may work on a run.  An entry's own actions, such as closing the connection, prove
+nothing: some runners keep working after that, and a connection can break while its runner is
+healthy.  Only the former runner's own answer or the end of its process counts as proof.
 """
 
 import enum
@@ -11,36 +11,36 @@
 
 
 class StopOutcome(enum.StrEnum):
-    """What came of one order to a runner to stop a run."""
+    """Outcome of one order to a runner to stop a run."""
 
     STOPPED = "stopped"
-    """It names the run's memory as it was when it stopped."""
+    """The runner names the run's memory as it was when the run stopped."""
     NO_RUN = "no_run"
-    """It works on no such run now."""
+    """The runner is not working on this run."""
     ORDER_IN_PROGRESS = "order_under_way"
-    """An order for this run is being carried out already."""
+    """The runner is already carrying out an order for this run."""
     REFUSED = "refused"
-    """Its host is there and refuses connections to it."""
+    """The host is up and refuses connections to the runner's port."""
     UNREACHABLE = "unreachable"
-    """No connection to it came about."""
+    """No connection could be established."""
     UNCLEAR = "nothing"
-    """No clear answer."""
+    """No conclusive answer."""
 
 
 class Evidence(enum.StrEnum):
     """What is known of whether a former runner still works on a run."""
 
     NONE = "none"
-    """It can be reached and has not said."""
+    """The runner is reachable and has not answered."""
     STOPPED = "stopped"
-    """It has stopped the run."""
+    """The runner has stopped the run."""
     NO_RUN = "no_run"
-    """It had no such run when its stream had ended."""
+    """The runner did not have the run after the run's stream had ended."""
     PROCESS_ENDED = "process_ended"
     EXPIRED = "expired"
-    """The time limit that it was sent with the run has passed."""
+    """The time limit that was sent to the runner with the run has passed."""
     UNREACHABLE = "out_of_reach"
-    """It can't be told anything."""
+    """No order can be delivered to the runner."""
 
 
 _RELEASED = frozenset(Evidence) - {Evidence.NONE, Evidence.UNREACHABLE}
@@ -49,16 +49,16 @@
 def derive_evidence(
     outcome: StopOutcome, *, is_stream_open: bool, may_be_copying: bool
 ) -> Evidence:
-    """What a runner's word on an order to stop a run proves.
+    """Return what the outcome of an order to stop a run proves.
 
     Parameters
     ----------
     is_stream_open : bool
-        Whether the run's stream had not ended when the order was given.  A run that is pushed
-        aside for memory is none that a runner works on, and goes on later; a runner that leaves may
-        take no more connections and go on with what it has.
+        Whether the run's stream was still open when the order was sent.  A run that is paused to
+        free memory is not being worked on and resumes later; a runner that is shutting down may
+        refuse new connections and continue the runs it has.
     may_be_copying : bool
-        Whether the order under way may be one to copy the run while it goes on, and not to stop it.
+        Whether the order in progress may be one that copies the run without stopping it.
     """
     if is_stream_open and outcome in (StopOutcome.NO_RUN, StopOutcome.REFUSED):
         return Evidence.NONE
@@ -74,15 +74,16 @@
 
 
 def is_released(evidence: Evidence) -> bool:
-    """Whether a former runner certainly works on a run no more."""
+    """Whether the evidence proves that the former runner no longer works on the run."""
     return evidence in _RELEASED
 
 
 def can_resume(evidence: Evidence, last_event_id: str) -> bool:
-    """Whether a run may go on elsewhere with a copy of its memory.
+    """Whether a run may be resumed elsewhere from a copy of its memory.
 
-    It may also where nobody reaches the former runner: most of these have ended, and a caller would
-    wait for nothing.  The order to stop is then given for as long as that one could work on.
-    Without an event to go on behind, it would be another run.
+    This includes runs whose former runner is unreachable: most of these runners have ended, and the
+    caller would wait in vain.  The order to stop is then repeated for as long as the former runner
+    could still be working.  A run without any event has no position to resume from; what would
+    start elsewhere is a different run.
     """
     return bool(last_event_id) and (is_released(evidence) or evidence is Evidence.UNREACHABLE)
--- a/tillerlane/decisions/limits.py
+++ b/tillerlane/decisions/limits.py
@@ -1,15 +1,16 @@
-"""How many requests one entry may send to a target that bears so many from all entries together.
-
-A target that is cold, or that has named a limit, bears so many requests a second whoever sends
-them.  What an entry has heard of the others' sends is older than a rush, so entries can't keep such
-a bound by watching each other.  It is divided in one of two ways:
-
-* Permits: one owner gives them out as entries ask, at the rate that the target bears.  The limit is
-  used wherever callers want it, however uneven the traffic is.  For limits that targets name.
-* Shares by lot: each entry keeps to a number of its own in any window: its part of the rate in
-  whole requests, and for what is left over a lot that it draws for each target.  Nobody has to be
-  asked.  For cold targets, and for named limits while the owner can't be reached.  Shares that were
-  saved up for later would come all at once, from as many entries as have saved one.
+"""How many requests one entry may send to a target whose capacity all entries share.
+
+A cold target, or one that has named a limit, sustains a certain request rate whatever entry sends
+them.  An entry's knowledge of the other entries' sends is older than a burst lasts, so entries
+cannot enforce the limit by watching each other.  It is divided in one of two ways:
+
+* Permits: one owner grants them as entries request them, at the rate that the target sustains.  The
+  full limit is available wherever callers need it, however uneven the traffic is.  This is used for
+  limits that targets name.
+* Hash-based shares: each entry has a fixed number of requests in any window, which is its part of
+  the rate rounded down or up by a hash of the entry and the target.  It needs no communication.
+  This is used for cold targets, and for named limits while the owner is unreachable.  Shares do not
+  accumulate: accumulated shares of many entries would arrive at the target all at once.
 """
 
 import dataclasses
@@ -29,56 +30,57 @@
 ]
 
 MARGIN_DEVIATIONS = 4.0
-"""Standard deviations of the entries' lots that fit below the bound."""
+"""Margin below the maximum, in standard deviations of the sum of all entries' shares."""
 WINDOW_SECONDS = 4.0
-"""Span within which a target must not get more than its limit and the slack."""
+"""Window within which a target must not receive more than its limit plus the slack."""
 SLACK_REQUESTS = 5.0
-"""Requests beyond its limit that a target bears within the window."""
+"""Requests above its limit that a target tolerates within a window."""
 FALLBACK_SHARE = 0.5
-"""Part of a named limit that is divided by lot: what was permitted shortly before comes on top."""
+"""Part of a named limit that is divided into hash-based shares.  The rest is left for permits that
+were granted shortly before and may still be used."""
 PERMITTED_SHARE = 0.95
-"""Part of a named limit that is given out, so that permits held for a while fit below it."""
+"""Part of a named limit that is granted as permits, to leave room for permits held unused."""
 MIN_PERMIT_RATE = 0.25
-"""Permits a second whatever the limit, so that the end of a target's need shows in its answers; the
-slack bears them."""
+"""Permits per second granted even below the limit, so that a target's answers can show that the
+limit has been lifted; the slack covers them."""
 BASE_BURST, BURST_SECONDS = 2.0, 0.1
-"""Permits that may be saved up: so many, and those of so many seconds of the limit."""
+"""Permits that may accumulate: a base number, plus the limit times this many seconds."""
 MAX_HOLD_SECONDS = 0.6
-"""Longest time for which a permit holds: what an entry with little traffic holds, another wants."""
+"""Maximum lifetime of a permit; one held by an entry with little traffic is missing elsewhere."""
 MAX_RETRY_DELAY_SECONDS = 5.0
-"""Longest time after which a refused caller is told to come back."""
+"""Maximum delay after which a refused caller is told to retry."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WindowQuota:
-    """What a target bears from all entries together.
+    """Requests that a target may receive from all entries together within any window.
 
     Attributes
     ----------
-    wished : float
-        Requests within any window that it is meant to get.
-    most : float
-        Requests within any window above which it may fall over.
+    desired : float
+        Number to aim for.
+    maximum : float
+        Number above which the target may be overloaded.
     """
 
     desired: float
     maximum: float
 
 
-# Shares by lot
+# Hash-based shares
 
 
 def compute_share(quota: WindowQuota, entries: int, fraction: float) -> int:
-    """Requests that one entry may send to a target within any window.
+    """Return the number of requests that one entry may send to a target within any window.
 
     Parameters
     ----------
-    rate : Rate
-        What the target bears.
+    quota : WindowQuota
+        Requests that the target may receive from all entries.
     entries : int
-        Entries of the fleet; 0 where it is not known, which allows nothing.
-    lot : float
-        Drawn evenly from 0 to 1 for this entry and target.
+        Entries of the fleet; 0 if unknown, which allows no request.
+    fraction : float
+        Uniformly distributed from 0 to 1 over entries and targets; decides the rounding.
     """
     if entries <= 0:
         return 0
@@ -86,17 +88,17 @@
 
 
 def compute_hash_fraction(entry: str, target_id: str) -> float:
-    """A lot from 0 to 1, always the same for an entry and a target."""
+    """Return a fraction from 0 to 1 that is always the same for an entry and a target."""
     digest = hashlib.blake2b(f"{entry}:{target_id}".encode(), digest_size=4).digest()
     return int.from_bytes(digest) / 2**32
 
 
 def compute_expected_requests(quota: WindowQuota, entries: int) -> float:
-    """Requests within a window that all entries together aim at.
+    """Return the expected sum of all entries' shares within a window.
 
-    The sum of their lots is spread by the root of the requests that they stand for, and by half the
-    root of their number at most.  The aim is lowered until `MARGIN_DEVIATIONS` times that
-    stays below the bound.
+    The standard deviation of the sum is at most the square root of its mean, and at most half the
+    square root of the number of entries.  The mean is reduced until `MARGIN_DEVIATIONS` times that
+    fits below the maximum.
     """
     if (
         quota.desired + MARGIN_DEVIATIONS * math.sqrt(min(quota.desired, entries / 4))
@@ -108,9 +110,9 @@
 
 
 def compute_fallback_quota(limit: float) -> WindowQuota:
-    """What entries divide by lot of a named limit (requests a second), in `WINDOW_SECONDS`."""
-    borne = limit * WINDOW_SECONDS
-    return WindowQuota(FALLBACK_SHARE * borne, borne + SLACK_REQUESTS)
+    """Return the quota for hash-based shares of a named limit in requests per second."""
+    sustained = limit * WINDOW_SECONDS
+    return WindowQuota(FALLBACK_SHARE * sustained, sustained + SLACK_REQUESTS)
 
 
 # Permits
@@ -118,32 +120,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bucket:
-    """Permits that the owner may give out for one target, as of a time of the event loop."""
+    """Token bucket of permits that the owner may grant for one target.
+
+    Attributes
+    ----------
+    permits : float
+        Permits available at `updated_at`.
+    updated_at : float
+        Time of the event loop.
+    """
 
     permits: float
     updated_at: float
 
     def acquire(self, requested: int) -> tuple["Bucket", int]:
-        """Give out as many as are wished, and are there."""
-        given = max(0, min(requested, math.floor(self.permits)))
-        return dataclasses.replace(self, permits=self.permits - given), given
+        """Return the bucket without the granted permits, and their number."""
+        granted = max(0, min(requested, math.floor(self.permits)))
+        return dataclasses.replace(self, permits=self.permits - granted), granted
 
 
 def refill(bucket: Bucket, limit: float, now: float, returned: int = 0) -> Bucket:
-    """The bucket with what has become free since, for a limit in requests a second.
+    """Return the bucket with the permits accrued since its last update.
 
-    `returned` are permits given back before their time was over.
+    `limit` is in requests per second; `returned` counts permits given back before they expired.
     """
     gained = returned + (now - bucket.updated_at) * _compute_permit_rate(limit)
     return Bucket(min(_compute_burst(limit), bucket.permits + gained), now)
 
 
 def compute_hold_seconds(limit: float) -> float:
-    """How long an entry may hold a permit before it uses it.
+    """Return how long an entry may hold a permit before it uses it.
 
-    Within any window a target gets what was saved up, and what was given out in the window and for
-    as long before as permits are held.  This holds them for as long as that stays below the limit
-    and the slack.
+    Within any window a target receives at most the accumulated permits, and those granted in the
+    window and up to one hold time before it.  The hold time is chosen so that this stays below the
+    limit plus the slack.
     """
     spare = limit * WINDOW_SECONDS + SLACK_REQUESTS - _compute_burst(limit)
     rate = _compute_permit_rate(limit)
@@ -158,14 +168,14 @@
     return BASE_BURST + BURST_SECONDS * limit
 
 
-# Callers who are refused
+# Refused callers
 
 
 def schedule_retry(previous_at: float, now: float, rate: float) -> float:
-    """When the next refused caller may come back, behind the one who was told `booked_at`.
+    """Return when the next refused caller may retry, after the one scheduled for `previous_at`.
 
-    Callers come back one after another, as fast as the pool bears them from one entry (`rate`, in
-    requests a second), and no later than `MAX_RETRY_DELAY_SECONDS`.
+    Retries are spaced at `rate`, the requests per second that the pool sustains from one entry, and
+    are at most `MAX_RETRY_DELAY_SECONDS` away.
     """
     if rate <= 0:
         return now + MAX_RETRY_DELAY_SECONDS
--- a/tillerlane/decisions/tests/test_handover.py
+++ b/tillerlane/decisions/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""When a run may go on at another runner."""
+"""When a run may be resumed at another runner."""
 
 import itertools
 import unittest
@@ -10,10 +10,10 @@
 
 
 class HandoverTest(unittest.TestCase):
-    """All kinds of words and evidence."""
+    """All stop outcomes and kinds of evidence."""
 
     def test_evidence(self) -> None:
-        let_go = {
+        released = {
             Evidence.NONE: False,
             Evidence.STOPPED: True,
             Evidence.NO_RUN: True,
@@ -21,29 +21,31 @@
             Evidence.EXPIRED: True,
             Evidence.UNREACHABLE: False,
         }
-        self.assertEqual({item: handover.is_released(item) for item in Evidence}, let_go)
-        may = {item: handover.can_resume(item, "7") for item in Evidence}
-        self.assertEqual(may, {**let_go, Evidence.UNREACHABLE: True})
+        self.assertEqual({item: handover.is_released(item) for item in Evidence}, released)
+        resumable = {item: handover.can_resume(item, "7") for item in Evidence}
+        self.assertEqual(resumable, {**released, Evidence.UNREACHABLE: True})
 
-    def test_not_before_the_first_event(self) -> None:
+    def test_run_without_an_event_is_not_resumed(self) -> None:
         self.assertFalse(any(handover.can_resume(item, "") for item in Evidence))
 
-    def test_words(self) -> None:
-        always = {
+    def test_stop_outcomes(self) -> None:
+        unconditional = {
             StopOutcome.STOPPED: Evidence.STOPPED,
             StopOutcome.UNREACHABLE: Evidence.UNREACHABLE,
             StopOutcome.UNCLEAR: Evidence.NONE,
         }
         for is_open, copying in itertools.product((False, True), repeat=2):
             expected = {
-                **always,
+                **unconditional,
                 StopOutcome.NO_RUN: Evidence.NONE if is_open else Evidence.NO_RUN,
                 StopOutcome.REFUSED: Evidence.NONE if is_open else Evidence.PROCESS_ENDED,
                 StopOutcome.ORDER_IN_PROGRESS: Evidence.NONE if copying else Evidence.STOPPED,
             }
             found = {
-                word: handover.derive_evidence(word, is_stream_open=is_open, may_be_copying=copying)
-                for word in StopOutcome
+                outcome: handover.derive_evidence(
+                    outcome, is_stream_open=is_open, may_be_copying=copying
+                )
+                for outcome in StopOutcome
             }
             self.assertEqual(found, expected, (is_open, copying))
 
--- a/tillerlane/decisions/tests/test_limits.py
+++ b/tillerlane/decisions/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Shares of a cold target's rate: what all entries together send within any second."""
+"""Hash-based shares of a cold target's rate: all entries' sends within any second."""
 
 import random
 import unittest
@@ -13,73 +13,73 @@
 STEP_SECONDS = 0.05
 TARGETS = 100
 
-MaySend = Callable[[int, list[float], float], bool]
-"""(entry, times of its sends, now) gives whether it may send."""
+CanSend = Callable[[int, list[float], float], bool]
+"""(entry, times of its sends, now) to whether it may send."""
 
 
 def count_most(times: list[float]) -> int:
-    """Most sends within any second."""
+    """Return the maximum number of sends within any second."""
     ordered = sorted(times)
-    most, first = 0, 0
+    maximum, first = 0, 0
     for last, at in enumerate(ordered):
         while ordered[first] <= at - 1.0:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        maximum = max(maximum, last - first + 1)
+    return maximum
 
 
-def play_entries(entries: int, may_send: MaySend, begin_with: float) -> list[float]:
-    """Times of all sends to one target by entries that have something to send all the time.
+def simulate_entries(entries: int, can_send: CanSend, start_at: float) -> list[float]:
+    """Return the times of all sends to one target by entries that always have something to send.
 
-    They begin together at a moment, as when a data hall comes back in the middle of a rush.
+    All start at the same moment, as when a data hall comes back during a burst.
     """
     sent: list[list[float]] = [[] for _ in range(entries)]
-    now = begin_with
-    while now < begin_with + SECONDS:
+    now = start_at
+    while now < start_at + SECONDS:
         for entry in range(entries):
-            while may_send(entry, sent[entry], now):
+            while can_send(entry, sent[entry], now):
                 sent[entry].append(now)
         now += STEP_SECONDS
     return [at for times in sent for at in times]
 
 
-def build_shares(rate: limits.WindowQuota, entries: int, rng: random.Random) -> MaySend:
-    """The decision as entries take it, with their lots for one target."""
-    shares = [limits.compute_share(rate, entries, rng.random()) for _ in range(entries)]
+def build_shares(quota: limits.WindowQuota, entries: int, rng: random.Random) -> CanSend:
+    """Return the decision of entries with their hash-based shares for one target."""
+    shares = [limits.compute_share(quota, entries, rng.random()) for _ in range(entries)]
 
-    def may_send(entry: int, times: list[float], now: float) -> bool:
+    def can_send(entry: int, times: list[float], now: float) -> bool:
         return sum(at > now - 1.0 for at in times) < shares[entry]
 
-    return may_send
+    return can_send
 
 
-def build_savings(rate: limits.WindowQuota, entries: int) -> MaySend:
-    """The other way: each entry saves its share of the rate, up to one request."""
-    each = rate.desired / entries
+def build_accumulating(quota: limits.WindowQuota, entries: int) -> CanSend:
+    """Return the rejected alternative: each entry accumulates its share, up to one request."""
+    each = quota.desired / entries
 
-    def may_send(entry: int, times: list[float], now: float) -> bool:
+    def can_send(entry: int, times: list[float], now: float) -> bool:
         return not times or now - times[-1] >= 1 / each
 
-    return may_send
+    return can_send
 
 
 class ShareTest(unittest.TestCase):
     """All entries together."""
 
-    def play_targets(self, wished: float, over: float, slack: float, entries: int) -> float:
-        """Assert the bound for many targets; the mean number of sends a second."""
-        rate = limits.WindowQuota(wished, wished * over + slack)
+    def simulate_targets(self, desired: float, over: float, slack: float, entries: int) -> float:
+        """Assert the maximum for many targets, and return the mean number of sends per second."""
+        quota = limits.WindowQuota(desired, desired * over + slack)
         rng = random.Random(1)
         total = 0.0
         for _ in range(TARGETS):
-            times = play_entries(entries, build_shares(rate, entries, rng), 0.0)
-            self.assertLessEqual(count_most(times), rate.maximum)
+            times = simulate_entries(entries, build_shares(quota, entries, rng), 0.0)
+            self.assertLessEqual(count_most(times), quota.maximum)
             total += len(times) / SECONDS
         return total / TARGETS
 
-    def test_no_second_above_the_bound_and_most_of_the_rate_used(self) -> None:
-        """Share of the rate that is used where there is always something to send."""
-        for wished, entries, least in (
+    def test_maximum_is_kept_in_every_second_and_rate_is_mostly_used(self) -> None:
+        """Checks the used share of the rate while there is always something to send."""
+        for desired, entries, min_share in (
             (5.0, 68, 0.75),
             (34.0, 68, 0.9),
             (34.0, 22, 0.9),
@@ -87,18 +87,18 @@
             (5.0, 4, 0.9),
             (0.5, 22, 0.5),
         ):
-            with self.subTest(wished=wished, entries=entries):
-                used = self.play_targets(wished, 1.5, 5.0, entries)
-                self.assertGreater(used, least * wished)
-                self.assertLess(used, 1.2 * wished)
-
-    def test_savings_break_the_bound(self) -> None:
-        """What is not chosen: 68 in the first second with a rate of 5 and a bound of 12.5."""
-        rate = limits.WindowQuota(5.0, 12.5)
-        times = play_entries(68, build_savings(rate, 68), 0.0)
-        self.assertGreater(count_most(times), rate.maximum)
-
-    def test_entry_that_does_not_know_the_fleets_size_sends_nothing(self) -> None:
+            with self.subTest(desired=desired, entries=entries):
+                used = self.simulate_targets(desired, 1.5, 5.0, entries)
+                self.assertGreater(used, min_share * desired)
+                self.assertLess(used, 1.2 * desired)
+
+    def test_accumulated_shares_exceed_the_maximum(self) -> None:
+        """The rejected alternative: 68 sends in the first second at a rate of 5, maximum 12.5."""
+        quota = limits.WindowQuota(5.0, 12.5)
+        times = simulate_entries(68, build_accumulating(quota, 68), 0.0)
+        self.assertGreater(count_most(times), quota.maximum)
+
+    def test_entry_without_the_fleet_size_sends_nothing(self) -> None:
         self.assertEqual(limits.compute_share(limits.WindowQuota(34.0, 56.0), 0, 0.99), 0)
 
     @profiles.choose(200)
@@ -108,15 +108,15 @@
         strategies.floats(0.0, 20.0),
         strategies.integers(1, 500),
     )
-    def test_mean_of_the_shares_is_the_aim(
-        self, wished: float, over: float, slack: float, entries: int
+    def test_mean_share_is_the_expected_one(
+        self, desired: float, over: float, slack: float, entries: int
     ) -> None:
-        rate = limits.WindowQuota(wished, wished * over + slack)
-        aim = limits.compute_expected_requests(rate, entries)
-        self.assertLessEqual(aim, wished)
-        lots = [(number + 0.5) / 1_000 for number in range(1_000)]
-        mean = sum(limits.compute_share(rate, entries, lot) for lot in lots) / 1_000
-        self.assertAlmostEqual(mean, aim / entries, delta=0.002)
+        quota = limits.WindowQuota(desired, desired * over + slack)
+        expected = limits.compute_expected_requests(quota, entries)
+        self.assertLessEqual(expected, desired)
+        fractions = [(number + 0.5) / 1_000 for number in range(1_000)]
+        mean = sum(limits.compute_share(quota, entries, fraction) for fraction in fractions) / 1_000
+        self.assertAlmostEqual(mean, expected / entries, delta=0.002)
 
 
 if __name__ == "__main__":
