--- a/tillerlane/decisions/voters.py
+++ b/tillerlane/decisions/voters.py
@@ -1,15 +1,15 @@
-"""Who votes in the replicated log: what it bears, and the next change, as plain functions.
-
-The load that they answer: a keeper is lost for good and an empty one comes elsewhere, and soon
-after two more disks are lost; or a leader is lost in the middle of such an exchange.
-
-A voter that is silent is taken off the record first, and the newcomer is put on it then.  The other
-order bears as many losses at each moment (with five voters and one lost: one, one, two), but a
-leader that is lost in between leaves six voters with one silent, and its successor has to wait for
-that silence; four voters and a newcomer need no waiting.  One step for both would need two quorums
-at a time, since two majorities of voter sets that differ in two need not meet; it bears no more
-either.  A voter that answers and is about to leave goes last, so that the others bear as many
-losses meanwhile.
+"""Chooses the next change of the replicated log's voters, and computes its fault tolerance.
+
+The design handles a keeper that is lost for good and replaced by an empty one elsewhere, with two
+more disks lost soon after, and the loss of a leader in the middle of such a replacement.
+
+An unreachable voter is removed first, and then the newcomer is added.  The opposite order tolerates
+as many losses at each moment (with five voters and one lost: one, one, two).  But if a leader is
+lost in between, it leaves six voters with one unreachable, and its successor has to wait until that
+one is timed out; with four voters and a newcomer there is nothing to wait for.  A combined step
+would need two quorums at a time, since majorities of voter sets that differ in two members need not
+intersect, and it tolerates no more losses.  A reachable voter that is about to leave is removed
+last, so that the others tolerate as many losses in the meantime.
 """
 
 import dataclasses
@@ -28,16 +28,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Voter:
-    """A voter as the leader sees it.
+    """A voter as observed by the leader.
 
     Attributes
     ----------
     name : str
         Its daemon id.
     unreachable_seconds : float
-        Since it last answered with the disk that is on record; 0 for the leader itself.
+        Time since its last answer with the disk on record; 0 for the leader itself.
     is_leaving : bool
-        Whether it says that it stops.
+        Whether it has reported that it is shutting down.
     """
 
     name: str
@@ -54,7 +54,7 @@
     name : str
         Its daemon id.
     is_ready : bool
-        Whether it holds all that is committed, and answers.
+        Whether it holds all committed entries and is reachable.
     """
 
     name: str
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RemoveVoter:
-    """Take a keeper's vote away, for a reason in words."""
+    """Remove a keeper's vote; the reason is logged."""
 
     name: str
     reason: str
@@ -80,24 +80,25 @@
 
 
 def compute_quorum(voters: int) -> int:
-    """Voters that decide, of so many."""
+    """Return the size of a majority."""
     return voters // 2 + 1
 
 
 def count_tolerable_losses(voters: int, live: int) -> int:
-    """Disks that may be lost next while the log can still go on.
+    """Return how many more disks may be lost while the log stays available.
 
     Parameters
     ----------
     voters : int
         Voters on record.
     live : int
-        Those of them that answer, with the disk that is on record.
+        Those of them that answer with the disk on record.
 
     Returns
     -------
     int
-        0 if the next loss stops the log; below 0 the log stands still, for want of so many.
+        0 if the next loss stops the log; negative if the log is unavailable, by the number of
+        voters missing from a quorum.
     """
     return live - compute_quorum(voters)
 
@@ -105,29 +106,29 @@
 def choose_step(
     voters: list[Voter], standbys: list[Standby], desired: int, timeout_seconds: float
 ) -> Step | None:
-    """The next change of voters; None if all is as it should be, or nothing would better it.
+    """Return the next change of voters, or None if no change is needed or would help.
 
     Parameters
     ----------
     voters : list of Voter
-        All on record.
+        All voters on record.
     standbys : list of Standby
-        Keepers that could vote, the preferred one first.
-    wished : int
-        How many voters there should be.
-    patience : float
-        Seconds of silence after which a voter counts as lost.
+        Keepers that could vote, in order of preference.
+    desired : int
+        Desired number of voters.
+    timeout_seconds : float
+        Time without an answer after which a voter counts as lost.
     """
     ready = next((standby for standby in standbys if standby.is_ready), None)
     if len(voters) < desired:
         return AddVoter(ready.name) if ready else None
-    silent = [voter for voter in voters if voter.unreachable_seconds > timeout_seconds]
-    lost = max(silent, key=lambda voter: voter.unreachable_seconds, default=None)
+    unreachable = [voter for voter in voters if voter.unreachable_seconds > timeout_seconds]
+    lost = max(unreachable, key=lambda voter: voter.unreachable_seconds, default=None)
     leaving = next((voter for voter in voters if voter.is_leaving), None)
     if lost is not None and (ready or len(voters) > desired):
-        return RemoveVoter(lost.name, f"silent for {lost.unreachable_seconds:.1f} s")
+        return RemoveVoter(lost.name, f"unreachable for {lost.unreachable_seconds:.1f} s")
     if leaving is not None and len(voters) > desired:
-        return RemoveVoter(leaving.name, "it stops")
+        return RemoveVoter(leaving.name, "shutting down")
     if leaving is not None and ready:
         return AddVoter(ready.name)
     return None
