--- a/tillerlane/decisions/placing.py
+++ b/tillerlane/decisions/placing.py
@@ -1,16 +1,17 @@
-"""Which of a pool's runners a request goes to: how many are looked at, and what each one costs.
+"""Selects the runner of a pool that gets a request: how many candidates, and the cost of each.
 
-The load that it answers: hundreds of entries send short and long generations to runners that they
-share, that read prompts between the tokens of what runs there, and that run at different speeds.
+The load is hundreds of entries that send short and long generations to shared runners.  Runners
+interleave prefill with the tokens of the runs in progress, and run at different speeds.
 
-What an entry knows of a runner is some tenths of a second old.  If all took the runner that looks
-best, prompts would queue there while others are idle; so each looks at a few, drawn by lot, the
-fewer the more prompts it has not heard of (`count_candidates`).
+An entry's knowledge of a runner is some tenths of a second old.  If all entries chose the runner
+that looks best, prompts would queue there while other runners are idle.  Each entry therefore
+compares a few randomly sampled runners, fewer the more requests it has no report of
+(`count_candidates`).
 
-A long run feels its runner's speed for seconds, a short one hardly, so long runs are worth most on
-fast runners (`estimate_cost`).  Nothing is split beforehand: as the fast ones fill, what waits
-and runs there outweighs their speed, and a full pool is used whole.  A cost is in seconds of
-waiting.
+Long runs depend on their runner's speed for seconds and short ones hardly do, so that long runs
+gain most from fast runners (`estimate_cost`).  There is no fixed division of the pool: as the fast
+runners fill up, the work queued and running there outweighs their speed, so that a full pool is
+used completely.  Costs are in seconds of waiting.
 """
 
 import dataclasses
@@ -26,35 +27,36 @@
 ]
 
 PREFILL_TOKENS_PER_SECOND = 7_000
-"""Prompt tokens that a runner reads in a second beside what it writes: seen to be some 7 a
-millisecond, half of what a runner does that only reads."""
+"""Prompt tokens per second that a runner processes while it decodes: about 7 per millisecond, half
+the rate of a runner that does nothing else."""
 PRIOR_EVENTS = 20
-"""Events seen of a runner that count as much as the mean of its pool: as many as one run of some
-length writes in a second, after which its own pace is known to a tenth."""
+"""Weight of the pool's mean event time, as a number of events of the runner itself.  A run of some
+length writes that many in one second; a runner's own event time is then known to a tenth."""
 MIN_CANDIDATES = 2
-"""With two, the longest queue is already far shorter than with one drawn blindly."""
+"""With two candidates the longest queue is already far shorter than with a single random choice."""
 SAMPLING_FACTOR = 1.2
-"""Runners are drawn so that, of the prompts not heard of, 1 / 1.2 are expected to have met the same
-best runner.  Played with 30 runners, memory for all, and 49 prompts a second, six seeds:
-first pieces of short answers in time 0.90 with lots among all that one prompt more would make no
-worse, 0.97 with 1.0 and 1.4; with 27 a second 0.98 with 1.0, 0.99 with 1.4, but long runs take 2 in
+"""The number of candidates is chosen so that 1 / 1.2 of the unreported prompts are expected to have
+been compared with the same best runner.  In a simulation of 30 runners with memory for all and 49
+prompts per second (six seeds), the share of short requests whose first piece is in time is 0.90
+when sampling among all runners that one more prompt would not slow down, and 0.97 with factors 1.0
+and 1.4.  With 27 prompts per second it is 0.98 with 1.0 and 0.99 with 1.4, but long runs take 2 in
 100 longer with 1.4."""
 DEFAULT_EVENT_SECONDS = 0.04
-"""Pace of a pool of which nothing was seen yet; only differences between runners count."""
+"""Event time of a pool without observations; only differences between runners matter."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """What a request asks of a runner.
+    """Work of a request at a runner.
 
     Attributes
     ----------
     memory_tokens : int
-        Memory that it is counted with.
+        Memory that the request is expected to need.
     prompt_tokens : int
-        Prompt that has to be read; 0 for a run that comes with its memory.
+        Prompt to prefill; 0 for a run that arrives with its memory.
     events : float
-        Events that it is expected to write yet.
+        Expected number of events still to be written.
     """
 
     memory_tokens: int
@@ -64,18 +66,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CandidateLoad:
-    """What is under way at a runner, and what it has room for.
+    """Load and capacity of a runner.
 
     Attributes
     ----------
     requests, slots : int
-        Requests that it has, and that it runs at once.
+        Requests at the runner, and how many it can run at once.
     tokens, memory_tokens : int
-        Memory used, and all of it.
+        Memory in use, and its total.
     unread : int
-        Prompt tokens that wait to be read.
+        Prompt tokens that wait for prefill.
     event_seconds : float
-        Time from one event of a run to the next.
+        Time between two events of a run.
     """
 
     requests: int
@@ -87,38 +89,40 @@
 
 
 def count_candidates(targets: int, unreported: float) -> int:
-    """How many of so many targets to look at, with so many requests not heard of."""
-    wished = round(targets / max(1.0, SAMPLING_FACTOR * unreported))
-    return min(targets, max(MIN_CANDIDATES, wished))
+    """Return how many targets to compare, given the expected number of unreported requests."""
+    desired = round(targets / max(1.0, SAMPLING_FACTOR * unreported))
+    return min(targets, max(MIN_CANDIDATES, desired))
 
 
-def compute_pool_event_seconds(seen: Iterable[tuple[int, int]]) -> float:
-    """Seconds an event over all runners of a pool, from (events, milliseconds) of each."""
+def compute_pool_event_seconds(observed: Iterable[tuple[int, int]]) -> float:
+    """Return the mean seconds per event of a pool, from (events, milliseconds) of each runner."""
     events = milliseconds = 0
-    for number, took_ms in seen:
+    for number, took_ms in observed:
         events += number
         milliseconds += took_ms
     return milliseconds / events / 1000 if events > 0 else DEFAULT_EVENT_SECONDS
 
 
 def estimate_event_seconds(events: int, event_ms: int, pool_event_seconds: float) -> float:
-    """Seconds an event at one runner; the less was seen of it, the nearer to the pool's."""
+    """Estimate the seconds per event of a runner, pulled to the pool's mean if observed little."""
     return (event_ms / 1000 + PRIOR_EVENTS * pool_event_seconds) / (events + PRIOR_EVENTS)
 
 
 def estimate_cost(work: Work, load: CandidateLoad, pool_event_seconds: float) -> float:
-    """Seconds that a caller waits more if this runner gets the work; only differences count.
-
-    They are the prompts that are read before its own, and the time that its run takes beside the
-    pool's mean.  Runs and memory count by their share, which spreads runs evenly and keeps room for
-    what grows.
-
-    Played with 30 runners, a third of them 1.3 times as slow, and 27 prompts a second
-    (`tillerlane.testing.engine_play`, six seeds): an event of a long run takes 36.9 ms where all
-    count alike and 34.4 ms with their pace.  Two further terms gained nothing and are left out:
-    what a prompt's reading costs the runs beside it (34.3 in place of 34.6 ms, and with 49 prompts
-    a second 0.87 in place of 0.92 of short requests' first pieces in time), and a cost of memory
-    that rises faster as memory fills (up to 0.1 fewer of these with 35 prompts a second).
+    """Estimate the seconds that a caller waits if this runner gets the work.
+
+    Only differences between runners matter.  The cost consists of the prefill queued before the
+    work, its own prefill, and the time that its events take above the pool's mean.  Requests and
+    memory are added as shares of the runner's capacity, which spreads runs evenly and keeps room
+    for runs that grow.
+
+    In a simulation of 30 runners, a third of them 1.3 times as slow, with 27 prompts per second
+    (`tillerlane.testing.engine_play`, six seeds), an event of a long run takes 36.9 ms if event
+    times are ignored and 34.4 ms if they count.  Two further terms were rejected because they
+    brought no gain: the cost of a prefill for the runs beside it (34.3 instead of 34.6 ms, but with
+    49 prompts per second only 0.87 instead of 0.92 of short requests' first pieces in time), and a
+    memory cost that grows faster as memory fills (up to 0.1 fewer of these with 35 prompts per
+    second).
     """
     slowness = load.event_seconds / pool_event_seconds
     crowding = load.requests / max(1, load.slots)
--- a/tillerlane/decisions/queueing.py
+++ b/tillerlane/decisions/queueing.py
@@ -1,9 +1,9 @@
-"""Where a request waits: at its entry, or in a runner's own queue.
+"""Decides where a request waits: at its entry, or in a runner's own queue.
 
-The load that it answers: prompts come in rushes, up to what all runners together can read, while
-each runner reads one after another.  What waits in a runner's queue can't go elsewhere any more:
-not when another runner is free first, and not when its own runner leaves, which takes it along.
-What waits at its entry goes to whichever runner has read enough, so that the entries together hold
+Prompts arrive in bursts of up to the prefill capacity of all runners together, while each runner
+processes its prompts one after another.  A request in a runner's queue is bound to that runner: it
+can't move when another runner is free first, and it is lost when its own runner leaves.  A request
+that waits at its entry goes to whichever runner is ready for it, so that the entries together hold
 one queue for all runners.
 """
 
@@ -12,44 +12,44 @@
 __all__ = ["RUNNER_RANK", "can_start"]
 
 RUNNER_RANK = 5
-"""Rank at a runner of all runs whose workspace has none of its own.
-
-A runner reads more urgent prompts first and pushes less urgent runs aside for them, in the middle
-of their answer, where memory is short: a long run then pauses for as long as all of it takes to be
-read again.  With the routes' own ranks (short ones first) in the play that `LONG_PREFILL_SHARE`
-names, at 0.8 of what runners can read 0.989 of the short requests come in time and 0.899 of the
-long ones unbroken, with one rank 0.988 and 0.982; at 0.95 it is 0.846 and 0.611, and 0.805 and
-0.824.
+"""Rank at a runner of all runs whose workspace sets none.
+
+A runner prefills more urgent prompts first.  Where memory is short it preempts less urgent runs for
+them in the middle of their answers, and a long run then pauses until its whole context has been
+prefilled again.  In the simulation described at `LONG_PREFILL_SHARE`, at 0.8 of the prefill
+capacity, the routes' own ranks (short ones first) give 0.989 of the short requests in time and
+0.899 of the long ones unbroken, and a common rank gives 0.988 and 0.982; at 0.95 it is 0.846 and
+0.611 against 0.805 and 0.824.
 """
 
 LONG_PREFILL_SHARE = 0.63
 SHORT_PREFILL_SHARE = 0.48
-"""Share of the time within which a first piece is in time that a runner may take to read what it
-has, the new prompt included, for long runs and for short ones: a prompt that is sent then comes in
-time at a runner half as slow again, and no runner is idle while the next prompt is on its way.
-
-Played with 15 runners, memory for six long runs each, a third of them slow, at 0.8 and 0.95 of what
-they can read (`tillerlane.testing.engine_play`, three seeds), short requests' first pieces in time
-and long runs in time and unbroken: all sent at once 0.962 and 0.941, 0.782 and 0.727; with 0.57
-and 0.48 of the aims (6,000 tokens) 0.976 and 0.973, 0.808 and 0.749; with these shares (5,000 and
-8,000 tokens) 0.980 and 0.985, 0.814 and 0.817; the other way round (8,000 and 5,000) 0.977 and
-0.949, 0.830 and 0.642.
+"""Share of the first-piece objective that a runner's queued prefill, the new prompt included, may
+take, for long and for short runs.  A prompt is then in time even at a runner half as slow again,
+and no runner idles while the next prompt is on its way.
+
+In a simulation of 15 runners with memory for six long runs each, a third of them slow, at 0.8 and
+0.95 of the prefill capacity (`tillerlane.testing.engine_play`, three seeds), the shares of short
+requests with the first piece in time and of long runs in time and unbroken are: if all are sent at
+once, 0.962 and 0.941, 0.782 and 0.727; with 0.57 and 0.48 of the objectives (6,000 tokens), 0.976
+and 0.973, 0.808 and 0.749; with these shares (5,000 and 8,000 tokens), 0.980 and 0.985, 0.814 and
+0.817; the other way round (8,000 and 5,000), 0.977 and 0.949, 0.830 and 0.642.
 """
 
 
 def can_start(unread: int, prompt_tokens: int, objective_seconds: float, *, is_long: bool) -> bool:
-    """Whether a runner that has so many prompt tokens to read may get a prompt now.
+    """Whether a prompt may be sent now to a runner with this much queued prefill.
 
     Parameters
     ----------
     unread : int
-        Prompt tokens that wait at the runner.
+        Prompt tokens that wait for prefill at the runner.
     prompt_tokens : int
-        Those of the new prompt; one that finds none before it may begin whatever its size.
-    aim_seconds : float
-        Time from the request to a first piece that is in time; 0 where none is known.
+        Tokens of the new prompt; a prompt of any size may start at a runner with an empty queue.
+    objective_seconds : float
+        Time from the request within which the first piece is due; 0 if unknown.
     is_long : bool
-        Whether it is a run that holds memory for long and can't be run again.
+        Whether the run holds memory for long and can't be repeated.
     """
     if unread <= 0 or objective_seconds <= 0:
         return True
