--- a/tillerlane/members/__init__.py
+++ b/tillerlane/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is in the fleet: every daemon's own word, the platform's list, and failure detection."""
+"""Fleet membership: daemons' own records, the platform's host list, and failure detection."""
--- a/tillerlane/members/exchange.py
+++ b/tillerlane/members/exchange.py
@@ -1,7 +1,7 @@
-"""How members are told of: a daemon tells its home keeper, keepers tell each other and all.
+"""Propagation of member records: daemons announce to their home keeper, keepers to all others.
 
-Keepers pass on every change to each other, and to their subscribers only what matters to them:
-a daemon's report of its configuration version does not travel to hundreds of others.
+Keepers pass every change on to each other, and to their subscribers only significant ones: a
+daemon's configuration version does not travel to hundreds of others.
 """
 
 import asyncio
@@ -15,9 +15,9 @@
 
 __all__ = ["Announcer", "KeeperExchange", "is_significant"]
 
-GATHER_SECONDS = 0.05
-"""How long a keeper gathers changes before it passes them on."""
-AGE_SECONDS = 0.25
+BATCH_SECONDS = 0.05
+"""How long a keeper collects changes before it passes them on."""
+EXPIRY_INTERVAL_SECONDS = 0.25
 
 
 def is_significant(old: messages.Member | None, new: messages.Member) -> bool:
@@ -30,16 +30,16 @@
 
 
 class Announcer:
-    """A daemon's own record, told to its home keeper whenever it changes.
+    """Announces a daemon's own record to its home keeper whenever it changes.
 
     Parameters
     ----------
     member : messages.Member
-        The record at the start.
+        Initial record.
     view : views.MemberView
-        The daemon's own view; it learns of the record too.
+        The daemon's own view, which the record is merged into as well.
     get_home : callable
-        Gives the link to the home keeper, or None.
+        Returns the link to the home keeper, or None.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self._get_home = get_home
 
     def update(self, **changes: Any) -> None:
-        """Change the record and tell of it; nothing is told if nothing changed."""
+        """Change the record, and announce it if it differs."""
         changed = dataclasses.replace(self.member, **changes)
         if changed == self.member and self.member.sequence > 0:
             return
@@ -61,12 +61,12 @@
         self.announce(self._get_home())
 
     def reannounce(self, link: links.Link) -> None:
-        """Tell a new home; the rising sequence overrides what the former one suspects."""
+        """Announce to a new home; the higher sequence overrides the former home's suspicion."""
         self.member = dataclasses.replace(self.member, sequence=self.member.sequence + 1)
         self.announce(link)
 
     def announce(self, link: links.Link | None) -> None:
-        """Send the record."""
+        """Merge the record into the own view, and send it over the link, if any."""
         self._view.merge([self.member], asyncio.get_running_loop().time())
         if link is None:
             return
@@ -77,16 +77,16 @@
 
 
 class KeeperExchange:
-    """A keeper's part: passes changes on, suspects those whose link is lost.
+    """A keeper's side: passes changes on and suspects daemons whose link is lost.
 
     Parameters
     ----------
     view : views.MemberView
         The keeper's view.
     get_keepers : callable
-        Links to the other keepers.
+        Returns the links to the other keepers.
     get_subscribers : callable
-        Links of daemons that call this keeper their home.
+        Returns the links of the daemons that have this keeper as their home.
     """
 
     def __init__(
@@ -99,68 +99,72 @@
         self._get_keepers = get_keepers
         self._get_subscribers = get_subscribers
         self._homed: dict[links.Link, None] = {}
-        """Links over which a daemon told of itself; two keepers may have two of them."""
+        """Links over which a daemon announced itself; two keepers may have two links between
+        them."""
         self._pending: dict[str, messages.Member] = {}
-        self._told: dict[str, messages.Member] = {}
+        self._sent: dict[str, messages.Member] = {}
         self._changed = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        view.add_listener(self._note)
+        view.add_listener(self._record_changes)
 
     def start(self) -> None:
-        """Start passing on."""
-        self._tasks = [asyncio.create_task(self._pass_on()), asyncio.create_task(self._age())]
+        """Start the tasks that pass changes on and expire suspects."""
+        self._tasks = [
+            asyncio.create_task(self._pass_on_changes()),
+            asyncio.create_task(self._expire_suspects()),
+        ]
 
     def stop(self) -> None:
-        """Stop passing on."""
+        """Cancel the tasks."""
         for task in self._tasks:
             task.cancel()
 
     def handle_members(self, link: links.Link, body: messages.Members) -> None:
-        """Take members that a peer told of."""
+        """Merge members that a peer sent, and send all members to a newly homed daemon."""
         now = asyncio.get_running_loop().time()
         for member in body.members:
             if member.daemon_id == link.peer_id and link not in self._homed:
                 self._homed[link] = None
-                self._tell_all(link)
+                self._send_full_state(link)
         self._view.merge(body.members, now)
 
-    def _tell_all(self, link: links.Link) -> None:
+    def _send_full_state(self, link: links.Link) -> None:
         try:
             link.send(messages.Members(self._view.list_all(), whole=True))
         except links.LinkLost:
             return
 
     def handle_link_down(self, link: links.Link) -> None:
-        """Suspect a daemon that called this keeper its home, once its last link is lost."""
+        """Suspect a daemon that had this keeper as its home, once its last link is lost."""
         if link not in self._homed:
             return
         del self._homed[link]
         if all(other.peer_id != link.peer_id for other in self._homed):
             self._view.suspect(link.peer_id, asyncio.get_running_loop().time())
 
-    def _note(self, changed: list[messages.Member]) -> None:
+    def _record_changes(self, changed: list[messages.Member]) -> None:
         for member in changed:
             self._pending[member.daemon_id] = member
         self._changed.set()
 
-    async def _pass_on(self) -> None:
+    async def _pass_on_changes(self) -> None:
         while True:
             await self._changed.wait()
-            await asyncio.sleep(GATHER_SECONDS)
+            await asyncio.sleep(BATCH_SECONDS)
             self._changed.clear()
             members = list(self._pending.values())
             self._pending = {}
             significant = []
             for member in members:
-                if is_significant(self._told.get(member.daemon_id), member):
+                if is_significant(self._sent.get(member.daemon_id), member):
                     significant.append(member)
-                self._told[member.daemon_id] = member
+                self._sent[member.daemon_id] = member
             _send(self._get_keepers(), members)
             _send(self._get_subscribers(), significant)
 
-    async def _age(self) -> None:
+    async def _expire_suspects(self) -> None:
         while True:
-            await asyncio.sleep(AGE_SECONDS)
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
             self._view.expire_suspects(asyncio.get_running_loop().time())
 
 
--- a/tillerlane/members/tests/test_members.py
+++ b/tillerlane/members/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who is there: merged views, the platform's list, daemons without fresh word."""
+"""Membership: merged views, the platform's list, and daemons without fresh records."""
 
 import asyncio
 import json
@@ -15,25 +15,25 @@
 
 
 def build_member(incarnation: int, sequence: int, leaving: bool = False) -> messages.Member:
-    """A daemon's word."""
+    """Return a daemon's own record."""
     return messages.Member(
         "a", incarnation, sequence, "10.0.0.1:1", "10.0.0.1:2", "hall", ["agent"], ["t"], leaving
     )
 
 
 class ViewTest(unittest.TestCase):
-    """Merging."""
+    """Merging of records."""
 
     @profiles.choose(100)
     @given(strategies.permutations([(1, 1), (1, 2), (1, 7), (2, 1), (2, 3)]))
-    def test_any_order_gives_the_latest(self, order: list[tuple[int, int]]) -> None:
+    def test_latest_record_wins_in_any_order(self, order: list[tuple[int, int]]) -> None:
         view = views.MemberView()
         for incarnation, sequence in [*order, *order]:
             view.merge([build_member(incarnation, sequence)], 0.0)
         latest = view.find("a")
         self.assertEqual((latest.incarnation, latest.sequence), (2, 3))
 
-    def test_suspicion_ages_and_own_word_overrides_it(self) -> None:
+    def test_suspect_expires_and_its_next_record_revives_it(self) -> None:
         view = views.MemberView()
         view.merge([build_member(1, 1)], 0.0)
         view.suspect("a", 1.0)
@@ -43,7 +43,7 @@
         view.merge([build_member(1, 2)], 4.0)
         self.assertEqual(view.find("a").state, views.LIVE)
 
-    def test_platform_can_only_say_leaving(self) -> None:
+    def test_platform_can_only_mark_as_leaving(self) -> None:
         view = views.MemberView()
         view.merge([build_member(1, 1)], 0.0)
         view.set_platform_leaving(["a", "unknown"])
@@ -51,7 +51,7 @@
         view.set_platform_leaving([])
         self.assertFalse(view.find("a").leaving)
 
-    def test_lists(self) -> None:
+    def test_parse_list(self) -> None:
         text = json.dumps({"hosts": {"a": "leaving", "b": "live", "c": "odd"}})
         self.assertEqual(platform.parse_list(text), {"a"})
         for bad in ("", "[]", '{"hosts": 3}', "{"):
@@ -62,13 +62,13 @@
 class FleetTest(scenes.SceneCase):
     """In a running fleet."""
 
-    def test_platform_list_drains_and_harms_nobody(self) -> None:
+    def test_platform_list_drains_a_host_and_invalid_list_is_ignored(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "hosts.json"
-            path.write_text("torn {")
+            path.write_text("truncated {")
 
             async def scene(stage: lab.Lab) -> None:
-                await stage.call("katalog", "ping", "a torn list changes nothing")
+                await stage.call("katalog", "ping", "a truncated list changes nothing")
                 await asyncio.to_thread(path.write_text, '{"hosts": {"agent-hall-a": "leaving"}}')
                 await asyncio.sleep(2)
                 before = len(stage.engines["r1"].sequences)
@@ -83,7 +83,7 @@
 
             self.play(scene, entry_settings={"platform_list": str(path)})
 
-    def test_no_fresh_word_serves_on_or_goes_unready(self) -> None:
+    def test_stale_entry_serves_on_or_becomes_unready(self) -> None:
         for action, ready in (("serve", True), ("unready", False)):
             with self.subTest(action=action):
 
@@ -101,7 +101,7 @@
                 own = {"stale_action": action, "stale_seconds": 5}
                 self.play(scene, entry_settings=own)
 
-    def test_flooding_workspace_costs_others_little(self) -> None:
+    def test_flooding_workspace_barely_delays_others(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             flood = [stage.begin_call("katalog", "record", f"flood {n}")[1] for n in range(200)]
             await asyncio.sleep(1)
--- a/tillerlane/members/view.py
+++ b/tillerlane/members/view.py
@@ -1,8 +1,9 @@
-"""The view of all members, merged from whatever is heard, in any order and any number of times.
+"""The view of all members, merged from records that arrive in any order and any number of times.
 
-Each daemon gives its own record a rising (incarnation, sequence); the highest is the truth.  A
-keeper that has lost a daemon's link says ``suspected`` and after a while ``gone``; the daemon's
-next own word overrides both.  The platform's list can only say that a host is leaving.
+Each daemon versions its own record with an increasing (incarnation, sequence); the highest one
+wins.  A keeper that has lost a daemon's link marks it ``suspected`` and, after a time-out,
+``gone``; the daemon's next record overrides both.  The platform's list can only mark a host as
+leaving.
 """
 
 import dataclasses
@@ -18,20 +19,20 @@
 GONE = "gone"
 
 SUSPICION_TIMEOUT_SECONDS = 1.0
-"""A member whose link is lost is suspected for this long before it is gone."""
+"""Time for which a member whose link is lost is suspected before it counts as gone."""
 RETENTION_SECONDS = 300.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Known:
-    """A member and when its state last changed here."""
+    """A member, and when its state last changed in this view."""
 
     member: messages.Member
     changed_at: float
 
 
 class MemberView:
-    """All members as known on one daemon.
+    """All members as known to one daemon.
 
     Parameters
     ----------
@@ -47,33 +48,33 @@
         self.keeper_addresses = set(keeper_addresses)
 
     def add_listener(self, listener: Callable[[list[messages.Member]], None]) -> None:
-        """Have `listener` called with the members that changed."""
+        """Call `listener` with the changed members after each change."""
         self._listeners.append(listener)
 
     def get_age(self, now: float) -> float:
-        """Seconds since the first member was heard of."""
+        """Return the seconds since the first member became known."""
         return now - self._first_at if self._first_at < math.inf else 0.0
 
     def merge(self, members: Iterable[messages.Member], now: float) -> list[messages.Member]:
-        """Take over what is newer; give what changed."""
+        """Apply records that are newer than the known ones, and return the changed members."""
         changed = []
         for member in members:
             known = self._known.get(member.daemon_id)
-            if known is not None and _order(member) <= _order(known.member):
+            if known is not None and _get_order(member) <= _get_order(known.member):
                 continue
             self._known[member.daemon_id] = _Known(member, now)
             changed.append(member)
         if changed:
             self._first_at = min(self._first_at, now)
-            self._tell(changed)
+            self._notify_listeners(changed)
         return changed
 
     def suspect(self, daemon_id: str, now: float) -> None:
-        """Take note that a member's link is lost."""
+        """Mark a member whose link is lost as suspected."""
         self._set_state(daemon_id, SUSPECTED, now)
 
     def expire_suspects(self, now: float) -> None:
-        """Turn suspects of some time into gone ones; forget those gone for long."""
+        """Mark suspects as gone after a time-out, and discard members gone for long."""
         for daemon_id, known in list(self._known.items()):
             age = now - known.changed_at
             if known.member.state == SUSPECTED and age > SUSPICION_TIMEOUT_SECONDS:
@@ -87,38 +88,39 @@
             return
         known.member = dataclasses.replace(known.member, state=state)
         known.changed_at = now
-        self._tell([known.member])
+        self._notify_listeners([known.member])
 
     def set_platform_leaving(self, daemon_ids: Iterable[str]) -> None:
-        """Take the platform's word on who is leaving."""
+        """Set which daemons the platform lists as leaving."""
         leaving = frozenset(daemon_ids)
         changed = leaving ^ self._platform_leaving
         self._platform_leaving = leaving
         members = [self.find(item) for item in changed]
-        self._tell([member for member in members if member is not None])
+        self._notify_listeners([member for member in members if member is not None])
 
-    def _tell(self, changed: list[messages.Member]) -> None:
+    def _notify_listeners(self, changed: list[messages.Member]) -> None:
         for listener in self._listeners:
             listener(changed)
 
-    def _see(self, member: messages.Member) -> messages.Member:
+    def _apply_platform_list(self, member: messages.Member) -> messages.Member:
         if member.daemon_id in self._platform_leaving and not member.leaving:
             return dataclasses.replace(member, leaving=True)
         return member
 
     def find(self, daemon_id: str) -> messages.Member | None:
-        """One member, or None."""
+        """Return one member, or None if it is unknown."""
         known = self._known.get(daemon_id)
-        return self._see(known.member) if known is not None else None
+        return self._apply_platform_list(known.member) if known is not None else None
 
     def list_all(self) -> list[messages.Member]:
-        """Every member still remembered."""
-        return [self._see(known.member) for known in self._known.values()]
+        """Return all known members, including gone ones that have not been discarded yet."""
+        return [self._apply_platform_list(known.member) for known in self._known.values()]
 
     def list_live(self) -> list[messages.Member]:
-        """Members that are not gone.
+        """Return the members that are not gone.
 
-        A suspected one still counts: its link to a keeper says little of its link to others.
+        Suspected members are included: a lost link to one keeper says little about their links to
+        other daemons.
         """
         return [member for member in self.list_all() if member.state != GONE]
 
@@ -126,5 +128,5 @@
 _STATE_ORDER = {LIVE: 0, SUSPECTED: 1, GONE: 2}
 
 
-def _order(member: messages.Member) -> tuple[int, int, int]:
+def _get_order(member: messages.Member) -> tuple[int, int, int]:
     return (member.incarnation, member.sequence, _STATE_ORDER[member.state])
