--- a/tillerlane/placement/__init__.py
+++ b/tillerlane/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which runner has which model: planned by the leading keeper, carried out by fenced orders."""
+"""Placement of models on runners: planned by the leading keeper, executed by fenced orders."""
--- a/tillerlane/placement/leader.py
+++ b/tillerlane/placement/leader.py
@@ -1,6 +1,7 @@
-"""The leader's task: gather demand, plan, have the order agreed on, give it, note its outcome.
+"""The leader's placement loop: collect demand, plan, commit the order, send it, record its outcome.
 
-Orders whose outcome is not known are given again by whoever leads, with their first fence and id.
+An order without a recorded outcome is sent again by the current leader, with its original fence and
+id.
 """
 
 import asyncio
@@ -19,26 +20,26 @@
 
 __all__ = ["PlacementLeader"]
 
-PLAN_SECONDS = 2.0
+PLAN_INTERVAL_SECONDS = 2.0
 
 Query = Callable[[messages.Member, str, dict[str, Any]], Awaitable[Any]]
 
 
 class PlacementLeader:
-    """Placement on one keeper; idle while it does not lead.
+    """Placement on one keeper; idle unless the keeper leads.
 
     Parameters
     ----------
     own : replica.Replica
-        This keeper's part in the log.
-    read_members : callable
-        Gives the live members.
-    ask : callable
-        Coroutine function (member, subject, arguments) that asks a daemon.
+        This keeper's replica of the log.
+    list_members : callable
+        Returns the live members.
+    query : callable
+        Coroutine function (member, subject, arguments) that queries a daemon.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     now_ms : callable
-        Wall time in milliseconds.
+        Returns the wall time in milliseconds.
     """
 
     def __init__(
@@ -60,11 +61,11 @@
         self.demand: dict[tuple[str, str], planner.Demand] = {}
 
     def start(self) -> None:
-        """Start."""
+        """Start the placement loop."""
         self._task = asyncio.create_task(self._run())
 
     def stop(self) -> None:
-        """Stop."""
+        """Cancel the placement loop."""
         if self._task is not None:
             self._task.cancel()
 
@@ -74,31 +75,31 @@
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(PLAN_SECONDS)
-            if not self._replica.has_lease or not self._is_wanted():
+            await asyncio.sleep(PLAN_INTERVAL_SECONDS)
+            if not self._replica.has_lease or not self._is_enabled():
                 continue
             try:
                 await self._step()
             except (faults.FaultError, links.LinkLost, OSError):
                 continue
 
-    def _is_wanted(self) -> bool:
-        """Whether any pool lets its models be moved."""
+    def _is_enabled(self) -> bool:
+        """Whether any pool allows its models to be moved."""
         return any(pool.most_models for pool in self._machine.store.current.pools.values())
 
     async def _step(self) -> None:
-        await self._gather()
+        await self._collect_demand()
         for record in list(self._machine.orders.values()):
             if not record.outcome:
-                await self._give(record)
-        if self._is_too_soon():
+                await self._send_order(record)
+        if self._must_wait():
             return
         self.last_plan = self.plan()
         if self.last_plan is not None:
-            await self._order(self.last_plan)
+            await self._commit_order(self.last_plan)
 
-    def _is_too_soon(self) -> bool:
-        """Whether the weight store's rate, or an order under way, says to wait."""
+    def _must_wait(self) -> bool:
+        """Whether an order is pending, or the weight store's rate does not allow a load yet."""
         loads = [item for item in self._machine.orders.values() if item.action == "load"]
         if any(not item.outcome for item in self._machine.orders.values()):
             return True
@@ -107,8 +108,8 @@
 
     # Demand
 
-    async def _gather(self) -> None:
-        """Ask agents for their runners and entries for what found no copy."""
+    async def _collect_demand(self) -> None:
+        """Query agents for their runners, and entries for requests that no copy could serve."""
         current = self._machine.store.current
         members = [item for item in self._list_members() if {"agent", "entry"} & set(item.roles)]
         answers = await asyncio.gather(
@@ -119,14 +120,14 @@
         for answer in answers:
             if isinstance(answer, BaseException):
                 continue
-            self._take_runners(answer, current, runners, demand)
+            self._add_runners(answer, current, runners, demand)
             for pool, model, count in answer.get("unserved", []):
                 known = demand.get((pool, model), planner.Demand())
                 demand[pool, model] = dataclasses.replace(known, unserved=known.unserved + count)
         self.runners = runners
         self.demand = demand
 
-    def _take_runners(
+    def _add_runners(
         self,
         answer: dict[str, Any],
         current: stores.Configuration,
@@ -151,7 +152,7 @@
                 demand[pool, model] = dataclasses.replace(known, load=known.load + load)
 
     def plan(self) -> planner.PlannedOrder | None:
-        """The next order by what was gathered last."""
+        """Plan the next order from the demand collected last."""
         pools = {
             name: pool
             for name, pool in self._machine.store.current.pools.items()
@@ -161,20 +162,20 @@
         for name, pool in pools.items():
             one_pool = {name: models[name]}
             assert pool.most_models is not None
-            found = planner.plan_next(
+            order = planner.plan_next(
                 one_pool,
                 [item for item in self.runners if item.pool == name],
                 self.demand,
                 {pair for pair in self._machine.pins if pair[0] in pool.runners},
                 pool.most_models,
             )
-            if found is not None:
-                return found
+            if order is not None:
+                return order
         return None
 
     # Orders
 
-    async def _order(self, planned: planner.PlannedOrder) -> None:
+    async def _commit_order(self, planned: planner.PlannedOrder) -> None:
         command = commands.Order(
             order_id="o-" + secrets.token_hex(6),
             target=planned.target,
@@ -184,10 +185,10 @@
         )
         self._timeline.record("placement.order", reason=planned.reason, **_describe(command))
         await self._replica.propose(commands.encode(command))
-        await self._give(self._machine.orders[command.order_id])
+        await self._send_order(self._machine.orders[command.order_id])
 
-    async def _give(self, record: machine.OrderRecord) -> None:
-        """Give an order to the target's agent; no answer leaves it open, to be given again."""
+    async def _send_order(self, record: machine.OrderRecord) -> None:
+        """Send an order to the target's agent; without an answer it stays open and is resent."""
         for member in self._list_members():
             if record.target in member.targets:
                 arguments = {
@@ -207,7 +208,7 @@
         await self._replica.propose(commands.encode(commands.OrderDone(order_id, outcome)))
 
     def get_status(self) -> dict[str, Any]:
-        """What is known and planned, for operators."""
+        """Return the collected demand, open orders and next plan, for operators."""
         return {
             "runners": [
                 {**dataclasses.asdict(item), "models": sorted(item.models)} for item in self.runners
--- a/tillerlane/placement/planner.py
+++ b/tillerlane/placement/planner.py
@@ -1,9 +1,9 @@
-"""Plans the next order from demand; a pure function of what is known.
+"""Plans the next placement order from demand; pure functions.
 
-A model without a copy that somebody asks for comes first.  Otherwise a copy is added where demand
-on each copy is above one threshold, and one is taken away where the remaining copies would still
-be below another: the two are apart, so that the plan does not swing.  The last copy stays, and so
-does what operators have pinned.
+A requested model without a copy comes first.  Otherwise a copy is added where the load per copy is
+above one threshold, and one is removed where the remaining copies would stay below another.  The
+thresholds are apart so that the plan does not oscillate.  The last copy of a model and copies
+pinned by operators are kept.
 """
 
 import dataclasses
@@ -12,14 +12,14 @@
 __all__ = ["Demand", "PlannedOrder", "RunnerState", "plan_next"]
 
 HIGH_LOAD = 0.75
-"""Load of each copy above which another one is added, as a share of a runner."""
+"""Load per copy above which another copy is added, as a share of a runner."""
 LOW_LOAD = 0.35
-"""Load that the remaining copies may reach for one to be taken away."""
+"""Load per copy below which the remaining copies must stay for one to be removed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """Demand for a model of a pool: load in runners' worth, and requests that found no copy."""
+    """Demand for a model of a pool: load in runners, and requests that no copy could serve."""
 
     load: float = 0.0
     unserved: int = 0
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerState:
-    """A runner as its agent tells of it; `load` is the share of it in use."""
+    """A runner as reported by its agent; `load` is the share of it in use."""
 
     name: str
     pool: str
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedOrder:
-    """The next order, and why."""
+    """The next order, and its reason."""
 
     target: str
     action: str
@@ -51,15 +51,15 @@
 
 
 def _plan_load(
-    model: str, runners: list[RunnerState], most: int, reason: str
+    model: str, runners: list[RunnerState], max_models: int, reason: str
 ) -> PlannedOrder | None:
-    """Load at the least loaded runner that lacks the model and has room for one more."""
-    able = [
+    """Load at the least loaded runner that lacks the model and has room for it."""
+    eligible = [
         runner
         for runner in runners
-        if not runner.leaving and model not in runner.models and len(runner.models) < most
+        if not runner.leaving and model not in runner.models and len(runner.models) < max_models
     ]
-    chosen = min(able, key=lambda runner: (runner.load, runner.name), default=None)
+    chosen = min(eligible, key=lambda runner: (runner.load, runner.name), default=None)
     return PlannedOrder(chosen.name, "load", model, reason) if chosen is not None else None
 
 
@@ -70,20 +70,20 @@
     pins: set[tuple[str, str]],
     max_models: int,
 ) -> PlannedOrder | None:
-    """The one order to give next, or None.
+    """Return the next order, or None if the placement fits the demand.
 
     Parameters
     ----------
     models : mapping
         Pool to its models.
     runners : list of RunnerState
-        All runners heard of.
+        All known runners.
     demand : mapping
         (pool, model) to its demand.
     pins : set
-        (runner, model) that stay whatever demand says.
-    most_models : int
-        Models that one runner holds at most.
+        (runner, model) pairs that are kept whatever the demand.
+    max_models : int
+        Maximum number of models on one runner.
     """
     by_pool = {pool: [item for item in runners if item.pool == pool] for pool in models}
     for target, model in sorted(pins):
@@ -92,10 +92,10 @@
             return order
     pairs = [(pool, model) for pool, names in models.items() for model in names]
     pairs.sort(key=lambda pair: -demand.get(pair, Demand()).unserved)
-    for plan in (_plan_first_copy, _plan_more, _plan_less):
+    for plan in (_plan_first_copy, _plan_scale_up, _plan_scale_down):
         for pool, model in pairs:
-            wanted = demand.get((pool, model), Demand())
-            order = plan(model, by_pool[pool], wanted, pins, max_models)
+            model_demand = demand.get((pool, model), Demand())
+            order = plan(model, by_pool[pool], model_demand, pins, max_models)
             if order is not None:
                 return order
     return None
@@ -111,39 +111,39 @@
 def _plan_first_copy(
     model: str,
     runners: list[RunnerState],
-    wanted: Demand,
+    demand: Demand,
     pins: set[tuple[str, str]],
-    most: int,
+    max_models: int,
 ) -> PlannedOrder | None:
-    if wanted.unserved == 0 or _count_copies(model, runners) > 0:
+    if demand.unserved == 0 or _count_copies(model, runners) > 0:
         return None
-    return _plan_load(model, runners, most, f"{wanted.unserved} asked, no copy")
+    return _plan_load(model, runners, max_models, f"{demand.unserved} requests, no copy")
 
 
-def _plan_more(
+def _plan_scale_up(
     model: str,
     runners: list[RunnerState],
-    wanted: Demand,
+    demand: Demand,
     pins: set[tuple[str, str]],
-    most: int,
+    max_models: int,
 ) -> PlannedOrder | None:
     copies = _count_copies(model, runners)
-    if copies == 0 or wanted.load / copies <= HIGH_LOAD:
+    if copies == 0 or demand.load / copies <= HIGH_LOAD:
         return None
-    return _plan_load(model, runners, most, f"load {wanted.load:.2f} on {copies} copies")
+    return _plan_load(model, runners, max_models, f"load {demand.load:.2f} on {copies} copies")
 
 
-def _plan_less(
+def _plan_scale_down(
     model: str,
     runners: list[RunnerState],
-    wanted: Demand,
+    demand: Demand,
     pins: set[tuple[str, str]],
-    most: int,
+    max_models: int,
 ) -> PlannedOrder | None:
     copies = _count_copies(model, runners)
-    if copies < 2 or wanted.load / (copies - 1) >= LOW_LOAD:
+    if copies < 2 or demand.load / (copies - 1) >= LOW_LOAD:
         return None
-    able = [
+    eligible = [
         runner
         for runner in runners
         if model in runner.models
@@ -151,8 +151,8 @@
         and len(runner.models) > 1
         and (runner.name, model) not in pins
     ]
-    chosen = max(able, key=lambda runner: (runner.load, runner.name), default=None)
+    chosen = max(eligible, key=lambda runner: (runner.load, runner.name), default=None)
     if chosen is None:
         return None
-    reason = f"load {wanted.load:.2f} on {copies} copies"
+    reason = f"load {demand.load:.2f} on {copies} copies"
     return PlannedOrder(chosen.name, "unload", model, reason)
--- a/tillerlane/placement/tests/test_placement.py
+++ b/tillerlane/placement/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Models follow demand by fenced orders that are obeyed once."""
+"""Models follow demand by fenced orders, each of which is executed once."""
 
 import asyncio
 import unittest
@@ -13,20 +13,20 @@
 
 
 def runner(name: str, *models: str, load: float = 0.1, leaving: bool = False) -> Any:
-    """A runner of the pool."""
+    """Return the state of a runner of the pool."""
     return planner.RunnerState(name, "pool", frozenset(models), load, leaving)
 
 
 def plan(runners: list[Any], demand: dict[str, planner.Demand], **more: Any) -> Any:
-    """The next order, with room for two models a runner."""
+    """Return the next order; a runner has room for two models unless `most` says otherwise."""
     keyed = {("pool", model): item for model, item in demand.items()}
     return planner.plan_next(MODELS, runners, keyed, more.get("pins", set()), more.get("most", 2))
 
 
 class PlannerTest(unittest.TestCase):
-    """Each rule of the plan."""
+    """Each rule of the planner."""
 
-    def test_first_copy_goes_to_the_least_loaded(self) -> None:
+    def test_first_copy_goes_to_the_least_loaded_runner(self) -> None:
         runners = [runner("a", "m", load=0.5), runner("b", "m", load=0.2)]
         order = plan(runners, {"n": planner.Demand(unserved=3)})
         self.assertEqual((order.target, order.action, order.model), ("b", "load", "n"))
@@ -35,7 +35,7 @@
         runners = [runner("a", "m"), runner("b", leaving=True)]
         self.assertIsNone(plan(runners, {"n": planner.Demand(unserved=3)}, most=1))
 
-    def test_thresholds_do_not_swing(self) -> None:
+    def test_plan_does_not_oscillate(self) -> None:
         one = [runner("a", "m", "n"), runner("b", "m")]
         two = [runner("a", "m", "n"), runner("b", "m", "n")]
         grown = plan(one, {"n": planner.Demand(load=0.8), "m": planner.Demand(load=1.0)})
@@ -58,7 +58,7 @@
 
 
 def build_document() -> dict[str, Any]:
-    """Two models, only one of them loaded."""
+    """Return a configuration with two models, one of them loaded."""
     document = scenes.build_document(other={"model": "n"})
     pool = document["pools"]["pool"]
     pool["models"] = ["m", "n"]
@@ -72,7 +72,7 @@
 class PlacementTest(scenes.SceneCase):
     """Placement in a running fleet."""
 
-    def test_model_is_loaded_where_it_is_asked_for(self) -> None:
+    def test_requested_model_is_loaded(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer = await stage.call("katalog", "other", "first")
             self.assertEqual(answer.fault.ran, kinds.Ran.NO)
@@ -97,7 +97,7 @@
 
         self.play(scene, build_document(), keepers=3)
 
-    def test_old_fence_is_refused_and_resent_order_done_once(self) -> None:
+    def test_old_fence_is_rejected_and_resent_order_is_executed_once(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             agent = stage.daemons["agent-hall-a"].agent
             order = {"order_id": "o-2", "target": "r1", "action": "load", "model": "n"}
