--- a/tillerlane/policy/__init__.py
+++ b/tillerlane/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' policy programs: named expressions over documented facts, checked and bounded."""
+"""Operators' policy programs: named expressions over documented facts, validated and bounded."""
--- a/tillerlane/policy/facts.py
+++ b/tillerlane/policy/facts.py
@@ -1,7 +1,7 @@
-"""The closed list of facts that policy programs can use, and which expression sees which.
+"""The closed list of facts that policy programs can use, and the expressions that see them.
 
 Numbers are CEL doubles (write ``2.0``, not ``2``); times are in seconds, memory and lengths in
-tokens, shares between 0 and 1.
+tokens, shares are between 0 and 1.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fact:
-    """One fact: its type, its meaning, and samples that programs are tried with."""
+    """One fact: its type, its meaning, and samples that programs are tested with."""
 
     type: type
     meaning: str
@@ -62,12 +62,12 @@
     "step_s": _number("time of one step of the target", 0.001, 0.03, 10.0),
     "in_flight": _number("requests of this entry at the target", 0.0, 10.0, 1_000.0),
 }
-"""Fact to description; the reference page is generated from it."""
+"""Facts by name; the reference page is generated from them."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expression:
-    """One expression of a program: what it gives, what it is for, which facts it sees."""
+    """One expression of a program: its result type, purpose, visible facts and bounds."""
 
     type: type
     meaning: str
@@ -126,4 +126,4 @@
         ),
     ),
 }
-"""Expression to description, in the order in which a request meets them."""
+"""Expressions by name, in the order in which they apply to a request."""
--- a/tillerlane/policy/program.py
+++ b/tillerlane/policy/program.py
@@ -1,13 +1,13 @@
-"""Compiles and checks policy programs; evaluates them with a fall-back to the built-in rule.
+"""Compiles, validates and evaluates policy programs, with a fallback to the built-in rules.
 
-An expression cannot loop: the macros over lists are refused, and so its cost is at most in
-proportion to its length, which is bounded.
+Expressions can't loop, since list macros are rejected; their cost is at most proportional to their
+length, which is bounded.
 
 Notes
 -----
-Setting a fact in the evaluator's context costs about 2 us, evaluating about 1 us (measured on
-one machine, see ``docs/design/policy.md``).  Only the facts that an expression names are set, and
-those of a request that cannot change are set once.
+Setting a fact in the evaluator's context costs about 2 us and an evaluation about 1 us (see
+``docs/design/policy.md``).  Only the facts that an expression names are set, and those of a request
+that can't change are set once.
 """
 
 import dataclasses
@@ -23,7 +23,13 @@
 from tillerlane.faults import kinds
 from tillerlane.policy import facts
 
-__all__ = ["CompiledExpression", "Evaluator", "Program", "check_policy", "compile_program"]
+__all__ = [
+    "CompiledExpression",
+    "Evaluator",
+    "Program",
+    "check_policy",
+    "compile_program",
+]
 
 MAX_SOURCE_CHARACTERS = 2_000
 _MACROS = re.compile(r"\.\s*(map|filter|all|exists|exists_one|matches)\s*\(")
@@ -40,18 +46,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CompiledExpression:
-    """One checked expression."""
+    """One validated expression."""
 
     name: str
     source: str
     program: Any
     fact_names: tuple[str, ...]
-    """Facts that it names."""
+    """Facts that the expression refers to."""
 
 
 @dataclasses.dataclass(slots=True)
 class Program:
-    """A policy's compiled expressions; `on_fault` hears of faults at run time."""
+    """A policy's compiled expressions; `on_fault` is called for each fault at run time."""
 
     name: str
     expressions: dict[str, CompiledExpression]
@@ -59,12 +65,12 @@
     fault_count: int = 0
 
     def bind(self, expression: str, fixed: Mapping[str, Value]) -> "Evaluator":
-        """An evaluator with the facts that do not change already set."""
+        """Return an evaluator with the facts that don't change already set."""
         return Evaluator(self, expression, fixed)
 
 
 class Evaluator:
-    """One expression together with the facts of one request or target.
+    """An expression bound to the facts of one request or target.
 
     Parameters
     ----------
@@ -73,7 +79,7 @@
     expression : str
         Name of the expression.
     fixed : mapping
-        Facts that stay as they are.
+        Facts that don't change.
     """
 
     __slots__ = ("_compiled", "_context", "_program", "_varying", "facts")
@@ -97,14 +103,14 @@
         return self._compiled is None
 
     def evaluate(self, varying: Mapping[str, Callable[[], Value]], default: Value) -> Value:
-        """Value of the expression, or `default` if the policy has none or it fails.
+        """Return the value of the expression, or `default` if there is none or it fails.
 
         Parameters
         ----------
         varying : mapping
-            Fact to a function that reads it now; only the facts that are named are read.
+            Fact to a function that returns its current value; called only for the facts in use.
         default : Value
-            Value of the built-in rule.
+            Value given by the built-in rule.
         """
         compiled = self._compiled
         if compiled is None:
@@ -116,13 +122,13 @@
         try:
             value = compiled.program.execute(self._context)
         except Exception as error:
-            return self._fall_back(default, f"{type(error).__name__}: {error}")
+            return self._use_default(default, f"{type(error).__name__}: {error}")
         problem = _check_value(compiled.name, value)
         if problem:
-            return self._fall_back(default, problem)
+            return self._use_default(default, problem)
         return value
 
-    def _fall_back(self, default: Value, reason: str) -> Value:
+    def _use_default(self, default: Value, reason: str) -> Value:
         program = self._program
         program.fault_count += 1
         program.on_fault(program.name, self._compiled.name, reason[:200])
@@ -130,7 +136,7 @@
 
 
 def _check_value(name: str, value: Any) -> str:
-    """What is wrong with a value that an expression gave; empty if nothing."""
+    """Return the problem with the value of an expression, or an empty string."""
     expression = facts.EXPRESSIONS[name]
     if expression.type is float:
         if isinstance(value, bool) or not isinstance(value, int | float):
@@ -144,40 +150,40 @@
 
 
 def compile_expression(name: str, source: str) -> result.Result[CompiledExpression, str]:
-    """Parse one expression and check its names, functions and types."""
+    """Parse one expression, and check its names, functions and types."""
     expression = facts.EXPRESSIONS[name]
     if len(source) > MAX_SOURCE_CHARACTERS:
         return result.Err(f"got {len(source)} characters, expected at most {MAX_SOURCE_CHARACTERS}")
     macro = _MACROS.search(source)
     if macro:
-        position = _write_position(source, macro.start())
-        return result.Err(f"{position}: {macro.group(1)!r} is not allowed: programs do not loop")
+        position = _format_position(source, macro.start())
+        return result.Err(f"{position}: {macro.group(1)!r} is not allowed: programs must not loop")
     try:
         program = cel.compile(source)
     except ValueError as error:
-        return result.Err(_read_parse_error(str(error)))
+        return result.Err(_format_parse_error(str(error)))
     fact_names = tuple(sorted(set(program.variables())))
     for fact in fact_names:
         if fact not in expression.facts:
-            position = _write_position(source, max(0, source.find(fact)))
+            position = _format_position(source, max(0, source.find(fact)))
             known = ", ".join(sorted(expression.facts))
             return result.Err(f"{position}: {name!r} has no fact {fact!r}; it has {known}")
     for function in program.functions():
         if function not in _ALLOWED_FUNCTIONS:
-            position = _write_position(source, max(0, source.find(function)))
+            position = _format_position(source, max(0, source.find(function)))
             return result.Err(f"{position}: no function {function!r}")
     compiled = CompiledExpression(name, source, program, fact_names)
-    problem = _try_samples(compiled)
+    problem = _check_samples(compiled)
     return result.Err(problem) if problem else result.Ok(compiled)
 
 
-def _write_position(source: str, offset: int) -> str:
+def _format_position(source: str, offset: int) -> str:
     line = source.count("\n", 0, offset) + 1
     column = offset - (source.rfind("\n", 0, offset) + 1) + 1
     return f"line {line}, column {column}"
 
 
-def _read_parse_error(text: str) -> str:
+def _format_parse_error(text: str) -> str:
     found = re.search(r"<input>:(\d+):(\d+): ([^\n|]*)", text)
     if not found:
         return text.splitlines()[0][:200]
@@ -185,8 +191,8 @@
     return f"line {line}, column {column}: {reason.strip()[:200]}"
 
 
-def _try_samples(compiled: CompiledExpression) -> str:
-    """Evaluate on low, middle and high values; the first problem, or empty."""
+def _check_samples(compiled: CompiledExpression) -> str:
+    """Evaluate with low, middle and high samples; return the first problem or an empty string."""
     for position in range(3):
         values = {name: facts.FACTS[name].samples[position] for name in compiled.fact_names}
         try:
@@ -200,7 +206,7 @@
 
 
 def compile_program(name: str, policy: documents.Policy) -> result.Result[Program, faults.Fault]:
-    """Compile a policy; every problem of every expression is named."""
+    """Compile a policy; the fault lists the problem of every invalid expression."""
     compiled: dict[str, CompiledExpression] = {}
     problems = []
     for expression in facts.EXPRESSIONS:
@@ -213,12 +219,12 @@
         else:
             problems.append(f"{name}.{expression}: {outcome.err_value}")
     if problems:
-        return result.Err(_invalid(problems))
+        return result.Err(_build_fault(problems))
     return result.Ok(Program(name, compiled))
 
 
 def check_policy(name: str, policy: documents.Policy) -> result.Result[Program, faults.Fault]:
-    """Compile a policy and run the examples that it carries."""
+    """Compile a policy and run the examples that it contains."""
     return compile_program(name, policy).and_then(lambda program: _check_examples(program, policy))
 
 
@@ -230,7 +236,7 @@
         problem = _check_example(program, example)
         if problem:
             problems.append(f"{program.name}.examples[{number}]: {problem}")
-    return result.Err(_invalid(problems)) if problems else result.Ok(program)
+    return result.Err(_build_fault(problems)) if problems else result.Ok(program)
 
 
 def _check_example(program: Program, example: documents.PolicyExample) -> str:
@@ -239,7 +245,7 @@
         return f"the program has no expression {example.expression!r}"
     missing = [name for name in compiled.fact_names if name not in example.facts]
     if missing:
-        return f"lacks the facts {missing}"
+        return f"missing facts: {missing}"
     try:
         value = compiled.program.execute(convert_facts(example.facts))
     except Exception as error:
@@ -252,12 +258,12 @@
 
 
 def convert_facts(given: Mapping[str, Any]) -> dict[str, Value]:
-    """Bring facts from JSON to the types that programs see; unknown ones stay out."""
+    """Convert facts from JSON to the types that programs use; unknown facts are left out."""
     known = {name: value for name, value in given.items() if name in facts.FACTS}
     return {name: facts.FACTS[name].type(value) for name, value in known.items()}
 
 
-def _invalid(problems: list[str]) -> faults.Fault:
+def _build_fault(problems: list[str]) -> faults.Fault:
     return faults.new_fault(
         kinds.ErrorKind.INVALID_POLICY, "; ".join(problems), detail={"problems": problems}
     )
