--- a/tillerlane/decisions/limits.py
+++ b/tillerlane/decisions/limits.py
@@ -1,8 +1,8 @@
 """How many requests one entry may send to a target whose capacity all entries share.
 
-A cold target, or one that has named a limit, sustains a certain request rate whatever entry sends
-them.  An entry's knowledge of the other entries' sends is older than a burst lasts, so entries
-cannot enforce the limit by watching each other.  It is divided in one of two ways:
+A cold target, or one that has named a limit, sustains a certain request rate from all entries
+together.  An entry's knowledge of the other entries' sends is older than a burst lasts, so entries
+can't enforce the limit by watching each other.  It is divided in one of two ways:
 
 * Permits: one owner grants them as entries request them, at the rate that the target sustains.  The
   full limit is available wherever callers need it, however uneven the traffic is.  This is used for
@@ -41,8 +41,8 @@
 PERMITTED_SHARE = 0.95
 """Part of a named limit that is granted as permits, to leave room for permits held unused."""
 MIN_PERMIT_RATE = 0.25
-"""Permits per second granted even below the limit, so that a target's answers can show that the
-limit has been lifted; the slack covers them."""
+"""Permits per second granted even if the limit is lower, so that a target's answers can show that
+the limit no longer applies; the slack covers them."""
 BASE_BURST, BURST_SECONDS = 2.0, 0.1
 """Permits that may accumulate: a base number, plus the limit times this many seconds."""
 MAX_HOLD_SECONDS = 0.6
@@ -58,7 +58,7 @@
     Attributes
     ----------
     desired : float
-        Number to aim for.
+        Number that is aimed for in normal operation.
     maximum : float
         Number above which the target may be overloaded.
     """
--- a/tillerlane/decisions/placing.py
+++ b/tillerlane/decisions/placing.py
@@ -52,7 +52,7 @@
     Attributes
     ----------
     memory_tokens : int
-        Memory that the request is expected to need.
+        Memory that the request is accounted with.
     prompt_tokens : int
         Prompt to prefill; 0 for a run that arrives with its memory.
     events : float
--- a/tillerlane/decisions/quarantine.py
+++ b/tillerlane/decisions/quarantine.py
@@ -10,9 +10,9 @@
 
 MIN_TARGET_EXITS = 3
 """Target exits under a request, without a run of it that completed, from which on it is held back.
-It bounds the damage that one such request may do.  In 200 simulations of five runners, one such
-request takes 69 runners per simulation if nothing is held back.  With three it takes 3.0, and 0.5
-of 10,000 innocent requests are held back; with two it takes 2.0, and 1.2 of 10,000
+It is the users' bound on the damage by one such request.  In 200 simulations of five runners, one
+such request takes 69 runners per simulation if nothing is held back.  With three it takes 3.0, and
+0.5 of 10,000 innocent requests are held back; with two it takes 2.0, and 1.2 of 10,000
 (`benchmarks.quarantine`)."""
 
 
--- a/tillerlane/decisions/tests/test_placing.py
+++ b/tillerlane/decisions/tests/test_placing.py
@@ -262,11 +262,11 @@
     def test_prompts_queued_at_entries_are_in_time_more_often(self) -> None:
         """If all are sent at once 0.962 and 0.941, otherwise 0.988 and 0.982; near capacity 0.782
         and 0.727, 0.805 and 0.824."""
-        for load, least in ((0.8, 0.02), (0.95, 0.01)):
+        for load, min_gain in ((0.8, 0.02), (0.95, 0.01)):
             with self.subTest(load):
                 before = self.simulate(load, Bounds(bounds_prefill=False))
                 after = self.simulate(load)
-                self.assertGreater(after[0], before[0] + least)
+                self.assertGreater(after[0], before[0] + min_gain)
                 self.assertGreater(after[1], before[1] + 0.03)
 
     def test_long_runs_are_not_preempted_for_short_ones(self) -> None:
--- a/tillerlane/placement/tests/test_placement.py
+++ b/tillerlane/placement/tests/test_placement.py
@@ -18,9 +18,11 @@
 
 
 def plan(runners: list[Any], demand: dict[str, planner.Demand], **more: Any) -> Any:
-    """Return the next order; a runner has room for two models unless `most` says otherwise."""
+    """Return the next order; a runner has room for two models unless `max_models` is given."""
     keyed = {("pool", model): item for model, item in demand.items()}
-    return planner.plan_next(MODELS, runners, keyed, more.get("pins", set()), more.get("most", 2))
+    return planner.plan_next(
+        MODELS, runners, keyed, more.get("pins", set()), more.get("max_models", 2)
+    )
 
 
 class PlannerTest(unittest.TestCase):
@@ -33,7 +35,7 @@
 
     def test_full_and_leaving_runners_get_nothing(self) -> None:
         runners = [runner("a", "m"), runner("b", leaving=True)]
-        self.assertIsNone(plan(runners, {"n": planner.Demand(unserved=3)}, most=1))
+        self.assertIsNone(plan(runners, {"n": planner.Demand(unserved=3)}, max_models=1))
 
     def test_plan_does_not_oscillate(self) -> None:
         one = [runner("a", "m", "n"), runner("b", "m")]
