--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -19,8 +19,8 @@
 from tillerlane.faults import kinds
 from tillerlane.keeper import client as clients
 from tillerlane.keeper import disk as disks
-from tillerlane.keeper import machine as machines
 from tillerlane.keeper import replica, server
+from tillerlane.keeper import state_machine as state_machines
 from tillerlane.keeper import storage as storages
 from tillerlane.members import exchange, platform
 from tillerlane.members import view as views
@@ -177,7 +177,7 @@
         own = self.settings
         assert own.data_folder is not None
         storage = storages.Storage(self._around.open_disk(own.data_folder), own.daemon)
-        state = machines.Machine()
+        state = state_machines.StateMachine()
         self.store = state.store
         part = replica.Replica(
             own.daemon,
@@ -189,7 +189,7 @@
             self._around.run_blocking,
             self._around.rng,
         )
-        part.on_standing = self._note_standing
+        part.on_role_change = self._note_standing
         self.keeper = server.Keeper(
             part, self._get_keeper_link, self._get_subscribers, self._read_ms
         )
@@ -240,10 +240,10 @@
             for name, address in self.settings.keepers.items():
                 if name != self.settings.daemon:
                     self.node.dial(address)
-            self.keeper.begin()
+            self.keeper.start()
             self.placement.start()
             self.exchange.start()
-        self.client.begin()
+        self.client.start()
         if self.agent is not None:
             self.agent.begin()
         self._tasks.append(asyncio.create_task(self._refresh()))
@@ -459,7 +459,7 @@
                 for member in self.members.list_live()
                 if settings.Role.KEEPER.value in member.roles
             }
-            self.client.learn(keepers)
+            self.client.update_keepers(keepers)
             if self.agent is not None:
                 leaving = sorted(self.agent.read_leaving())
                 self.announcer.update(leaving_targets=leaving)
@@ -485,7 +485,7 @@
             return False
         if self.settings.stale_action is settings.StaleAction.SERVE:
             return True
-        age = asyncio.get_running_loop().time() - self.client.heard_at
+        age = asyncio.get_running_loop().time() - self.client.last_contact_at
         return age < self.settings.stale_seconds
 
     def note_internal(self, error: Exception) -> faults.Fault:
--- a/tillerlane/decisions/tests/test_placing.py
+++ b/tillerlane/decisions/tests/test_placing.py
@@ -151,7 +151,7 @@
         pool = [engine_play.RunnerSpec((1.0, 1.0, 1.3)[number % 3]) for number in range(RUNNERS)]
         rates = (LONG_REQUESTS_PER_SECOND * load, SHORT_REQUESTS_PER_SECOND * load)
         if unreported is None:
-            unreported = sum(rates) * engine_play.WORD_SECONDS
+            unreported = sum(rates) * engine_play.REPORT_AGE_SECONDS
         event_times, shares, unbroken_shares = [], [], []
         for seed in SEEDS:
             arrivals = engine_play.draw_arrivals(
--- a/tillerlane/gateway/endings.py
+++ b/tillerlane/gateway/exit_detection.py
@@ -12,11 +12,11 @@
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import http_client, quarantine
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Endings"]
+__all__ = ["ExitDetector"]
 
 PROBE_SECONDS = 0.05
 """Longest wait for a refusal, which comes within a round trip: 3 ms within a region and 16 ms
@@ -24,7 +24,7 @@
 plain requests have a tenth of a second; with 0.3 s one was answered after 0.6 s instead of 0.1."""
 
 
-class Endings:
+class ExitDetector:
     """Asks after targets that broke off answers of one entry.
 
     Parameters
@@ -35,7 +35,7 @@
         Takes the requests under which targets ended.
     timeline : timelines.Timeline
         Takes what was found.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts it.
     """
 
@@ -44,18 +44,22 @@
         usage: usages.Usage,
         quarantined: quarantine.Quarantine,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._usage = usage
         self._quarantine = quarantined
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
-        self._probing: dict[str, asyncio.Task[http_client.Reach]] = {}
+        self._probing: dict[str, asyncio.Task[http_client.ProbeResult]] = {}
         """Probes under way by target: all answers that break off with one share it."""
 
-    async def learn(
-        self, asked: admissions.Admission, target: directories.Target, sent_at: float, events: int
+    async def check_target(
+        self,
+        admission: admissions.Admission,
+        target: directories.Target,
+        sent_at: float,
+        events: int,
     ) -> None:
         """Find out what became of a target that broke off a request's answer.
 
@@ -63,7 +67,7 @@
 
         Parameters
         ----------
-        asked : admissions.Admission
+        admission : admissions.Admission
             The request.
         sent_at : float
             Time of the event loop at which it was sent there.
@@ -74,24 +78,26 @@
             return
         now = self._loop.time()
         reach = await self._probe(target)
-        self._meters.broken_answers.labels(reach.value).inc()
+        self._metrics.broken_answers.labels(reach.value).inc()
         self._timeline.record(
             "target.broke_off",
-            request_id=asked.facts.request_id,
-            fingerprint=asked.fingerprint,
+            request_id=admission.facts.request_id,
+            fingerprint=admission.fingerprint,
             target=target.target_id,
             address=target.address,
             reach=reach.value,
             ran_ms=int((now - sent_at) * 1000),
             events=events,
-            requests_there=self._usage.read(target.address).requests,
+            requests_there=self._usage.get(target.address).requests,
         )
-        if reach is http_client.Reach.REFUSED:
-            self._quarantine.note_end(asked.fingerprint, target)
+        if reach is http_client.ProbeResult.REFUSED:
+            self._quarantine.record_exit(admission.fingerprint, target)
 
-    async def _probe(self, target: directories.Target) -> http_client.Reach:
-        if target.is_over:
-            return http_client.Reach.REFUSED  # it has started again, so the former start has ended
+    async def _probe(self, target: directories.Target) -> http_client.ProbeResult:
+        if target.is_superseded:
+            return (
+                http_client.ProbeResult.REFUSED
+            )  # it has started again, so the former start has ended
         task = self._probing.get(target.target_id)
         if task is None:
             task = self._loop.create_task(http_client.probe(target.address, PROBE_SECONDS))
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -11,9 +11,9 @@
 from tillerlane.decisions import placing, queueing
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import (
-    advice,
     availability,
     exchanges,
+    exit_detection,
     http_client,
     http_head,
     quarantine,
@@ -24,15 +24,15 @@
 from tillerlane.gateway import budget as budgets
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import endings as ends
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import feedback as feedbacks
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import startup as startups
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Outcome", "Sender", "Stream", "Tried", "Unknown", "Whole"]
+__all__ = ["Outcome", "Response", "SendResult", "Sender", "Stream", "Unknown"]
 
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 """A connection within a region takes milliseconds; a target that is dark never answers."""
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 ROOM_WAIT_SHARE = 0.2
@@ -76,15 +76,15 @@
 and other entries' sends are heard of late."""
 MARGIN_SECONDS = 0.03
 """How long before the end of a request's time its last answer is written."""
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise a caller that its request did not run and never will."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Whole:
+class Response:
     """A target's whole answer."""
 
-    head: http_head.AnswerHead
+    head: http_head.ResponseHead
     body: bytes
 
 
@@ -100,15 +100,23 @@
 class Stream:
     """A target has begun a stream."""
 
-    head: http_head.AnswerHead
+    head: http_head.ResponseHead
     exchange: http_client.Exchange
 
 
-Outcome = Whole | refusals.NotRun | Unknown | Stream
+Outcome = Response | refusals.NotRun | Unknown | Stream
+
+_OUTCOME_LABELS: dict[type[Outcome], str] = {
+    Response: "whole",
+    refusals.NotRun: "notrun",
+    Unknown: "unknown",
+    Stream: "stream",
+}
+"""Names of outcomes in metrics and log events."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tried:
+class SendResult:
     """How far a request got.
 
     Attributes
@@ -137,7 +145,7 @@
         Chooses targets.
     available : availability.Availability
         Tells what keeps requests from a target.
-    taken : advice.Advice
+    feedback : feedbacks.TargetFeedback
         Takes what answers say of their targets.
     usage : usages.Usage
         Counts what is under way.
@@ -145,13 +153,13 @@
         Bounds retries.
     timeline : timelines.Timeline
         Takes the decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     startup : startups.Startup
         Tells whether targets may still be unheard of.
     directory : directories.Directory
         Tells of targets that have started again.
-    endings : ends.Endings
+    exit_detector : exit_detection.ExitDetector
         Asks after targets that broke off.
     quarantined : quarantine.Quarantine
         Tells which requests go to no target.
@@ -162,34 +170,34 @@
         dialect: dialects.Dialect,
         selector: selection.Selector,
         available: availability.Availability,
-        taken: advice.Advice,
+        feedback: feedbacks.TargetFeedback,
         usage: usages.Usage,
         budget: budgets.RetryBudget,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         startup: startups.Startup,
         directory: directories.Directory,
-        endings: ends.Endings,
+        exit_detector: exit_detection.ExitDetector,
         quarantined: quarantine.Quarantine,
     ) -> None:
         self._quarantine = quarantined
-        self._endings = endings
+        self._exit_detector = exit_detector
         self._startup = startup
         self._dialect = dialect
         self._selector = selector
         self._available = available
-        self._advice = taken
+        self._feedback = feedback
         self._usage = usage
-        self._refusals = refusals.Refusals(available, usage)
+        self._refusals = refusals.RefusalBuilder(available, usage)
         self._budget = budget
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._exchanges = exchanges.Exchanges(directory)
         self._loop = asyncio.get_running_loop()
 
     async def send(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         target: directories.Target,
         plan: dialects.ForwardPlan,
         tokens: int | None = None,
@@ -200,49 +208,51 @@
         `tokens` is the memory that a run which goes on is counted with, `until` the loop's time
         at which the answer is no longer waited for.
         """
-        held_back = self.refuse_held(asked)
+        held_back = self.refuse_quarantined(admission)
         if held_back is not None:
             return held_back
         began = self._loop.time()
-        until = asked.ends_at - MARGIN_SECONDS if until is None else until
+        until = admission.deadline - MARGIN_SECONDS if until is None else until
         address = target.address
-        unread = asked.facts.prompt_tokens if tokens is None else 0
-        tokens = asked.tokens if tokens is None else tokens
-        unsaved = tokens if asked.is_long and not plan.backup_address else 0
+        unread = admission.facts.prompt_tokens if tokens is None else 0
+        tokens = admission.tokens if tokens is None else tokens
+        unsaved = tokens if admission.is_long and not plan.backup_address else 0
         self._usage.add(address, requests=1, tokens=tokens, unread=unread, unsaved=unsaved)
-        self._usage.note_request(asked.pool.name, began)
+        self._usage.record_request(admission.pool.name, began)
         exchange: http_client.Exchange | None = None
         keep = False
         try:
             async with asyncio.timeout_at(until):
-                exchange = await http_client.connect(address, CONNECT_SECONDS)
+                exchange = await http_client.connect(address, CONNECT_TIMEOUT_SECONDS)
                 self._exchanges.add(target, exchange)
-                held_back = self.refuse_held(asked)
+                held_back = self.refuse_quarantined(admission)
                 if held_back is not None:
                     return held_back
-                obstacle = self._available.take(asked.pool, target, goes_on=plan.copy is not None)
+                obstacle = self._available.acquire(
+                    admission.pool, target, is_resumed=plan.copy is not None
+                )
                 if obstacle is not None:
                     reason = f"{address} gets nothing of this entry now: {obstacle.cause.value}"
-                    return refusals.NotRun(reason, sent=False, is_held_up=True)
-                head = self._dialect.write_forward(asked.request.head, plan)
-                exchange.send(head, asked.request.body)
-                outcome = await self._read_answer(asked, target, exchange)
+                    return refusals.NotRun(reason, sent=False, is_blocked=True)
+                head = self._dialect.build_forward(admission.request.head, plan)
+                exchange.send(head, admission.request.body)
+                outcome = await self._read_answer(admission, target, exchange)
             keep = isinstance(outcome, Stream)
-            self._judge(target, outcome, goes_on=plan.copy is not None)
+            self._judge(target, outcome, is_resumed=plan.copy is not None)
             return outcome
         except TimeoutError:
             sent = exchange is not None and exchange.sent
             if not sent:
                 return refusals.NotRun(f"{address}: out of time before it was sent", sent=False)
             if self._loop.time() - began > SILENT_SECONDS:
-                self._selector.caution.note_failure(target.target_id, self._loop.time())
+                self._selector.failures.record_failure(target.target_id, self._loop.time())
             return Unknown(f"{address}: no answer in time", is_late=True)
-        except http_client.AnswerBroken as error:
-            self._selector.caution.note_failure(target.target_id, self._loop.time())
+        except http_client.ExchangeError as error:
+            self._selector.failures.record_failure(target.target_id, self._loop.time())
             if not error.sent:
                 return refusals.NotRun(str(error), sent=False)
             assert exchange is not None
-            await self._endings.learn(asked, target, exchange.sent_at, 0)
+            await self._exit_detector.check_target(admission, target, exchange.sent_at, 0)
             return Unknown(f"{address}: {error}")
         finally:
             self._usage.add(address, unread=-unread)
@@ -251,59 +261,61 @@
                 if exchange is not None:
                     exchange.abort()
 
-    def refuse_held(self, asked: admissions.Admission) -> refusals.NotRun | None:
+    def refuse_quarantined(self, admission: admissions.Admission) -> refusals.NotRun | None:
         """Refuse a request under which targets ended; None if it may go to one.
 
         Every way to a target asks this, and last when a connection to one is there: while that came
         up, the third target may have ended elsewhere.
         """
-        reason = self._quarantine.find_reason(asked.fingerprint)
+        reason = self._quarantine.find_reason(admission.fingerprint)
         return (
             refusals.NotRun(reason, sent=False, retry_after=HELD_RETRY_SECONDS) if reason else None
         )
 
     async def _read_answer(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         target: directories.Target,
         exchange: http_client.Exchange,
     ) -> Outcome:
         head = await exchange.read_head()
-        facts = self._dialect.read_answer(head)
-        is_of_request = facts.request_id == asked.facts.request_id
+        facts = self._dialect.decode_response(head)
+        is_of_request = facts.request_id == admission.facts.request_id
         if is_of_request and not facts.is_other_target:
-            self._advice.take(asked.facts.request_id, target, facts, exchange.sent_at)
+            self._feedback.handle_response(
+                admission.facts.request_id, target, facts, exchange.sent_at
+            )
         if not is_of_request:
             # Each answer of a target names its request; what does not is nobody's word on this one.
             named = facts.request_id or "none"
-            raise http_client.AnswerBroken(f"answer to another request: {named}", sent=True)
+            raise http_client.ExchangeError(f"answer to another request: {named}", sent=True)
         if not facts.did_run:
             return refusals.NotRun(
                 f"turned away, status {head.status}", True, facts.is_other_target
             )
-        if asked.is_stream and head.status == 200:
+        if admission.is_stream and head.status == 200:
             return Stream(head, exchange)
         body = await exchange.read_body(MAX_ANSWER_BYTES)
-        if head.status in PROMISES:
+        if head.status in NOT_RUN_STATUSES:
             # To the caller these would promise that nothing ran; this target promised nothing.
             return Unknown(f"status {head.status} without a promise")
-        return Whole(head, body)
+        return Response(head, body)
 
-    def _judge(self, target: directories.Target, outcome: Outcome, *, goes_on: bool) -> None:
+    def _judge(self, target: directories.Target, outcome: Outcome, *, is_resumed: bool) -> None:
         """Keep whether a target is worth another request.
 
-        One that has no copy of a run that `goes_on` may have room for others.
+        One that has no copy of a run that `is_resumed` may have room for others.
         """
         if not isinstance(outcome, refusals.NotRun):
-            self._selector.caution.note_success(target.target_id)
+            self._selector.failures.record_success(target.target_id)
         elif outcome.is_other_target:
-            self._selector.caution.note_failure(target.target_id, self._loop.time())
-        elif outcome.sent and not goes_on:
-            self._selector.caution.note_turned_away(target.target_id, self._loop.time())
+            self._selector.failures.record_failure(target.target_id, self._loop.time())
+        elif outcome.sent and not is_resumed:
+            self._selector.failures.record_rejection(target.target_id, self._loop.time())
 
-    def plan(
+    def build_plan(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         target: directories.Target,
         *,
         last_event_id: str = "",
@@ -311,188 +323,198 @@
         backup: directories.Target | None = None,
     ) -> dialects.ForwardPlan:
         return dialects.ForwardPlan(
-            wait_seconds=max(0.001, asked.ends_at - self._loop.time()),
+            wait_seconds=max(0.001, admission.deadline - self._loop.time()),
             target_id=target.target_id,
-            workspace=asked.workspace.name if asked.workspace is not None else "",
-            priority=asked.runner_rank,
+            workspace=admission.workspace.name if admission.workspace is not None else "",
+            priority=admission.runner_rank,
             last_event_id=last_event_id,
             copy=copy,
             backup_address=backup.address if backup is not None else "",
         )
 
     def choose_backup(
-        self, asked: admissions.Admission, target: directories.Target
+        self, admission: admissions.Admission, target: directories.Target
     ) -> directories.Target | None:
         """A runner to copy a run's memory to while it grows; short runs are not worth it."""
-        engine = asked.pool.engine
-        if engine is None or not engine.can_back_up or not asked.is_long:
+        engine = admission.pool.engine
+        if engine is None or not engine.can_back_up or not admission.is_long:
             return None
-        if self._selector.read_evacuation(asked.pool, target) < EVACUATION_SECONDS:
+        if self._selector.estimate_evacuation_seconds(admission.pool, target) < EVACUATION_SECONDS:
             return None
         backup = self._selector.choose(
-            asked.pool, placing.Work(asked.tokens), {target.target_id}, is_sent_now=False
+            admission.pool, placing.Work(admission.tokens), {target.target_id}, is_sent_now=False
         )
         if backup is None:
             return None
-        has_room = self._selector.has_room(asked.pool, backup, asked.tokens, BACKUP_MEMORY_SHARE)
+        has_room = self._selector.has_room(
+            admission.pool, backup, admission.tokens, BACKUP_MEMORY_SHARE
+        )
         return backup if has_room else None
 
-    async def try_targets(self, asked: admissions.Admission) -> Tried:
+    async def send_with_retries(self, admission: admissions.Admission) -> SendResult:
         """Send a request until it is answered or may not be sent again."""
         excluded: set[str] = set()
-        tried = Tried(refusals.NotRun("no target", sent=False))
+        tried = SendResult(refusals.NotRun("no target", sent=False))
         unsent = 0
         asks = 0
         while unsent < UNSENT_TRIES:
-            held_back = self.refuse_held(asked)
+            held_back = self.refuse_quarantined(admission)
             if held_back is not None:
-                return tried if tried.sends else Tried(held_back)
-            may_ask = asks < MOST_ASKS
-            target = self._selector.choose(asked.pool, asked.work, excluded, may_ask=may_ask)
-            if target is not None and may_ask and self._available.needs_permit(target):
+                return tried if tried.sends else SendResult(held_back)
+            can_request_permit = asks < MOST_ASKS
+            target = self._selector.choose(
+                admission.pool, admission.work, excluded, can_request_permit=can_request_permit
+            )
+            if target is not None and can_request_permit and self._available.needs_permit(target):
                 asks += 1
-                if not await self._available.ask_permit(target, PERMIT_WAIT_SECONDS):
+                if not await self._available.request_permit(target, PERMIT_WAIT_SECONDS):
                     continue
-            if target is None and not excluded and self._may_wait_for_targets(asked):
+            if target is None and not excluded and self._may_wait_for_targets(admission):
                 await asyncio.sleep(ROOM_CHECK_SECONDS)
                 continue
-            if target is None and self._may_wait_for_bearing(asked, excluded):
+            if target is None and self._may_wait_for_bearing(admission, excluded):
                 await self._available.wait_for_permits(ROOM_CHECK_SECONDS)
                 continue
-            if target is None or self._loop.time() + LEAST_SEND_SECONDS > asked.ends_at:
-                return self._finish(asked, tried)
-            if not self._has_room(asked, target):
-                if self._loop.time() < self._read_patience(asked):
+            if target is None or self._loop.time() + LEAST_SEND_SECONDS > admission.deadline:
+                return self._finish(admission, tried)
+            if not self._has_room(admission, target):
+                if self._loop.time() < self._read_patience(admission):
                     await asyncio.sleep(ROOM_CHECK_SECONDS)
                     continue
-                return tried if tried.sends else Tried(self._refusals.build_no_room(asked))
-            if not self._may_begin(asked, target):
+                return tried if tried.sends else SendResult(self._refusals.build_no_room(admission))
+            if not self._may_begin(admission, target):
                 await asyncio.sleep(ROOM_CHECK_SECONDS)
                 continue
             excluded.add(target.target_id)
-            latest = await self._try_target(asked, target, tried)
+            latest = await self._try_target(admission, target, tried)
             tried = _keep_true(tried, latest)
             if isinstance(latest.outcome, refusals.NotRun) and not latest.outcome.sent:
-                unsent += not latest.outcome.is_held_up
-            elif not self._may_send_again(asked, latest):
+                unsent += not latest.outcome.is_blocked
+            elif not self._may_send_again(admission, latest):
                 break
-        return self._finish(asked, tried)
+        return self._finish(admission, tried)
 
-    def _finish(self, asked: admissions.Admission, tried: Tried) -> Tried:
+    def _finish(self, admission: admissions.Admission, tried: SendResult) -> SendResult:
         """Have callers of requests that no target takes come back when one may."""
         if tried.target is None:
-            return Tried(self._refusals.build_no_target(asked))
+            return SendResult(self._refusals.build_no_target(admission))
         if isinstance(tried.outcome, refusals.NotRun):
-            outcome = self._refusals.set_return(asked, tried.outcome)
+            outcome = self._refusals.adjust_retry_after(admission, tried.outcome)
             return dataclasses.replace(tried, outcome=outcome)
         return tried
 
     async def _try_target(
-        self, asked: admissions.Admission, target: directories.Target, former: Tried
-    ) -> Tried:
-        backup = self.choose_backup(asked, target)
-        plan = self.plan(asked, target, last_event_id=asked.facts.last_event_id, backup=backup)
-        until = self._read_limit(asked, former.runs)
+        self, admission: admissions.Admission, target: directories.Target, former: SendResult
+    ) -> SendResult:
+        backup = self.choose_backup(admission, target)
+        plan = self.build_plan(
+            admission, target, last_event_id=admission.facts.last_event_id, backup=backup
+        )
+        until = self._read_limit(admission, former.runs)
         began = self._loop.time()
-        outcome = await self.send(asked, target, plan, until=until)
-        self._note_send(asked, target, outcome, former.sends, began - asked.request.arrived)
+        outcome = await self.send(admission, target, plan, until=until)
+        self._note_send(admission, target, outcome, former.sends, began - admission.request.arrived)
         may_have_run = not isinstance(outcome, refusals.NotRun)
         was_sent = may_have_run or outcome.sent
-        return Tried(outcome, target, backup, former.sends + was_sent, former.runs + may_have_run)
+        return SendResult(
+            outcome, target, backup, former.sends + was_sent, former.runs + may_have_run
+        )
 
-    def _read_limit(self, asked: admissions.Admission, runs: int) -> float | None:
+    def _read_limit(self, admission: admissions.Admission, runs: int) -> float | None:
         """Until when an answer is waited for, where another target may be asked after it."""
-        if asked.route.repeat is not routes.Repeat.FREELY:
+        if admission.route.repeat is not routes.RepeatPolicy.FREELY:
             return None
-        if runs + 1 >= asked.route.max_attempts:
+        if runs + 1 >= admission.route.max_attempts:
             return None
         now = self._loop.time()
-        return now + (asked.ends_at - now) * FIRST_SEND_SHARE
+        return now + (admission.deadline - now) * FIRST_SEND_SHARE
 
-    def _may_wait_for_targets(self, asked: admissions.Admission) -> bool:
-        arrived = asked.request.arrived
-        return self._startup.may_wait_for_targets(arrived, asked.ends_at - arrived)
+    def _may_wait_for_targets(self, admission: admissions.Admission) -> bool:
+        arrived = admission.request.arrived
+        return self._startup.should_wait_for_targets(arrived, admission.deadline - arrived)
 
-    def _may_wait_for_bearing(self, asked: admissions.Admission, excluded: set[str]) -> bool:
+    def _may_wait_for_bearing(self, admission: admissions.Admission, excluded: set[str]) -> bool:
         """Whether a target that gets nothing now may take a request in time."""
-        patience = self._read_patience(asked)
+        patience = self._read_patience(admission)
         if self._loop.time() >= patience:
             return False
-        return self._available.read_opening(asked.pool, excluded) <= patience
+        return self._available.find_next_opening(admission.pool, excluded) <= patience
 
-    def _read_patience(self, asked: admissions.Admission) -> float:
+    def _read_patience(self, admission: admissions.Admission) -> float:
         """Until when a request waits for memory; then the caller is told when to come back."""
-        return asked.request.arrived + asked.route.aim_seconds * ROOM_WAIT_SHARE
+        return admission.request.arrived + admission.route.objective_seconds * ROOM_WAIT_SHARE
 
-    def _may_begin(self, asked: admissions.Admission, target: directories.Target) -> bool:
+    def _may_begin(self, admission: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner may get a prompt now, or the prompt has waited for long enough here."""
-        if asked.pool.engine is None:
+        if admission.pool.engine is None:
             return True
-        waited = self._loop.time() - asked.request.arrived
-        aim_seconds = asked.route.aim_seconds
-        if waited > aim_seconds * READING_WAIT_SHARE:
+        waited = self._loop.time() - admission.request.arrived
+        objective_seconds = admission.route.objective_seconds
+        if waited > objective_seconds * READING_WAIT_SHARE:
             return True
-        unread = self._usage.read(target.address).unread
-        prompt_tokens = asked.facts.prompt_tokens
-        return queueing.can_start(unread, prompt_tokens, aim_seconds, is_long=asked.is_long)
+        unread = self._usage.get(target.address).unread
+        prompt_tokens = admission.facts.prompt_tokens
+        return queueing.can_start(
+            unread, prompt_tokens, objective_seconds, is_long=admission.is_long
+        )
 
-    def _has_room(self, asked: admissions.Admission, target: directories.Target) -> bool:
+    def _has_room(self, admission: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner has memory for a request; short ones are gone before it runs out."""
-        is_short = asked.facts.output_tokens < admissions.LONG_TOKENS
-        share = 1.0 if is_short or asked.priority == 0 else RUN_MEMORY_SHARE
-        return self._selector.has_room(asked.pool, target, asked.tokens, share)
+        is_short = admission.facts.output_tokens < admissions.LONG_RUN_TOKENS
+        share = 1.0 if is_short or admission.priority == 0 else RUN_MEMORY_SHARE
+        return self._selector.has_room(admission.pool, target, admission.tokens, share)
 
-    def _may_send_again(self, asked: admissions.Admission, tried: Tried) -> bool:
+    def _may_send_again(self, admission: admissions.Admission, tried: SendResult) -> bool:
         outcome = tried.outcome
-        if tried.runs >= asked.route.max_attempts or isinstance(outcome, Stream):
+        if tried.runs >= admission.route.max_attempts or isinstance(outcome, Stream):
             return False
         if tried.sends - tried.runs >= MOST_TURNED_AWAY:
             return False
-        if isinstance(outcome, Whole) and outcome.head.status < 500:
+        if isinstance(outcome, Response) and outcome.head.status < 500:
             return False
         # A failure of the target's own, or none of its word: another one may do better.
-        if not isinstance(outcome, refusals.NotRun) and not asked.route.is_repeatable:
+        if not isinstance(outcome, refusals.NotRun) and not admission.route.is_repeatable:
             return False
-        return self._budget.take(asked.pool.name, self._loop.time())
+        return self._budget.try_acquire(admission.pool.name, self._loop.time())
 
     def _note_send(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         target: directories.Target,
         outcome: Outcome,
         sends: int,
         waited: float,
     ) -> None:
-        kind = type(outcome).__name__.strip("_").lower()
-        self._meters.sends.labels(asked.pool.name, kind).inc()
-        if isinstance(outcome, Whole) and outcome.head.status < 500:
+        kind = _OUTCOME_LABELS[type(outcome)]
+        self._metrics.sends.labels(admission.pool.name, kind).inc()
+        if isinstance(outcome, Response) and outcome.head.status < 500:
             return
-        use = self._usage.read(target.address)
+        use = self._usage.get(target.address)
         reason = getattr(outcome, "reason", "")
-        status = outcome.head.status if isinstance(outcome, Whole | Stream) else 0
-        limit = self._available.read_limit(target)
+        status = outcome.head.status if isinstance(outcome, Response | Stream) else 0
+        limit = self._available.find_limit(target)
         self._timeline.record(
             "request.send",
-            request_id=asked.facts.request_id,
-            fingerprint=asked.fingerprint,
+            request_id=admission.facts.request_id,
+            fingerprint=admission.fingerprint,
             target=target.target_id,
             address=target.address,
             phase=target.phase.value,
             heard_ms=int((self._loop.time() - target.heard_at) * 1000),
-            version=asked.version,
+            version=admission.version,
             send=sends + 1,
             waited_ms=int(waited * 1000),
             outcome=kind,
             status=status,
             requests_there=use.requests,
             tokens_there=use.tokens,
-            tokens=asked.tokens,
+            tokens=admission.tokens,
             limit=limit,
             reason=reason,
         )
 
 
-def _keep_true(former: Tried, latest: Tried) -> Tried:
+def _keep_true(former: SendResult, latest: SendResult) -> SendResult:
     """What holds of a request after one more try.
 
     That one target did not run it says nothing of a former one that may have, so a caller is told
--- a/tillerlane/gateway/relayed.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -7,7 +7,7 @@
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import events, handovers, http_client, http_server, runs
 
-__all__ = ["Relayed", "Stop"]
+__all__ = ["StopReason", "StreamRelay"]
 
 BEFORE_FIRST_ID = "0"
 """Runners number events from 1; a stream that begins with a later one has lost its beginning."""
@@ -16,122 +16,122 @@
 pause that is still in time (180 ms), so that it costs nothing on a good day."""
 
 
-class _OutOfReach(http_client.AnswerBroken):
+class _OutOfReach(http_client.ExchangeError):
     """A runner is silent and can't be reached, so that nothing is known of its end."""
 
 
-class Stop(enum.Enum):
+class StopReason(enum.Enum):
     """Why the relay of one runner's events stopped."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     BROKEN = "broken"
     """What came does not go on behind the last event, or the runner is out of reach."""
-    BROKEN_OFF = "broken_off"
+    TRUNCATED = "broken_off"
     """The runner ended it early."""
-    CAN_GO_ON = "can_go_on"
+    CAN_RESUME = "can_go_on"
     """It has not ended; a copy of the run is ready elsewhere."""
-    LET_GO = "let_go"
+    RELEASED = "let_go"
     """The runner has stopped the run, though the end of its stream has not come."""
 
 
-class Relayed:
+class StreamRelay:
     """A stream on its way to the caller.
 
     Attributes
     ----------
     last_event_id : str
         Id of the last event that the caller was sent.
-    runs_begun : int
+    runs_started : int
         Runners that may have begun a run of the request; one that goes on counts once.
     runners : int
         Runners that the stream came from.
     problem : str
         Why it broke off, if it did.
-    is_out_of_reach : bool
+    is_unreachable : bool
         Whether it broke off since its runner is silent and no connection to it comes about.
-    stopping : handovers.Stopping or None
+    stop_order : handovers.StopOrder or None
         The order to its runner to stop the run.
-    left : list of handovers.Stopping
+    former_stop_orders : list of handovers.StopOrder
         Those to the runners that the run has left.
     """
 
     def __init__(
         self,
-        asked: admissions.Admission,
+        admission: admissions.Admission,
         responder: http_server.Responder,
         run: runs.Run,
         exchange: http_client.Exchange,
     ) -> None:
-        self.asked = asked
+        self.admission = admission
         self.responder = responder
         self.run = run
         self.exchange: http_client.Exchange | None = exchange
-        self.last_event_id = asked.facts.last_event_id
+        self.last_event_id = admission.facts.last_event_id
         self.events = 0
-        self.runs_begun = 1
+        self.runs_started = 1
         self.runners = 1
-        self.first_at = 0.0
+        self.first_event_at = 0.0
         self.longest_pause = 0.0
-        self.paused_at = ""
+        self.longest_pause_after = ""
         """Last event before the longest pause."""
         self._wrote_at = 0.0
-        self._splitter = events.Splitter()
+        self._splitter = events.EventSplitter()
         self.problem = ""
-        self.is_out_of_reach = False
-        self.stopping: handovers.Stopping | None = None
-        self.left: list[handovers.Stopping] = []
+        self.is_unreachable = False
+        self.stop_order: handovers.StopOrder | None = None
+        self.former_stop_orders: list[handovers.StopOrder] = []
         self._heard_at = 0.0
         """When the present runner's last event came; 0 before its first."""
         self.on_growth: Callable[[runs.Run, int], None] = lambda run, tokens: None
         self.on_events: Callable[[runs.Run, int, float], None] = lambda run, events, seconds: None
 
-    def take_exchange(self, exchange: http_client.Exchange) -> None:
+    def switch_exchange(self, exchange: http_client.Exchange) -> None:
         """Go on with what another runner sends behind the last event."""
         self.exchange = exchange
         self.problem = ""
-        self.is_out_of_reach = False
-        if self.stopping is not None:
-            self.left.append(self.stopping)
-        self.stopping = None
-        self._splitter = events.Splitter()
+        self.is_unreachable = False
+        if self.stop_order is not None:
+            self.former_stop_orders.append(self.stop_order)
+        self.stop_order = None
+        self._splitter = events.EventSplitter()
         self._heard_at = 0.0
 
-    async def relay(self) -> Stop:
+    async def relay(self) -> StopReason:
         """Relay one runner's events until they end or the run can go on elsewhere."""
         assert self.exchange is not None
         try:
             while (data := await self._read_chunk(self.exchange)) is not None:
                 if not await self._pass_on(data):
-                    return Stop.BROKEN
-                if self.stopping is not None and self.stopping.has_let_go:
-                    return Stop.LET_GO
+                    return StopReason.BROKEN
+                if self.stop_order is not None and self.stop_order.is_released:
+                    return StopReason.RELEASED
                 if self._can_go_on():
-                    return Stop.CAN_GO_ON
+                    return StopReason.CAN_RESUME
         except (_OutOfReach, ValueError) as error:
             self.problem = str(error)
-            self.is_out_of_reach = isinstance(error, _OutOfReach)
-            return Stop.BROKEN
-        except http_client.AnswerBroken as error:
+            self.is_unreachable = isinstance(error, _OutOfReach)
+            return StopReason.BROKEN
+        except http_client.ExchangeError as error:
             self.problem = str(error)
-            return Stop.BROKEN_OFF
-        if self._splitter.has_part:
+            return StopReason.TRUNCATED
+        if self._splitter.has_partial_event:
             self.problem = "ended within an event"
-            return Stop.BROKEN
-        if self.stopping is not None and self.exchange.ends_by_close:
+            return StopReason.BROKEN
+        if self.stop_order is not None and self.exchange.is_close_delimited:
             # A stopped stream ends by its connection's close too, and is not whole then.
             self.problem = "closed after it was to stop"
-            return Stop.BROKEN_OFF
-        return Stop.WHOLE
+            return StopReason.TRUNCATED
+        return StopReason.COMPLETE
 
     def _can_go_on(self) -> bool:
         """Whether the run can be handed over: a copy is ready, and there is an event to follow."""
-        is_ready = self.run.read_continuation() is not None
-        return is_ready and self.stopping is None and bool(self.last_event_id)
+        is_ready = self.run.get_resume_point() is not None
+        return is_ready and self.stop_order is None and bool(self.last_event_id)
 
     def _could_go_on(self) -> bool:
         """Whether there is a way on if the runner can't be reached."""
-        has_copy = self.run.backup is not None or self.run.read_continuation() is not None
-        return has_copy or self.asked.route.is_resumable
+        has_copy = self.run.backup is not None or self.run.get_resume_point() is not None
+        return has_copy or self.admission.route.is_resumable
 
     async def _pass_on(self, data: bytes) -> bool:
         """Pass on whole events; False if one does not follow the last."""
@@ -161,7 +161,7 @@
     def _take_in_order(self, found: list[bytes]) -> tuple[list[bytes], str]:
         """Take the events up to the first that does not follow; and what is wrong with that."""
         for position, event in enumerate(found):
-            event_id = events.read_event_id(event)
+            event_id = events.parse_event_id(event)
             former_id = self.last_event_id or BEFORE_FIRST_ID
             if event_id.isdigit() and former_id.isdigit():
                 expected = int(former_id) + 1
@@ -176,9 +176,9 @@
         if engine is None:
             return
         written = self.events * engine.event_tokens
-        tokens = self.asked.facts.prompt_tokens + written
-        self.run.events_left = self.asked.count_events_left(self.events)
-        self.on_growth(self.run, tokens + self.asked.count_growth(written))
+        tokens = self.admission.facts.prompt_tokens + written
+        self.run.remaining_events = self.admission.count_remaining_events(self.events)
+        self.on_growth(self.run, tokens + self.admission.compute_growth_reserve(written))
 
     def _note_times(self, event_before: str, events_now: int) -> None:
         now = asyncio.get_running_loop().time()
@@ -186,8 +186,8 @@
             self.on_events(self.run, events_now, now - self._heard_at)
         self._heard_at = now
         if not self._wrote_at:
-            self.first_at = now
+            self.first_event_at = now
         elif now - self._wrote_at > self.longest_pause:
             self.longest_pause = now - self._wrote_at
-            self.paused_at = event_before
+            self.longest_pause_after = event_before
         self._wrote_at = now
--- a/tillerlane/gateway/tests/test_backoff.py
+++ b/tillerlane/gateway/tests/test_backoff.py
@@ -193,7 +193,7 @@
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await calls
             self.assertTrue(all(item.is_whole for item in answers if item.status == 200))
-            self.assertTrue(any(run.goes_on for run in stage.runners["llm-3"].ran))
+            self.assertTrue(any(run.is_resumed for run in stage.runners["llm-3"].ran))
             self.assertLessEqual(self.count_most_in_backoff(stage, "llm-2"), 0)
 
         self.play(scene)
@@ -212,11 +212,11 @@
             self.heartbeats.cancel()
             await stage.add_runner("llm-9", "llm", length=120)
             await asyncio.sleep(0.2)
-            entry.backoffs.note("llm-9", 0.1, "r0", 1.0)
+            entry.backoffs.record("llm-9", 0.1, "r0", 1.0)
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await asyncio.gather(*calls)
             self.assertTrue(all(answer.is_whole for answer in answers))
-            taken_up = [run for run in stage.runners["llm-9"].ran if run.goes_on]
+            taken_up = [run for run in stage.runners["llm-9"].ran if run.is_resumed]
             self.assertEqual(len(taken_up), 6)
             self.assertLess(max(run.began for run in taken_up), taken_up[0].began + 1.5)
 
@@ -237,8 +237,8 @@
             while not other.turned_away:
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.02)
-            caution = stage.entries["entry-1"]._relay._sender._selector.caution
-            self.assertFalse(caution.is_avoided("llm-9", asyncio.get_running_loop().time()))
+            failures = stage.entries["entry-1"]._relay._sender._selector.failures
+            self.assertFalse(failures.is_avoided("llm-9", asyncio.get_running_loop().time()))
             call.cancel()
 
         self.play(scene)
--- a/tillerlane/gateway/tests/test_named_limits.py
+++ b/tillerlane/gateway/tests/test_named_limits.py
@@ -128,7 +128,7 @@
             rates = dict.fromkeys(stage.entry_names, 5.0)
             await self.ask(stage, rates, 3.0)
             stage.runners["app-1"].crash()
-            stage.keepers["keeper-1"].take_leave("app-1")
+            stage.keepers["keeper-1"].handle_leave("app-1")
             await stage.add_runner("app-9", "app", pace=0.02)
             await asyncio.sleep(0.2)
             answers = await self.ask(stage, rates, 2.0)
@@ -226,7 +226,7 @@
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await calls
             self.assertTrue(all(item.is_whole for item in answers if item.status == 200))
-            moved = {run.request_id for run in stage.runners["llm-2"].ran if run.goes_on}
+            moved = {run.request_id for run in stage.runners["llm-2"].ran if run.is_resumed}
             self.assertTrue(moved)
 
         self.play(scene)
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -64,7 +64,7 @@
 
 
 def _read_history(daemon: daemons.Daemon) -> list[dict[str, Any]]:
-    return list(daemon.keeper.replica.machine.history) if daemon.keeper else []
+    return list(daemon.keeper.replica.state_machine.history) if daemon.keeper else []
 
 
 def _cancel(daemon: daemons.Daemon, arguments: dict[str, Any]) -> dict[str, bool]:
@@ -96,7 +96,7 @@
     if daemon.callers is not None:
         status["requests"] = daemon.callers.dispatcher.active
     if daemon.keeper is not None:
-        status["keeper"] = daemon.keeper.read_status()
+        status["keeper"] = daemon.keeper.get_status()
     if daemon.agent is not None:
         status["targets"] = _read_targets(daemon)
     return status
--- a/tillerlane/placement/leader.py
+++ b/tillerlane/placement/leader.py
@@ -12,7 +12,7 @@
 
 from tillerlane.config import store as stores
 from tillerlane.faults import core as faults
-from tillerlane.keeper import commands, machine, replica
+from tillerlane.keeper import commands, replica, state_machine
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 from tillerlane.placement import planner
@@ -70,8 +70,8 @@
             self._task.cancel()
 
     @property
-    def _machine(self) -> machine.Machine:
-        return self._replica.machine
+    def _machine(self) -> state_machine.StateMachine:
+        return self._replica.state_machine
 
     async def _run(self) -> None:
         while True:
@@ -187,7 +187,7 @@
         await self._replica.propose(commands.encode(command))
         await self._send_order(self._machine.orders[command.order_id])
 
-    async def _send_order(self, record: machine.OrderRecord) -> None:
+    async def _send_order(self, record: state_machine.OrderRecord) -> None:
         """Send an order to the target's agent; without an answer it stays open and is resent."""
         for member in self._list_members():
             if record.target in member.targets:
--- a/tillerlane/testing/platform_soak.py
+++ b/tillerlane/testing/platform_soak.py
@@ -69,7 +69,7 @@
             exchange.send(http_head.RequestHead(method, path.encode(), headers), body)
             head = await exchange.read_head()
             return head.status, await exchange.read_body(16 * 1024 * 1024)
-    except (http_client.AnswerBroken, TimeoutError):
+    except (http_client.ExchangeError, TimeoutError):
         return 0, b""
     finally:
         if exchange is not None:
@@ -179,7 +179,7 @@
                 body=b"" if is_read else b"body",
                 **headers,
             )
-        except http_client.AnswerBroken:
+        except http_client.ExchangeError:
             return  # no connection came about, so the entry has not read it
         call.ended_at = self._loop.time()
         self.seen.calls.append(call)
@@ -442,7 +442,7 @@
     whole = sum(call.answer.status == 200 and call.answer.is_whole for call in calls)
     refused = sum(call.answer.status in platform_checker.PROMISES for call in calls)
     runs = [run for ran in soak.seen.ran.values() for run in ran]
-    gone_on = sum(run.goes_on for run in runs)
+    gone_on = sum(run.is_resumed for run in runs)
     faults = ", ".join(f"{name} {number}" for name, number in sorted(soak.done.items()))
     return (
         f"calls {len(calls)}, whole {whole}, refused {refused}; "
