--- a/tillerlane/decisions/tests/test_placing.py
+++ b/tillerlane/decisions/tests/test_placing.py
@@ -224,7 +224,7 @@
         load: float,
         bounds: Bounds = Bounds(),
         *,
-        word_seconds: float = 0.03,
+        report_age_seconds: float = 0.03,
         long_rank: int = 0,
     ) -> tuple[float, float]:
         """Return the shares of short first pieces and of unbroken long runs in time."""
@@ -233,7 +233,7 @@
             for number in range(FEW_RUNNERS)
         ]
         kinds = {"long": (9.62 * load, 3_079, 187.0), "short": (18.7 * load, 2_550, 3.0)}
-        unreported = sum(rate for rate, *_ in kinds.values()) * word_seconds
+        unreported = sum(rate for rate, *_ in kinds.values()) * report_age_seconds
         firsts, unbroken_shares = [], []
         for seed in SEEDS:
             arrivals = [
@@ -241,7 +241,7 @@
                 for item in engine_play.draw_arrivals(random.Random(seed), SECONDS, kinds)
             ]
             choose = build_holding_chooser(random.Random(seed), unreported, bounds)
-            outcomes = engine_play.play(pool, arrivals, choose, word_seconds=word_seconds)
+            outcomes = engine_play.play(pool, arrivals, choose, word_seconds=report_age_seconds)
             counted = [item for item in outcomes if item.arrival.at > WARM_UP_SECONDS]
             firsts.append(engine_play.read_share(counted, "short", SHORT_OBJECTIVE_SECONDS))
             unbroken_shares.append(
@@ -254,7 +254,7 @@
     def test_immediate_reports_bring_more_in_time(self) -> None:
         """Reports 0.2 s old: 0.903 short and 0.888 long; immediate ones: 0.962 and 0.941."""
         bounds = Bounds(bounds_prefill=False)
-        before = self.simulate(0.8, bounds, word_seconds=0.2)
+        before = self.simulate(0.8, bounds, report_age_seconds=0.2)
         after = self.simulate(0.8, bounds)
         self.assertGreater(after[0], before[0] + 0.03)
         self.assertGreater(after[1], before[1] + 0.03)
