--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -1,7 +1,7 @@
-"""One request's way through an entry: admitted, sent, answered.
+"""Handles a caller's request: admits it, sends it to targets and answers the caller.
 
-A refusal (503) is said only while no target can have begun: nothing was sent, or each target that
-got the request vouches that it did not run.
+A refusal (503) is answered only while no target can have started the request: nothing was sent, or
+every target that received it guarantees that it did not run.
 """
 
 import asyncio
@@ -19,28 +19,28 @@
 
 
 class Relay:
-    """Serves callers' requests.
+    """Handles callers' requests.
 
     Parameters
     ----------
     gate : admissions.Gate
         Decides which requests may run.
     sender : sending.Sender
-        Sends them.
+        Sends requests to targets.
     streams : stream_relays.Streams
-        Relays those answers that are streams.
+        Relays responses that are streams.
     budget : budgets.RetryBudget
         Counts requests.
     dialect : dialects.Dialect
-        Writes answers of our own.
+        Builds refusals.
     timeline : timelines.Timeline
-        Takes the decisions.
+        Log of decisions.
     meters : entry_meters.EntryMeters
         Counts outcomes.
     startup : startups.Startup
-        Has early requests wait for the configuration.
+        Holds early requests until the configuration is known.
     quarantined : quarantine.Quarantine
-        Takes note of requests that ended well.
+        Records requests that succeeded.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def serve(self, request: http_server.Request, responder: http_server.Responder) -> None:
-        """Serve one request of a caller."""
+        """Handle one request."""
         if self._startup.ready_at is None:
             await self._wait_ready(request)
         admission = self._gate.admit(request)
@@ -77,17 +77,17 @@
             return
         self._budget.note_request(admission.pool.name, self._loop.time())
         try:
-            tried = await self._sender.send_with_retries(admission)
+            result = await self._sender.send_with_retries(admission)
         except asyncio.CancelledError:
-            self._note_left(admission)
+            self._record_disconnect(admission)
             raise
-        if isinstance(tried.outcome, sending.Stream):
-            await self._streams.serve(admission, responder, tried)
+        if isinstance(result.outcome, sending.Stream):
+            await self._streams.serve(admission, responder, result)
         else:
-            await self._answer(admission, responder, tried)
+            await self._respond(admission, responder, result)
 
     async def _wait_ready(self, request: http_server.Request) -> None:
-        """Have a request that came before the configuration wait for it a while."""
+        """Hold a request that arrived before the configuration."""
         facts = self._dialect.decode_request(request.head)
         await self._startup.wait_ready(request.arrived, facts.wait_seconds)
         self._timeline.record(
@@ -115,20 +115,20 @@
         head = self._dialect.build_refusal(refusal.status, refusal.retry_after)
         await responder.send_response(head, b"")
 
-    async def _answer(
+    async def _respond(
         self,
         admission: admissions.Admission,
         responder: http_server.Responder,
-        tried: sending.SendResult,
+        result: sending.SendResult,
     ) -> None:
-        """Answer a caller who has got nothing yet."""
-        outcome = tried.outcome
+        """Answer a caller to whom nothing has been sent yet."""
+        outcome = result.outcome
         request_id = admission.facts.request_id
         if isinstance(outcome, sending.Response):
             headers = http_head.list_end_to_end(outcome.head.headers)
             head = http_head.ResponseHead(outcome.head.status, headers)
             await responder.send_response(head, outcome.body)
-            self._note_answer(admission, tried, outcome.head.status)
+            self._record_response(admission, result, outcome.head.status)
         elif isinstance(outcome, refusals.NotRun):
             refusal = admissions.Refusal(503, outcome.reason, outcome.retry_after)
             await self._refuse(request_id, admission.route.name, responder, refusal)
@@ -138,8 +138,8 @@
             refusal = admissions.Refusal(status, outcome.reason)
             await self._refuse(request_id, admission.route.name, responder, refusal)
 
-    def _note_left(self, admission: admissions.Admission) -> None:
-        """Note a caller that left before it got anything."""
+    def _record_disconnect(self, admission: admissions.Admission) -> None:
+        """Record a caller that disconnected before it got anything."""
         self._meters.requests.labels(admission.route.name, "left").inc()
         self._timeline.record(
             "request.leave",
@@ -150,10 +150,10 @@
             waited_ms=int((self._loop.time() - admission.request.arrived) * 1000),
         )
 
-    def _note_answer(
-        self, admission: admissions.Admission, tried: sending.SendResult, status: int
+    def _record_response(
+        self, admission: admissions.Admission, result: sending.SendResult, status: int
     ) -> None:
-        """Note a whole answer that a target gave."""
+        """Record a complete response of a target."""
         if status < 400:
             self._quarantine.note_good(admission.fingerprint)
         seconds = self._loop.time() - admission.request.arrived
@@ -165,7 +165,7 @@
             fingerprint=admission.fingerprint,
             route=admission.route.name,
             version=admission.version,
-            target=tried.target.target_id if tried.target is not None else "",
+            target=result.target.target_id if result.target is not None else "",
             status=status,
             took_ms=int(seconds * 1000),
         )
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -1,8 +1,8 @@
-"""Sending a request to targets, and what is known of it afterwards.
+"""Sends requests to targets and decides whether a request may be sent again.
 
-Here it is decided whether a request may be sent again: one that may run once only while every
-target that got it vouches that it did not run, any other within its route's attempts and the
-fleet's budget of retries.
+A request that may run only once is sent again only while every target that received it guarantees
+that it did not run.  Any other request is retried within its route's attempts and the fleet's retry
+budget.
 """
 
 import asyncio
@@ -33,56 +33,58 @@
 __all__ = ["Outcome", "Response", "SendResult", "Sender", "Stream", "Unknown"]
 
 CONNECT_TIMEOUT_SECONDS = 0.3
-"""A connection within a region takes milliseconds; a target that is dark never answers."""
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
-ROOM_WAIT_SHARE = 0.2
-"""Share of the time within which an answer is in time that a request waits for memory, and is then
-told when to come back.  Where memory is short, those who wait for longer take what later requests
-would get in time: with 0.7, on two plays of a day with load, 0.52 and 0.57 of the long runs' credit
-in place of 0.61 and 0.66."""
-READING_WAIT_SHARE = 0.7
-"""Share of that time that a request waits for a runner that has read enough; then it is sent to the
-one that seems best, late rather than not at all.  Refusing it then, or after 0.2, made no
-difference to the others (means of four plays of days with load: 0.70 and 0.71 of the long runs'
-credit against 0.69, 0.79 and 0.78 of the short ones' against 0.78)."""
-ROOM_CHECK_SECONDS = 0.03
-HELD_RETRY_SECONDS = 60.0
-"""When a caller may come back whose request is held back: longer than any waits (39 s), since
-coming back within its time is in vain.  It is told 503 and not 4xx, since the verdict is drawn from
-what happened to targets and not from the request, and is taken back if a run of it ends well."""
-FIRST_SEND_SHARE = 0.5
-"""Share of a request's time after which another target is asked, if it may run again."""
-SILENT_SECONDS = 0.25
-"""A target that is silent for longer is avoided; shorter waits end by callers' short deadlines."""
-LEAST_SEND_SECONDS = 0.02
-"""With less than this left a target could not answer."""
-UNSENT_TRIES = 3
-"""Targets that may turn out unreachable before a request is refused."""
-PERMIT_WAIT_SECONDS = 0.05
-"""Longest wait for a permit while other targets have room; an exchange takes milliseconds."""
-MOST_ASKS = 2
-"""How often a request waits so: the first answer may be to what was asked before it came."""
-MOST_TURNED_AWAY = 3
-"""Targets that may turn a request away before it is refused."""
-EVACUATION_SECONDS = 0.45
-"""A runner whose runs can all be copied in this time needs no copies beforehand.  One more run
-(0.4 s) and what all write meanwhile come on top; together they must stay below the shortest notice
-met (1.5 s).  Of 0.45 and 0.7, the former served quiet days better (docs/MEASUREMENTS.md)."""
+"""Connecting within a region takes milliseconds; an unreachable target never answers."""
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
+MEMORY_WAIT_SHARE = 0.2
+"""Share of the response-time objective that a request waits for memory before it is refused with a
+retry time.  Where memory is short, longer waits take capacity from later requests that would still
+be in time: on two loaded days long runs earn 0.52 and 0.57 of their credit with a share of 0.7,
+instead of 0.61 and 0.66."""
+PREFILL_WAIT_SHARE = 0.7
+"""Share of the objective that a request waits for a runner whose prefill backlog is small enough;
+after that it is sent to the best candidate, since late is better than not at all.  Refusing it at
+that point, or after a share of 0.2, makes no difference to other requests on loaded days: long runs
+earn 0.70 and 0.71 of their credit against 0.69, short runs 0.79 and 0.78 against 0.78."""
+MEMORY_CHECK_INTERVAL_SECONDS = 0.03
+QUARANTINE_RETRY_SECONDS = 60.0
+"""Retry time for a quarantined request: longer than any request waits (39 s), since an earlier
+retry would be refused too.  The status is 503 and not 4xx because the quarantine follows from what
+happened to targets, not from the request itself, and is lifted if a run of it succeeds."""
+FIRST_ATTEMPT_SHARE = 0.5
+"""Share of a repeatable request's time after which another target is tried."""
+SLOW_RESPONSE_SECONDS = 0.25
+"""A target that takes longer than this to answer is avoided; shorter waits may end by the caller's
+own short deadline."""
+MIN_SEND_SECONDS = 0.02
+"""With less time left than this, a target could not answer."""
+MAX_UNSENT_ATTEMPTS = 3
+"""Unreachable targets that are tried before a request is refused."""
+PERMIT_TIMEOUT_SECONDS = 0.05
+"""Longest wait for a permit while other targets have room; a permit exchange takes milliseconds."""
+MAX_PERMIT_REQUESTS = 2
+"""Permit requests per caller's request: the first reply may answer an earlier permit request."""
+MAX_REJECTIONS = 3
+"""Rejections by targets after which a request is refused."""
+MAX_EVACUATION_SECONDS = 0.45
+"""A runner whose runs can all be copied within this time needs no backup copies.  One more run
+(0.4 s) and the tokens written meanwhile add to it; together they must stay below the shortest
+notice of a leaving runner (1.5 s).  0.45 s serves quiet days better than 0.7 s
+(docs/MEASUREMENTS.md)."""
 BACKUP_MEMORY_SHARE = 0.6
-"""Share of a runner's memory up to which it gets copies of others' runs: the rest is for runs,
-which are pushed aside when memory runs out."""
+"""Share of a runner's memory up to which it accepts backup copies of other runners' runs.  The rest
+is left for runs, which are preempted when memory runs out."""
 RUN_MEMORY_SHARE = 0.95
-"""Share up to which a runner gets runs that are not the most urgent: those under way still grow,
-and other entries' sends are heard of late."""
-MARGIN_SECONDS = 0.03
-"""How long before the end of a request's time its last answer is written."""
+"""Share of a runner's memory up to which it gets runs other than the most urgent: active runs still
+grow, and requests sent by other entries are reported late."""
+RESPONSE_MARGIN_SECONDS = 0.03
+"""How long before a request's deadline the response is written."""
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise a caller that its request did not run and never will."""
+"""Statuses that guarantee to a caller that its request did not run and never will."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A target's whole answer."""
+    """A target's complete response."""
 
     head: http_head.ResponseHead
     body: bytes
@@ -90,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The target may have run the request, and there is no answer of it."""
+    """The target may have run the request, but no response arrived."""
 
     reason: str
     is_late: bool = False
@@ -98,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stream:
-    """A target has begun a stream."""
+    """A target has started a stream."""
 
     head: http_head.ResponseHead
     exchange: http_client.Exchange
@@ -117,14 +119,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendResult:
-    """How far a request got.
+    """State of a request after it was sent to targets.
 
     Attributes
     ----------
     target, backup : directories.Target or None
-        Where it was sent last, and the runner that gets its run's memory.
+        The target of the last send, and the runner that receives backup copies of the run.
     sends, runs : int
-        Targets that it reached, and those among them that may have run it.
+        Targets that received the request, and those among them that may have run it.
     """
 
     outcome: Outcome
@@ -135,34 +137,34 @@
 
 
 class Sender:
-    """Sends requests.
+    """Sends requests to targets.
 
     Parameters
     ----------
     dialect : dialects.Dialect
-        How targets speak.
+        Encodes requests and decodes responses.
     selector : selection.Selector
         Chooses targets.
     available : availability.Availability
-        Tells what keeps requests from a target.
+        Knows which targets are blocked, and why.
     taken : advice.Advice
-        Takes what answers say of their targets.
+        Processes what responses report about their targets.
     usage : usages.Usage
-        Counts what is under way.
+        Counts requests and tokens at targets.
     budget : budgets.RetryBudget
         Bounds retries.
     timeline : timelines.Timeline
-        Takes the decisions.
+        Log of decisions.
     meters : entry_meters.EntryMeters
         Counts outcomes.
     startup : startups.Startup
-        Tells whether targets may still be unheard of.
+        Knows whether targets may still be undiscovered.
     directory : directories.Directory
-        Tells of targets that have started again.
+        Notifies of targets that have restarted.
     exit_detector : exit_detection.ExitDetector
-        Asks after targets that broke off.
+        Checks targets that broke off a response.
     quarantined : quarantine.Quarantine
-        Tells which requests go to no target.
+        Knows which requests are quarantined.
     """
 
     def __init__(
@@ -203,48 +205,48 @@
         tokens: int | None = None,
         until: float | None = None,
     ) -> Outcome:
-        """Send a request to a target and take its answer: a stream's head, or all of it.
+        """Send a request to a target and read its response: the head of a stream, or all of it.
 
-        `tokens` is the memory that a run which goes on is counted with, `until` the loop's time
-        at which the answer is no longer waited for.
+        `tokens` is the memory that a resumed run is counted with.  `until` is the time of the event
+        loop at which waiting for the response ends.
         """
-        held_back = self.refuse_quarantined(admission)
-        if held_back is not None:
-            return held_back
-        began = self._loop.time()
-        until = admission.ends_at - MARGIN_SECONDS if until is None else until
+        refusal = self.refuse_quarantined(admission)
+        if refusal is not None:
+            return refusal
+        started_at = self._loop.time()
+        until = admission.ends_at - RESPONSE_MARGIN_SECONDS if until is None else until
         address = target.address
         unread = admission.facts.prompt_tokens if tokens is None else 0
         tokens = admission.tokens if tokens is None else tokens
         unsaved = tokens if admission.is_long and not plan.backup_address else 0
         self._usage.add(address, requests=1, tokens=tokens, unread=unread, unsaved=unsaved)
-        self._usage.note_request(admission.pool.name, began)
+        self._usage.note_request(admission.pool.name, started_at)
         exchange: http_client.Exchange | None = None
         keep = False
         try:
             async with asyncio.timeout_at(until):
                 exchange = await http_client.connect(address, CONNECT_TIMEOUT_SECONDS)
                 self._exchanges.add(target, exchange)
-                held_back = self.refuse_quarantined(admission)
-                if held_back is not None:
-                    return held_back
+                refusal = self.refuse_quarantined(admission)
+                if refusal is not None:
+                    return refusal
                 obstacle = self._available.take(
                     admission.pool, target, is_resumed=plan.copy is not None
                 )
                 if obstacle is not None:
-                    reason = f"{address} gets nothing of this entry now: {obstacle.cause.value}"
+                    reason = f"{address} is blocked for this entry: {obstacle.cause.value}"
                     return refusals.NotRun(reason, sent=False, is_held_up=True)
                 head = self._dialect.build_forward(admission.request.head, plan)
                 exchange.send(head, admission.request.body)
-                outcome = await self._read_answer(admission, target, exchange)
+                outcome = await self._read_response(admission, target, exchange)
             keep = isinstance(outcome, Stream)
-            self._judge(target, outcome, is_resumed=plan.copy is not None)
+            self._update_caution(target, outcome, is_resumed=plan.copy is not None)
             return outcome
         except TimeoutError:
             sent = exchange is not None and exchange.sent
             if not sent:
                 return refusals.NotRun(f"{address}: out of time before it was sent", sent=False)
-            if self._loop.time() - began > SILENT_SECONDS:
+            if self._loop.time() - started_at > SLOW_RESPONSE_SECONDS:
                 self._selector.caution.note_failure(target.target_id, self._loop.time())
             return Unknown(f"{address}: no answer in time", is_late=True)
         except http_client.ExchangeError as error:
@@ -262,17 +264,19 @@
                     exchange.abort()
 
     def refuse_quarantined(self, admission: admissions.Admission) -> refusals.NotRun | None:
-        """Refuse a request under which targets ended; None if it may go to one.
+        """Refuse a quarantined request; None if it may be sent.
 
-        Every way to a target asks this, and last when a connection to one is there: while that came
-        up, the third target may have ended elsewhere.
+        Checked on every path to a target, and again once a connection is open: the request may have
+        been quarantined while the connection was being set up.
         """
         reason = self._quarantine.find_reason(admission.fingerprint)
         return (
-            refusals.NotRun(reason, sent=False, retry_after=HELD_RETRY_SECONDS) if reason else None
+            refusals.NotRun(reason, sent=False, retry_after=QUARANTINE_RETRY_SECONDS)
+            if reason
+            else None
         )
 
-    async def _read_answer(
+    async def _read_response(
         self,
         admission: admissions.Admission,
         target: directories.Target,
@@ -284,25 +288,27 @@
         if is_of_request and not facts.is_other_target:
             self._advice.take(admission.facts.request_id, target, facts, exchange.sent_at)
         if not is_of_request:
-            # Each answer of a target names its request; what does not is nobody's word on this one.
+            # Targets name the request in every response; any other response proves nothing.
             named = facts.request_id or "none"
-            raise http_client.ExchangeError(f"answer to another request: {named}", sent=True)
+            raise http_client.ExchangeError(f"response to another request: {named}", sent=True)
         if not facts.did_run:
             return refusals.NotRun(
                 f"turned away, status {head.status}", True, facts.is_other_target
             )
         if admission.is_stream and head.status == 200:
             return Stream(head, exchange)
-        body = await exchange.read_body(MAX_ANSWER_BYTES)
+        body = await exchange.read_body(MAX_RESPONSE_BYTES)
         if head.status in NOT_RUN_STATUSES:
-            # To the caller these would promise that nothing ran; this target promised nothing.
-            return Unknown(f"status {head.status} without a promise")
+            # These statuses would guarantee to the caller that nothing ran, which is not known.
+            return Unknown(f"status {head.status} without a guarantee that nothing ran")
         return Response(head, body)
 
-    def _judge(self, target: directories.Target, outcome: Outcome, *, is_resumed: bool) -> None:
-        """Keep whether a target is worth another request.
+    def _update_caution(
+        self, target: directories.Target, outcome: Outcome, *, is_resumed: bool
+    ) -> None:
+        """Update how cautiously a target is used.
 
-        One that has no copy of a run that `is_resumed` may have room for others.
+        A target without a copy of the run that is resumed may still have room for other requests.
         """
         if not isinstance(outcome, refusals.NotRun):
             self._selector.caution.note_success(target.target_id)
@@ -333,11 +339,11 @@
     def choose_backup(
         self, admission: admissions.Admission, target: directories.Target
     ) -> directories.Target | None:
-        """A runner to copy a run's memory to while it grows; short runs are not worth it."""
+        """Choose a runner for backup copies of a run; short runs are not worth copying."""
         engine = admission.pool.engine
         if engine is None or not engine.can_back_up or not admission.is_long:
             return None
-        if self._selector.read_evacuation(admission.pool, target) < EVACUATION_SECONDS:
+        if self._selector.read_evacuation(admission.pool, target) < MAX_EVACUATION_SECONDS:
             return None
         backup = self._selector.choose(
             admission.pool, placing.Work(admission.tokens), {target.target_id}, is_sent_now=False
@@ -352,103 +358,109 @@
     async def send_with_retries(self, admission: admissions.Admission) -> SendResult:
         """Send a request until it is answered or may not be sent again."""
         excluded: set[str] = set()
-        tried = SendResult(refusals.NotRun("no target", sent=False))
-        unsent = 0
-        asks = 0
-        while unsent < UNSENT_TRIES:
-            held_back = self.refuse_quarantined(admission)
-            if held_back is not None:
-                return tried if tried.sends else SendResult(held_back)
-            may_ask = asks < MOST_ASKS
+        result = SendResult(refusals.NotRun("no target available", sent=False))
+        unsent_attempts = 0
+        permit_requests = 0
+        while unsent_attempts < MAX_UNSENT_ATTEMPTS:
+            refusal = self.refuse_quarantined(admission)
+            if refusal is not None:
+                return result if result.sends else SendResult(refusal)
+            may_ask = permit_requests < MAX_PERMIT_REQUESTS
             target = self._selector.choose(
                 admission.pool, admission.work, excluded, may_ask=may_ask
             )
             if target is not None and may_ask and self._available.needs_permit(target):
-                asks += 1
-                if not await self._available.ask_permit(target, PERMIT_WAIT_SECONDS):
+                permit_requests += 1
+                if not await self._available.ask_permit(target, PERMIT_TIMEOUT_SECONDS):
                     continue
-            if target is None and not excluded and self._may_wait_for_targets(admission):
-                await asyncio.sleep(ROOM_CHECK_SECONDS)
+            if target is None and not excluded and self._should_wait_for_targets(admission):
+                await asyncio.sleep(MEMORY_CHECK_INTERVAL_SECONDS)
                 continue
-            if target is None and self._may_wait_for_bearing(admission, excluded):
-                await self._available.wait_for_permits(ROOM_CHECK_SECONDS)
+            if target is None and self._should_wait_for_capacity(admission, excluded):
+                await self._available.wait_for_permits(MEMORY_CHECK_INTERVAL_SECONDS)
                 continue
-            if target is None or self._loop.time() + LEAST_SEND_SECONDS > admission.ends_at:
-                return self._finish(admission, tried)
+            if target is None or self._loop.time() + MIN_SEND_SECONDS > admission.ends_at:
+                return self._finish(admission, result)
             if not self._has_room(admission, target):
-                if self._loop.time() < self._read_patience(admission):
-                    await asyncio.sleep(ROOM_CHECK_SECONDS)
+                if self._loop.time() < self._compute_wait_deadline(admission):
+                    await asyncio.sleep(MEMORY_CHECK_INTERVAL_SECONDS)
                     continue
-                return tried if tried.sends else SendResult(self._refusals.build_no_room(admission))
-            if not self._may_begin(admission, target):
-                await asyncio.sleep(ROOM_CHECK_SECONDS)
+                return (
+                    result if result.sends else SendResult(self._refusals.build_no_room(admission))
+                )
+            if not self._can_start(admission, target):
+                await asyncio.sleep(MEMORY_CHECK_INTERVAL_SECONDS)
                 continue
             excluded.add(target.target_id)
-            latest = await self._try_target(admission, target, tried)
-            tried = _keep_true(tried, latest)
+            latest = await self._send_attempt(admission, target, result)
+            result = _merge_results(result, latest)
             if isinstance(latest.outcome, refusals.NotRun) and not latest.outcome.sent:
-                unsent += not latest.outcome.is_held_up
-            elif not self._may_send_again(admission, latest):
+                unsent_attempts += not latest.outcome.is_held_up
+            elif not self._can_retry(admission, latest):
                 break
-        return self._finish(admission, tried)
+        return self._finish(admission, result)
 
-    def _finish(self, admission: admissions.Admission, tried: SendResult) -> SendResult:
-        """Have callers of requests that no target takes come back when one may."""
-        if tried.target is None:
+    def _finish(self, admission: admissions.Admission, result: SendResult) -> SendResult:
+        """Set a retry time for callers whose request no target accepted."""
+        if result.target is None:
             return SendResult(self._refusals.build_no_target(admission))
-        if isinstance(tried.outcome, refusals.NotRun):
-            outcome = self._refusals.set_return(admission, tried.outcome)
-            return dataclasses.replace(tried, outcome=outcome)
-        return tried
+        if isinstance(result.outcome, refusals.NotRun):
+            outcome = self._refusals.set_return(admission, result.outcome)
+            return dataclasses.replace(result, outcome=outcome)
+        return result
 
-    async def _try_target(
+    async def _send_attempt(
         self, admission: admissions.Admission, target: directories.Target, former: SendResult
     ) -> SendResult:
         backup = self.choose_backup(admission, target)
         plan = self.build_plan(
             admission, target, last_event_id=admission.facts.last_event_id, backup=backup
         )
-        until = self._read_limit(admission, former.runs)
-        began = self._loop.time()
+        until = self._compute_attempt_deadline(admission, former.runs)
+        started_at = self._loop.time()
         outcome = await self.send(admission, target, plan, until=until)
-        self._note_send(admission, target, outcome, former.sends, began - admission.request.arrived)
+        self._record_send(
+            admission, target, outcome, former.sends, started_at - admission.request.arrived
+        )
         may_have_run = not isinstance(outcome, refusals.NotRun)
         was_sent = may_have_run or outcome.sent
         return SendResult(
             outcome, target, backup, former.sends + was_sent, former.runs + may_have_run
         )
 
-    def _read_limit(self, admission: admissions.Admission, runs: int) -> float | None:
-        """Until when an answer is waited for, where another target may be asked after it."""
+    def _compute_attempt_deadline(self, admission: admissions.Admission, runs: int) -> float | None:
+        """Time at which to stop waiting for a response if another target can be tried after it."""
         if admission.route.repeat is not routes.RepeatPolicy.FREELY:
             return None
         if runs + 1 >= admission.route.max_attempts:
             return None
         now = self._loop.time()
-        return now + (admission.ends_at - now) * FIRST_SEND_SHARE
+        return now + (admission.ends_at - now) * FIRST_ATTEMPT_SHARE
 
-    def _may_wait_for_targets(self, admission: admissions.Admission) -> bool:
+    def _should_wait_for_targets(self, admission: admissions.Admission) -> bool:
         arrived = admission.request.arrived
         return self._startup.may_wait_for_targets(arrived, admission.ends_at - arrived)
 
-    def _may_wait_for_bearing(self, admission: admissions.Admission, excluded: set[str]) -> bool:
-        """Whether a target that gets nothing now may take a request in time."""
-        patience = self._read_patience(admission)
-        if self._loop.time() >= patience:
+    def _should_wait_for_capacity(
+        self, admission: admissions.Admission, excluded: set[str]
+    ) -> bool:
+        """Whether a blocked target may accept the request in time."""
+        wait_deadline = self._compute_wait_deadline(admission)
+        if self._loop.time() >= wait_deadline:
             return False
-        return self._available.read_opening(admission.pool, excluded) <= patience
+        return self._available.read_opening(admission.pool, excluded) <= wait_deadline
 
-    def _read_patience(self, admission: admissions.Admission) -> float:
-        """Until when a request waits for memory; then the caller is told when to come back."""
-        return admission.request.arrived + admission.route.objective_seconds * ROOM_WAIT_SHARE
+    def _compute_wait_deadline(self, admission: admissions.Admission) -> float:
+        """Time until which a request waits for memory before it is refused."""
+        return admission.request.arrived + admission.route.objective_seconds * MEMORY_WAIT_SHARE
 
-    def _may_begin(self, admission: admissions.Admission, target: directories.Target) -> bool:
-        """Whether a runner may get a prompt now, or the prompt has waited for long enough here."""
+    def _can_start(self, admission: admissions.Admission, target: directories.Target) -> bool:
+        """Whether a runner can take one more prompt, or the prompt has waited long enough."""
         if admission.pool.engine is None:
             return True
         waited = self._loop.time() - admission.request.arrived
         objective_seconds = admission.route.objective_seconds
-        if waited > objective_seconds * READING_WAIT_SHARE:
+        if waited > objective_seconds * PREFILL_WAIT_SHARE:
             return True
         unread = self._usage.read(target.address).unread
         prompt_tokens = admission.facts.prompt_tokens
@@ -457,25 +469,25 @@
         )
 
     def _has_room(self, admission: admissions.Admission, target: directories.Target) -> bool:
-        """Whether a runner has memory for a request; short ones are gone before it runs out."""
+        """Whether a runner has memory for a request; short requests end before memory runs out."""
         is_short = admission.facts.output_tokens < admissions.LONG_TOKENS
         share = 1.0 if is_short or admission.priority == 0 else RUN_MEMORY_SHARE
         return self._selector.has_room(admission.pool, target, admission.tokens, share)
 
-    def _may_send_again(self, admission: admissions.Admission, tried: SendResult) -> bool:
-        outcome = tried.outcome
-        if tried.runs >= admission.route.max_attempts or isinstance(outcome, Stream):
+    def _can_retry(self, admission: admissions.Admission, result: SendResult) -> bool:
+        outcome = result.outcome
+        if result.runs >= admission.route.max_attempts or isinstance(outcome, Stream):
             return False
-        if tried.sends - tried.runs >= MOST_TURNED_AWAY:
+        if result.sends - result.runs >= MAX_REJECTIONS:
             return False
         if isinstance(outcome, Response) and outcome.head.status < 500:
             return False
-        # A failure of the target's own, or none of its word: another one may do better.
+        # The target failed or did not answer; another one may succeed.
         if not isinstance(outcome, refusals.NotRun) and not admission.route.is_repeatable:
             return False
         return self._budget.take(admission.pool.name, self._loop.time())
 
-    def _note_send(
+    def _record_send(
         self,
         admission: admissions.Admission,
         target: directories.Target,
@@ -512,11 +524,11 @@
         )
 
 
-def _keep_true(former: SendResult, latest: SendResult) -> SendResult:
-    """What holds of a request after one more try.
+def _merge_results(former: SendResult, latest: SendResult) -> SendResult:
+    """Combine the result of the latest attempt with that of the former ones.
 
-    That one target did not run it says nothing of a former one that may have, so a caller is told
-    that it has not run only if that holds of all of them.
+    A target that did not run the request proves nothing about a former target that may have run it:
+    the caller is told that the request did not run only if this holds for all targets.
     """
     if isinstance(latest.outcome, refusals.NotRun) and not isinstance(
         former.outcome, refusals.NotRun
