--- a/tillerlane/gateway/stream_relay.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -1,4 +1,4 @@
-"""A stream on its way to a caller: one runner's events after another's, whole and in order."""
+"""Relays one stream to its caller: events of one or more runners, complete and in order."""
 
 import asyncio
 import enum
@@ -10,14 +10,14 @@
 __all__ = ["StopReason", "StreamRelay"]
 
 BEFORE_FIRST_ID = "0"
-"""Runners number events from 1; a stream that begins with a later one has lost its beginning."""
-SILENCE_SECONDS = 0.7
-"""Pause after which a runner is asked whether it can be reached at all: four times the longest
-pause that is still in time (180 ms), so that it costs nothing on a good day."""
+"""Runners number events from 1; a stream whose first event has a higher id lacks its beginning."""
+REACHABILITY_CHECK_SECONDS = 0.7
+"""Pause after which a runner's reachability is checked: four times the longest pause that meets the
+objective (180 ms), so that healthy streams cause no checks."""
 
 
-class _OutOfReach(http_client.ExchangeError):
-    """A runner is silent and can't be reached, so that nothing is known of its end."""
+class _Unreachable(http_client.ExchangeError):
+    """A runner sends nothing and is unreachable; whether the run goes on there is unknown."""
 
 
 class StopReason(enum.Enum):
@@ -25,34 +25,34 @@
 
     COMPLETE = "whole"
     BROKEN = "broken"
-    """What came does not go on behind the last event, or the runner is out of reach."""
+    """An event does not follow the last one, or the runner is unreachable."""
     TRUNCATED = "broken_off"
-    """The runner ended it early."""
+    """The connection ended before the stream was complete."""
     CAN_RESUME = "can_go_on"
-    """It has not ended; a copy of the run is ready elsewhere."""
+    """The stream has not ended, but a copy of the run is ready on another runner."""
     RELEASED = "let_go"
-    """The runner has stopped the run, though the end of its stream has not come."""
+    """The runner has stopped the run, but its stream has not ended here."""
 
 
 class StreamRelay:
-    """A stream on its way to the caller.
+    """A stream that is relayed to a caller.
 
     Attributes
     ----------
     last_event_id : str
-        Id of the last event that the caller was sent.
+        Id of the last event sent to the caller.
     runs_started : int
-        Runners that may have begun a run of the request; one that goes on counts once.
+        Runners that may have started a run of the request; a resumed run counts once.
     runners : int
-        Runners that the stream came from.
+        Runners that events came from.
     problem : str
-        Why it broke off, if it did.
+        Why the stream broke off, if it did.
     is_unreachable : bool
-        Whether it broke off since its runner is silent and no connection to it comes about.
+        Whether it broke off because the runner sends nothing and accepts no connection.
     stop_order : handovers.StopOrder or None
-        The order to its runner to stop the run.
+        Order to the current runner to stop the run.
     former_stop_orders : list of handovers.StopOrder
-        Those to the runners that the run has left.
+        Orders to former runners of the run.
     """
 
     def __init__(
@@ -73,20 +73,20 @@
         self.first_event_at = 0.0
         self.longest_pause = 0.0
         self.longest_pause_after = ""
-        """Last event before the longest pause."""
-        self._wrote_at = 0.0
+        """Id of the last event before the longest pause."""
+        self._last_write_at = 0.0
         self._splitter = events.EventSplitter()
         self.problem = ""
         self.is_unreachable = False
         self.stop_order: handovers.StopOrder | None = None
         self.former_stop_orders: list[handovers.StopOrder] = []
-        self._heard_at = 0.0
-        """When the present runner's last event came; 0 before its first."""
+        self._last_event_at = 0.0
+        """When the current runner's last event arrived; 0 before its first one."""
         self.on_growth: Callable[[runs.Run, int], None] = lambda run, tokens: None
         self.on_events: Callable[[runs.Run, int, float], None] = lambda run, events, seconds: None
 
     def switch_exchange(self, exchange: http_client.Exchange) -> None:
-        """Go on with what another runner sends behind the last event."""
+        """Continue with the events that another runner sends after the last one."""
         self.exchange = exchange
         self.problem = ""
         self.is_unreachable = False
@@ -94,84 +94,84 @@
             self.former_stop_orders.append(self.stop_order)
         self.stop_order = None
         self._splitter = events.EventSplitter()
-        self._heard_at = 0.0
+        self._last_event_at = 0.0
 
     async def relay(self) -> StopReason:
-        """Relay one runner's events until they end or the run can go on elsewhere."""
+        """Relay one runner's events until they end or the run can be resumed elsewhere."""
         assert self.exchange is not None
         try:
             while (data := await self._read_chunk(self.exchange)) is not None:
-                if not await self._pass_on(data):
+                if not await self._forward(data):
                     return StopReason.BROKEN
                 if self.stop_order is not None and self.stop_order.is_released:
                     return StopReason.RELEASED
-                if self._can_go_on():
+                if self._can_hand_over():
                     return StopReason.CAN_RESUME
-        except (_OutOfReach, ValueError) as error:
+        except (_Unreachable, ValueError) as error:
             self.problem = str(error)
-            self.is_unreachable = isinstance(error, _OutOfReach)
+            self.is_unreachable = isinstance(error, _Unreachable)
             return StopReason.BROKEN
         except http_client.ExchangeError as error:
             self.problem = str(error)
             return StopReason.TRUNCATED
         if self._splitter.has_partial_event:
-            self.problem = "ended within an event"
+            self.problem = "stream ended within an event"
             return StopReason.BROKEN
         if self.stop_order is not None and self.exchange.is_close_delimited:
-            # A stopped stream ends by its connection's close too, and is not whole then.
-            self.problem = "closed after it was to stop"
+            # The end of the connection also ends a stopped stream, which is not complete then.
+            self.problem = "connection closed after an order to stop the run"
             return StopReason.TRUNCATED
         return StopReason.COMPLETE
 
-    def _can_go_on(self) -> bool:
-        """Whether the run can be handed over: a copy is ready, and there is an event to follow."""
+    def _can_hand_over(self) -> bool:
+        """Whether the run can be handed over: a copy is ready, and the caller has an event."""
         is_ready = self.run.get_resume_point() is not None
         return is_ready and self.stop_order is None and bool(self.last_event_id)
 
-    def _could_go_on(self) -> bool:
-        """Whether there is a way on if the runner can't be reached."""
+    def _is_recoverable(self) -> bool:
+        """Whether the run can be resumed elsewhere if its runner is unreachable."""
         has_copy = self.run.backup is not None or self.run.get_resume_point() is not None
         return has_copy or self.admission.route.is_resumable
 
-    async def _pass_on(self, data: bytes) -> bool:
-        """Pass on whole events; False if one does not follow the last."""
-        before = self.last_event_id
-        good, self.problem = self._take_in_order(self._splitter.feed(data))
-        if good:
-            self._note_times(before, len(good))
-            self._count_memory()
-            await self.responder.write(b"".join(good))
+    async def _forward(self, data: bytes) -> bool:
+        """Relay complete events; False if one does not follow the last."""
+        previous_event_id = self.last_event_id
+        accepted, self.problem = self._accept_in_order(self._splitter.feed(data))
+        if accepted:
+            self._record_times(previous_event_id, len(accepted))
+            self._update_memory()
+            await self.responder.write(b"".join(accepted))
         return not self.problem
 
     async def _read_chunk(self, exchange: http_client.Exchange) -> bytes | None:
-        """Read on; a silent runner is given up only if it is out of reach and the run can go on.
+        """Read more of the stream; fail if the runner is unreachable and the run can be resumed.
 
-        Silence alone ends nothing: a run that was pushed aside at its runner goes on there later.
+        A pause alone ends nothing: a preempted run continues on its runner later.
         """
         while True:
             try:
-                async with asyncio.timeout(SILENCE_SECONDS):
+                async with asyncio.timeout(REACHABILITY_CHECK_SECONDS):
                     return await exchange.read_chunk()
             except TimeoutError as error:
-                if self._could_go_on() and not await http_client.is_reachable(
+                if self._is_recoverable() and not await http_client.is_reachable(
                     self.run.target.address
                 ):
-                    raise _OutOfReach("silent and out of reach", sent=True) from error
+                    raise _Unreachable("silent and out of reach", sent=True) from error
 
-    def _take_in_order(self, found: list[bytes]) -> tuple[list[bytes], str]:
-        """Take the events up to the first that does not follow; and what is wrong with that."""
-        for position, event in enumerate(found):
+    def _accept_in_order(self, received: list[bytes]) -> tuple[list[bytes], str]:
+        """Accept events up to the first that does not follow; also gives what is wrong with it."""
+        for position, event in enumerate(received):
             event_id = events.parse_event_id(event)
-            former_id = self.last_event_id or BEFORE_FIRST_ID
-            if event_id.isdigit() and former_id.isdigit():
-                expected = int(former_id) + 1
+            previous_id = self.last_event_id or BEFORE_FIRST_ID
+            if event_id.isdigit() and previous_id.isdigit():
+                expected = int(previous_id) + 1
                 if int(event_id) != expected:
-                    return found[:position], f"got event {event_id}, expected {expected}"
+                    return received[:position], f"got event {event_id}, expected {expected}"
             self.last_event_id = event_id or self.last_event_id
             self.events += 1
-        return found, ""
+        return received, ""
 
-    def _count_memory(self) -> None:
+    def _update_memory(self) -> None:
         engine = self.run.pool.engine
         if engine is None:
             return
@@ -180,14 +180,14 @@
         self.run.remaining_events = self.admission.count_events_left(self.events)
         self.on_growth(self.run, tokens + self.admission.count_growth(written))
 
-    def _note_times(self, event_before: str, events_now: int) -> None:
+    def _record_times(self, previous_event_id: str, event_count: int) -> None:
         now = asyncio.get_running_loop().time()
-        if self._heard_at:
-            self.on_events(self.run, events_now, now - self._heard_at)
-        self._heard_at = now
-        if not self._wrote_at:
+        if self._last_event_at:
+            self.on_events(self.run, event_count, now - self._last_event_at)
+        self._last_event_at = now
+        if not self._last_write_at:
             self.first_event_at = now
-        elif now - self._wrote_at > self.longest_pause:
-            self.longest_pause = now - self._wrote_at
-            self.longest_pause_after = event_before
-        self._wrote_at = now
+        elif now - self._last_write_at > self.longest_pause:
+            self.longest_pause = now - self._last_write_at
+            self.longest_pause_after = previous_event_id
+        self._last_write_at = now
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -1,8 +1,8 @@
-"""Streams of events relayed to callers, over as many runners as their run is moved to.
+"""Relays streams of events to callers while their runs move between runners.
 
-Events go out whole, in the order of their ids, from one run.  If that run is lost and its memory is
-nowhere, another one goes on behind the last event where the route allows it; elsewhere the caller's
-connection ends and does not look whole.
+Events are relayed complete, in the order of their ids, and from one run.  If the run and all copies
+of its memory are lost, a new run continues after the last event where the route allows it;
+otherwise the caller's connection is aborted, so that the stream does not look complete.
 """
 
 import asyncio
@@ -33,17 +33,18 @@
 
 __all__ = ["Streams"]
 
-HANDOVER_SECONDS = 5.0
-"""Longest wait for a copy of a run whose stream has ended: above the order's own limits."""
-STOP_SECONDS = 2.0
-"""Longest wait for the word of a runner whose connection broke that it works on a run no more.  One
-that ended, or that has no such run, says so within a round trip, others once their link has copied
-the run's memory."""
+COPY_TIMEOUT_SECONDS = 5.0
+"""Longest wait for a copy of a run whose stream has ended; above the time-outs of the order
+itself."""
+STOP_TIMEOUT_SECONDS = 2.0
+"""Longest wait for a runner whose connection broke to confirm that it no longer works on a run.  A
+runner that has exited, or has no such run, answers within a round trip; others answer once their
+link has copied the run's memory."""
 
-BEARING_CHECK_SECONDS = 0.05
-"""Pause between looks at a runner that has a run's copy and gets nothing of this entry now."""
-BEARING_WAIT_SHARE = 0.5
-"""Share of the time for which a copy is kept that a run waits for such a runner."""
+CAPACITY_CHECK_INTERVAL_SECONDS = 0.05
+"""Interval of checks whether a runner that holds a run's copy is still blocked for this entry."""
+CAPACITY_WAIT_SHARE = 0.5
+"""Share of a copy's retention time that a run waits for such a runner."""
 
 
 class Streams:
@@ -52,27 +53,27 @@
     Parameters
     ----------
     sender : sending.Sender
-        Sends requests.
+        Sends requests to runners.
     selector : selection.Selector
         Chooses runners.
     available : availability.Availability
-        Tells what keeps requests from a runner.
+        Knows which runners are blocked, and why.
     usage : usages.Usage
-        Counts what is under way.
+        Counts requests and tokens at targets.
     budget : budgets.RetryBudget
         Bounds new runs.
     mover : runs.Mover
         Moves runs off runners that leave.
     timeline : timelines.Timeline
-        Takes the decisions.
+        Log of decisions.
     meters : entry_meters.EntryMeters
         Counts outcomes.
     exit_detector : exit_detection.ExitDetector
-        Asks after runners that broke off.
+        Checks runners that broke off a stream.
     quarantined : quarantine.Quarantine
-        Takes note of streams that ended well.
+        Records streams that succeeded.
     orders : handovers.StopOrders
-        Has former runners stop runs.
+        Orders former runners to stop runs.
     """
 
     def __init__(
@@ -106,40 +107,40 @@
         self,
         admission: admissions.Admission,
         responder: http_server.Responder,
-        tried: sending.SendResult,
+        result: sending.SendResult,
     ) -> None:
-        """Relay a stream that a target has begun."""
-        outcome, target = tried.outcome, tried.target
+        """Relay a stream that a target has started."""
+        outcome, target = result.outcome, result.target
         assert isinstance(outcome, sending.Stream) and target is not None
         run = runs.Run(
-            admission.facts.request_id, admission.pool, target, admission.tokens, tried.backup
+            admission.facts.request_id, admission.pool, target, admission.tokens, result.backup
         )
         run.is_long = admission.is_long
         run.remaining_events = admission.count_events_left(0)
         stream = stream_relay.StreamRelay(admission, responder, run, outcome.exchange)
-        stream.runs_started = tried.runs
-        stream.on_growth = self._note_growth
-        stream.on_events = self._note_events
-        self._hold(stream)
+        stream.runs_started = result.runs
+        stream.on_growth = self._record_growth
+        stream.on_events = self._record_events
+        self._register(stream)
         try:
             headers = http_head.list_end_to_end(outcome.head.headers)
             await responder.start_response(http_head.ResponseHead(outcome.head.status, headers))
             async with asyncio.timeout_at(admission.ends_at):
                 await self._relay_runs(stream)
         except TimeoutError:
-            self._note_broken(stream, "out of time")
+            self._record_break(stream, "out of time")
         except asyncio.CancelledError:
-            self._note_broken(stream, "caller left")
+            self._record_break(stream, "caller left")
             raise
         finally:
             if stream.stop_order is not None:
                 self._stop_orders.discard_unused_copy(stream.stop_order, used=None)
-            self._drop(stream)
+            self._unregister(stream)
             if not responder.is_finished:
                 responder.abort()
 
-    def _hold(self, stream: stream_relay.StreamRelay) -> None:
-        """Take a run that has begun, and count its copy elsewhere while it goes on."""
+    def _register(self, stream: stream_relay.StreamRelay) -> None:
+        """Register a run that has started, and count the memory of its backup copy."""
         run = stream.run
         assert stream.exchange is not None
         run.on_copied = stream.exchange.interrupt
@@ -147,12 +148,12 @@
         if run.backup is not None:
             self._usage.add(run.backup.address, tokens=run.tokens)
 
-    def _note_events(self, run: runs.Run, events_now: int, seconds: float) -> None:
-        """Keep the pace at which a runner's events come."""
+    def _record_events(self, run: runs.Run, events_now: int, seconds: float) -> None:
+        """Record the rate at which a runner's events arrive."""
         self._usage.note_events(run.target.address, events_now, seconds, self._loop.time())
 
-    def _note_growth(self, run: runs.Run, tokens: int) -> None:
-        """Keep count of a run's memory, and of its copy's."""
+    def _record_growth(self, run: runs.Run, tokens: int) -> None:
+        """Update the memory that a run and its backup copy are counted with."""
         grown = tokens - run.tokens
         unsaved_before = run.unsaved_tokens
         run.tokens = tokens
@@ -161,8 +162,8 @@
         if run.backup is not None:
             self._usage.add(run.backup.address, tokens=grown)
 
-    def _drop(self, stream: stream_relay.StreamRelay) -> None:
-        """Let go of the run that a stream comes from."""
+    def _unregister(self, stream: stream_relay.StreamRelay) -> None:
+        """Unregister the run that a stream comes from."""
         if stream.exchange is not None:
             stream.exchange.abort()
             stream.exchange = None
@@ -175,12 +176,12 @@
         self._mover.remove(stream.run)
 
     async def _relay_runs(self, stream: stream_relay.StreamRelay) -> None:
-        """Relay a stream over as many runners as its run is moved to."""
+        """Relay a stream over all runners that its run is moved to."""
         while True:
             stop = await stream.relay()
             if stop is stream_relay.StopReason.COMPLETE:
                 await stream.responder.finish()
-                self._note_end(stream)
+                self._record_end(stream)
                 return
             if stop is stream_relay.StopReason.TRUNCATED:
                 assert stream.exchange is not None
@@ -191,41 +192,41 @@
             if stop is stream_relay.StopReason.CAN_RESUME:
                 self._hand_over(stream)
                 continue
-            if await self._go_on_from_copy(stream) or await self._run_anew(stream):
+            if await self._resume_from_copy(stream) or await self._start_new_run(stream):
                 continue
-            self._note_broken(stream, stream.problem)
+            self._record_break(stream, stream.problem)
             return
 
-    async def _await_move(self, run: runs.Run) -> runs.ResumePoint | None:
+    async def _wait_for_move(self, run: runs.Run) -> runs.ResumePoint | None:
         if run.moving is None:
             return None
-        # The order may be given up meanwhile, which ends its task and not this one.
-        await asyncio.wait({run.moving}, timeout=HANDOVER_SECONDS)
+        # The move may be cancelled meanwhile, which ends its task but not this one.
+        await asyncio.wait({run.moving}, timeout=COPY_TIMEOUT_SECONDS)
         return run.get_resume_point()
 
     def _find_backup(self, run: runs.Run) -> runs.ResumePoint | None:
-        """Where a run that broke off can go on from the copy made while it grew."""
+        """Where a run that broke off can be resumed from its backup copy."""
         backup = run.backup
         if backup is None or backup.phase is directories.Phase.GONE:
             return None
         return runs.ResumePoint(backup, dialects.MemoryCopy(backup.address, run.request_id))
 
     def _hand_over(self, stream: stream_relay.StreamRelay) -> None:
-        """Have the runner stop a run whose copy is ready elsewhere.
+        """Order the runner to stop a run whose copy is ready on another runner.
 
-        Its stream is relayed until the runner has let go of the run, and only then the run goes on
-        with the copy: two runners never work on it, however late the other one's answer or this
-        entry is, and whether or not a runner notices a closed connection.
+        The stream is relayed until the runner has released the run; only then is the run resumed
+        from the copy.  Two runners therefore never work on it, however late the destination's
+        response or this entry is, and whether or not the runner notices a closed connection.
         """
         run = stream.run
         resume_point = run.get_resume_point()
         assert resume_point is not None
         target = resume_point.target
         if self._sender.refuse_quarantined(stream.admission) is not None:
-            self._mover.cancel_move(run)  # nobody would take it up; it may end here yet
+            self._mover.cancel_move(run)  # no runner would resume it; it may still end here
         elif self._available.is_evacuated(target) or not run.can_move_to(target):
             self._mover.retry_move(run)
-        elif not self._available.is_held_up(run.pool, target):  # else again with its next event
+        elif not self._available.is_held_up(run.pool, target):  # otherwise at the next event
             stream.stop_order = self._order_stop(stream, target)
 
     def _order_stop(
@@ -245,96 +246,96 @@
             stop_order.on_release = stream.exchange.interrupt
         return stop_order
 
-    async def _go_on_from_copy(self, stream: stream_relay.StreamRelay) -> bool:
-        """Go on with a copy after the run's own runner let go of it, or broke off."""
-        resume_point = await self._await_move(stream.run)
+    async def _resume_from_copy(self, stream: stream_relay.StreamRelay) -> bool:
+        """Resume a run from a copy after its runner released it or broke off."""
+        resume_point = await self._wait_for_move(stream.run)
         resume_point = resume_point or self._find_backup(stream.run)
         if resume_point is None:
             return False
-        evidence = await self._learn_end(stream, resume_point.target)
+        evidence = await self._find_evidence(stream, resume_point.target)
         if not handover.may_go_on(evidence, stream.last_event_id):
-            stream.problem += f"; nothing goes on with it: {evidence.value}"
+            stream.problem += f"; run is not resumed: {evidence.value}"
             return False
         stop_order = stream.stop_order
         assert stop_order is not None
         if stop_order.copy is not None and stop_order.is_at_destination:
             resume_point = runs.ResumePoint(resume_point.target, stop_order.copy)
-        outcome, used = await self._take_up(stream, resume_point), resume_point.copy
+        outcome, used = await self._resume_at(stream, resume_point), resume_point.copy
         if isinstance(outcome, refusals.NotRun):
             if outcome.sent:
                 stream.run.rejected_by |= {resume_point.target.target_id}
             outcome = await self._return_to_source(stream, stop_order)
             used = stop_order.copy
-        is_taken = isinstance(outcome, sending.Stream)
-        self._stop_orders.discard_unused_copy(stop_order, used=used if is_taken else None)
-        return is_taken
+        is_resumed = isinstance(outcome, sending.Stream)
+        self._stop_orders.discard_unused_copy(stop_order, used=used if is_resumed else None)
+        return is_resumed
 
-    async def _learn_end(
+    async def _find_evidence(
         self, stream: stream_relay.StreamRelay, destination: directories.Target
     ) -> handover.Evidence:
-        """Whether the former runner still works on a run whose stream has ended here."""
+        """Find out whether the former runner still works on a run whose stream has ended here."""
         if stream.stop_order is None:
             stream.stop_order = self._order_stop(stream, destination, is_stream_open=False)
         self._stop_orders.record_stream_end(stream.stop_order)
         if stream.is_unreachable and not stream.stop_order.is_released:
             return handover.Evidence.OUT_OF_REACH
-        return await stream.stop_order.wait_for_evidence(STOP_SECONDS)
+        return await stream.stop_order.wait_for_evidence(STOP_TIMEOUT_SECONDS)
 
     async def _return_to_source(
         self, stream: stream_relay.StreamRelay, stop_order: handovers.StopOrder
     ) -> sending.Outcome:
-        """Have a run go on where it stopped, since nobody else took it up."""
+        """Resume a run on the runner that stopped it, since no other runner resumed it."""
         run = stream.run
-        refused = self._sender.refuse_quarantined(stream.admission)
-        if refused is not None:
-            return refused
+        refusal = self._sender.refuse_quarantined(stream.admission)
+        if refusal is not None:
+            return refusal
         has_copy = stop_order.evidence is handover.Evidence.STOPPED
-        copy = await stop_order.wait_for_copy(HANDOVER_SECONDS) if has_copy else None
+        copy = await stop_order.wait_for_copy(COPY_TIMEOUT_SECONDS) if has_copy else None
         if copy is None or not run.can_move_to(run.target):
-            return refusals.NotRun("no memory of the run is left where it may go", sent=False)
-        return await self._take_up(stream, runs.ResumePoint(run.target, copy))
+            return refusals.NotRun("no copy of the run on a runner that may resume it", sent=False)
+        return await self._resume_at(stream, runs.ResumePoint(run.target, copy))
 
-    async def _run_anew(self, stream: stream_relay.StreamRelay) -> bool:
-        """Have another run go on behind the last event, where the route allows it."""
+    async def _start_new_run(self, stream: stream_relay.StreamRelay) -> bool:
+        """Start a new run that continues after the last event, where the route allows it."""
         admission = stream.admission
-        held_back = self._sender.refuse_quarantined(admission)
-        if held_back is not None:
-            stream.problem = held_back.reason
+        refusal = self._sender.refuse_quarantined(admission)
+        if refusal is not None:
+            stream.problem = refusal.reason
             return False
         if not admission.route.is_resumable or stream.runs_started >= admission.route.max_attempts:
             return False
         if not self._budget.take(admission.pool.name, self._loop.time()):
             return False
         former = stream.run
-        self._drop(stream)
+        self._unregister(stream)
         target = self._selector.choose(admission.pool, admission.work, {former.target.target_id})
         if target is None:
             return False
         if stream.stop_order is None:
-            # The former runner may work on; the new run need not wait for its word.
+            # The former runner may still work on its run; the new run need not wait for its answer.
             stream.stop_order = self._order_stop(stream, target, is_stream_open=False)
         self._stop_orders.discard_unused_copy(stream.stop_order, used=None)
         plan = self._sender.build_plan(admission, target, last_event_id=stream.last_event_id)
         stream.runs_started += 1
-        outcome = await self._send_on(stream, target, plan, None)
+        outcome = await self._continue_on(stream, target, plan, None)
         return isinstance(outcome, sending.Stream)
 
-    async def _take_up(
+    async def _resume_at(
         self, stream: stream_relay.StreamRelay, resume_point: runs.ResumePoint
     ) -> sending.Outcome:
-        """Have the run go on with a copy of its memory, as soon as its runner bears one more."""
+        """Resume a run from a copy of its memory as soon as the copy's runner accepts requests."""
         target = resume_point.target
         engine = stream.run.pool.engine
         copy_retention_seconds = engine.copy_retention_seconds if engine is not None else 0.0
-        until = self._loop.time() + copy_retention_seconds * BEARING_WAIT_SHARE
+        until = self._loop.time() + copy_retention_seconds * CAPACITY_WAIT_SHARE
         while True:
-            await self._await_bearing(stream.run.pool, target, until)
+            await self._wait_for_capacity(stream.run.pool, target, until)
             if not stream.run.can_move_to(target):
-                return refusals.NotRun(f"{target.target_id} leaves too", sent=False)
+                return refusals.NotRun(f"{target.target_id} is leaving too", sent=False)
             outcome = await self._send_copy(stream, resume_point)
-            is_refused_here = isinstance(outcome, refusals.NotRun) and not outcome.sent
+            is_unsent = isinstance(outcome, refusals.NotRun) and not outcome.sent
             is_held_up = self._available.is_held_up(stream.run.pool, target)
-            if not is_refused_here or not is_held_up or self._loop.time() >= until:
+            if not is_unsent or not is_held_up or self._loop.time() >= until:
                 return outcome
 
     async def _send_copy(
@@ -350,25 +351,25 @@
             backup=backup,
         )
         self._budget.note_repeat(admission.pool.name, self._loop.time())
-        return await self._send_on(stream, target, plan, backup)
+        return await self._continue_on(stream, target, plan, backup)
 
-    async def _await_bearing(
+    async def _wait_for_capacity(
         self, pool: routes.Pool, target: directories.Target, until: float
     ) -> None:
-        """Wait while a target gets nothing of this entry: cold, limited or in back-off."""
+        """Wait while a target is blocked for this entry: cold, rate-limited or in back-off."""
         while self._available.is_held_up(pool, target) and self._loop.time() < until:
-            await asyncio.sleep(BEARING_CHECK_SECONDS)
+            await asyncio.sleep(CAPACITY_CHECK_INTERVAL_SECONDS)
 
-    async def _send_on(
+    async def _continue_on(
         self,
         stream: stream_relay.StreamRelay,
         target: directories.Target,
         plan: dialects.ForwardPlan,
         backup: directories.Target | None,
     ) -> sending.Outcome:
-        """Send the request to another runner; the stream goes on with its answer if it is one."""
+        """Send the request to another runner, and continue the stream with its response."""
         run = stream.run
-        began = self._loop.time()
+        started_at = self._loop.time()
         for stop_order in stream.former_stop_orders:
             stop_order.is_cancelled |= stop_order.run.target.target_id == target.target_id
         outcome = await self._sender.send(stream.admission, target, plan, run.tokens)
@@ -379,7 +380,7 @@
             request_id=stream.admission.facts.request_id,
             former=run.target.target_id,
             cause=stream.problem or "moved",
-            took_ms=_milliseconds(self._loop.time() - began),
+            took_ms=_milliseconds(self._loop.time() - started_at),
             target=target.target_id,
             copy=plan.copy.handle if plan.copy is not None else "",
             backup=plan.backup_address,
@@ -389,17 +390,17 @@
         )
         if not isinstance(outcome, sending.Stream):
             return outcome
-        run.moving = None  # its copy is used
-        self._drop(stream)
+        run.moving = None  # the copy is in use now
+        self._unregister(stream)
         stream.switch_exchange(outcome.exchange)
         stream.runners += 1
         stream.run = dataclasses.replace(
             run, target=target, backup=backup, moving=None, may_be_copying=False
         )
-        self._hold(stream)
+        self._register(stream)
         return outcome
 
-    def _note_end(self, stream: stream_relay.StreamRelay) -> None:
+    def _record_end(self, stream: stream_relay.StreamRelay) -> None:
         admission = stream.admission
         self._quarantine.note_good(admission.fingerprint)
         self._meters.requests.labels(admission.route.name, "200").inc()
@@ -418,7 +419,7 @@
             runners=stream.runners,
         )
 
-    def _note_broken(self, stream: stream_relay.StreamRelay, reason: str) -> None:
+    def _record_break(self, stream: stream_relay.StreamRelay, reason: str) -> None:
         self._meters.requests.labels(stream.admission.route.name, "broken").inc()
         self._timeline.record(
             "stream.break",
--- a/tillerlane/gateway/tests/test_handover_evidence.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -129,7 +129,7 @@
             stage.beat("t2", "llm")
             second.loses_copies = True
             lost = test_handover_orders.lose_first_stop(first)
-            pass_on = stream_relay.StreamRelay._pass_on
+            pass_on = stream_relay.StreamRelay._forward
 
             async def pass_on_slowly(stream: stream_relay.StreamRelay, data: bytes) -> bool:
                 good = await pass_on(stream, data)
@@ -137,7 +137,7 @@
                     await asyncio.sleep(0.5)
                 return good
 
-            with mock.patch.object(stream_relay.StreamRelay, "_pass_on", pass_on_slowly):
+            with mock.patch.object(stream_relay.StreamRelay, "_forward", pass_on_slowly):
                 stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
                 while not first.ran[0].ended:
                     await asyncio.sleep(0.005)
