--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -1,4 +1,4 @@
-"""Orders that stop a run at its runner, so that another one may go on with it."""
+"""Orders to a runner to stop a run, so that another runner can resume it."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -13,19 +13,19 @@
 __all__ = ["StopOrder", "StopOrders"]
 
 RETRY_DELAY_SECONDS = 0.05
-"""Pause before an order without a clear answer is given again, for the first time.  With the time
-in which a connection comes about or not (0.3 s) it stays below the 0.4 s that two runners may work
-on one run: one that can be reached again is told within that time."""
+"""First delay before an order without a clear answer is repeated.  Together with the time-out of a
+connection (0.3 s) it stays below the 0.4 s for which two runners may work on one run, so that a
+runner that is reachable again gets the order within that time."""
 MAX_RETRY_DELAY_SECONDS = 1.0
-"""Pause before the later ones, each of which is twice the one before."""
+"""Upper bound of later delays, each of which is twice the one before."""
 ANSWER_TIMEOUT_SECONDS = 0.15
-"""Time after which an order counts as not answered and is given anew; its answer is still taken.
-A runner stops a run at once, and tells whoever asks again that an order is under way."""
+"""Time after which an unanswered order is repeated; a late answer to it is still processed.  A
+runner stops a run at once, and answers a repeated order by saying that one is in progress."""
 ORDER_TIMEOUT_SECONDS = 4.0
-"""Longest wait for an order's own answer.  It comes when the runner's link, which makes copies one
-after another, has carried the run's memory: 0.02 to 0.8 s on a day with many moves."""
+"""Longest wait for the answer to an order.  It comes when the runner's link, which makes one copy
+at a time, has transferred the run's memory: 0.02 to 0.8 s on a day with many moves."""
 
-_WORDS = {
+_STOP_OUTCOMES = {
     dialects.CopyOutcome.COPIED: handover.Word.STOPPED,
     dialects.CopyOutcome.NO_RUN: handover.Word.NO_RUN,
     dialects.CopyOutcome.BUSY: handover.Word.ORDER_UNDER_WAY,
@@ -33,7 +33,7 @@
     dialects.CopyOutcome.UNREACHABLE: handover.Word.UNREACHABLE,
 }
 
-_NOT_TAKEN = frozenset(
+_NOT_CARRIED_OUT = frozenset(
     (
         dialects.CopyOutcome.NO_RUN,
         dialects.CopyOutcome.BUSY,
@@ -43,45 +43,45 @@
         dialects.CopyOutcome.UNSUPPORTED,
     )
 )
-"""What comes of an order that the runner does not carry out, if it names no memory of the run."""
+"""Outcomes of an order that the runner does not carry out, if no copy is named."""
 
 
-def _read_word(result: dialects.CopyResult) -> handover.Word:
-    """What a runner said; without room for a copy, it names the memory that it keeps."""
+def _get_stop_outcome(result: dialects.CopyResult) -> handover.Word:
+    """Outcome of an order; a runner without room for a copy names the memory that it keeps."""
     if result.outcome is dialects.CopyOutcome.NO_ROOM and result.handle:
         return handover.Word.STOPPED
-    return _WORDS.get(result.outcome, handover.Word.NOTHING)
+    return _STOP_OUTCOMES.get(result.outcome, handover.Word.NOTHING)
 
 
 class StopOrder:
-    """A run that its runner is told to stop, until it has.
+    """An order to a runner to stop a run, repeated until the run is released.
 
     Attributes
     ----------
     run : runs.Run
-        The run, at the runner that is to stop it.
+        The run, on the runner that is to stop it.
     destination : str
-        Address of the runner that the run's memory goes to.
+        Address of the runner that the run's memory is copied to.
     ends_at : float
-        Time of the event loop at which the run is over anyway, by the limit that it was sent with.
+        Time of the event loop at which the run's time limit, as sent to the runner, expires.
     evidence : handover.Evidence
-        What is known by now; what proves that the runner has let go stays.
+        What is known so far; proof that the run is released is final.
     copy : dialects.MemoryCopy or None
-        The run's memory as it was when it stopped, if the runner has named it.
+        The run's memory when it stopped, if the runner has named it.
     is_at_destination : bool
-        Whether that lies at the destination too, and not only where the run stopped.
+        Whether that copy is on the destination too, and not only on the source.
     is_stream_open : bool
         Whether the run's stream has not ended here.
     is_supported : bool
-        Whether the runner's address knows such orders.
+        Whether the runner's address supports such orders.
     is_cancelled : bool
-        Whether the run goes on at this runner again, so that it is not to be stopped there.
+        Whether the run was resumed on this runner, so that it must not be stopped there.
     is_needed : bool
-        Whether the run may still go on with what the order copies.
+        Whether the run may still be resumed from the copy.
     orders, unanswered : int
-        How often the order was given, and how many of these the runner may be carrying out.
+        How often the order was sent, and how many of these the runner may be carrying out.
     on_release : callable
-        Called when the runner has let go.
+        Called when the run is released.
     """
 
     def __init__(
@@ -101,47 +101,47 @@
         self.is_cancelled = False
         self._latest_answered = 0
         self.on_release: Callable[[], None] = lambda: None
-        self._known = asyncio.Event()
+        self._has_evidence = asyncio.Event()
 
     @property
     def is_released(self) -> bool:
-        """Whether the runner certainly works on the run no more."""
+        """Whether the runner certainly no longer works on the run."""
         return handover.has_let_go(self.evidence)
 
     def record_evidence(self, evidence: handover.Evidence) -> None:
-        """Take what is known now; that a runner was out of reach holds until it is reached."""
+        """Update the evidence; that a runner was unreachable holds until it is reached."""
         if self.is_released:
             return
         self.evidence = evidence
         if evidence is handover.Evidence.NONE:
-            self._known.clear()
+            self._has_evidence.clear()
         else:
-            self._known.set()
+            self._has_evidence.set()
         if self.is_released:
             self.on_release()
 
     def record_answer(self, number: int, evidence: handover.Evidence) -> None:
-        """Take what an order's answer proves; what does not prove an end may be out of date."""
+        """Update the evidence from an answer; unless it proves a release it may be out of date."""
         if number >= self._latest_answered or handover.has_let_go(evidence):
             self._latest_answered = max(number, self._latest_answered)
             self.record_evidence(evidence)
 
     def record_unsupported(self) -> None:
-        """Take that nothing more will be known."""
+        """Record that the runner's address does not support the order."""
         self.is_supported = False
-        self._known.set()
+        self._has_evidence.set()
 
     async def wait_for_evidence(self, seconds: float) -> handover.Evidence:
-        """Wait until something is known; what is known then."""
+        """Wait for evidence, and return it."""
         try:
             async with asyncio.timeout(seconds):
-                await self._known.wait()
+                await self._has_evidence.wait()
         except TimeoutError:
             return handover.Evidence.NONE
         return self.evidence
 
     async def wait_for_copy(self, seconds: float) -> dialects.MemoryCopy | None:
-        """Wait for the memory of the run as it stopped; None if there is none."""
+        """Wait for the memory of the stopped run; None if there is none."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while self.copy is None and loop.time() < until:
@@ -150,16 +150,16 @@
 
 
 class StopOrders:
-    """Gives the orders of one entry to stop runs.
+    """Sends the orders of one entry to stop runs.
 
     Parameters
     ----------
     dialect : dialects.Dialect
-        Gives an order.
+        Sends an order.
     timeline : timelines.Timeline
-        Takes what came of it.
+        Log of decisions.
     meters : entry_meters.EntryMeters
-        Counts it.
+        Counts outcomes.
     """
 
     def __init__(
@@ -173,35 +173,35 @@
         self._meters = meters
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._reaching: dict[str, asyncio.Task[None]] = {}
-        """Tries to reach a runner, by its address: all orders for it share them."""
+        self._probes: dict[str, asyncio.Task[None]] = {}
+        """Attempts to connect to a runner, by address; all orders to that runner share them."""
 
     def stop(
         self, run: runs.Run, destination: str, ends_at: float, *, is_stream_open: bool
     ) -> StopOrder:
-        """Have a run's runner stop it, and go on saying so until it has let go."""
+        """Order a run's runner to stop it, and repeat the order until the run is released."""
         stop_order = StopOrder(run, destination, ends_at, is_stream_open=is_stream_open)
-        self._begin(self._insist(stop_order))
+        self._start_task(self._repeat_order(stop_order))
         return stop_order
 
     def record_stream_end(self, stop_order: StopOrder) -> None:
-        """Take the end of the run's stream, and ask at once what that means.
+        """Record the end of the run's stream, and query at once what it means.
 
-        It may have ended because of the order, or just then by itself.
+        The stream may have ended because of the order, or by itself at the same time.
         """
         if not stop_order.is_stream_open:
             return
         stop_order.is_stream_open = False
         if not stop_order.is_released:
-            stop_order.record_evidence(handover.Evidence.NONE)  # of before
-            self._begin(self._order(stop_order))
+            stop_order.record_evidence(handover.Evidence.NONE)  # earlier evidence no longer holds
+            self._start_task(self._order(stop_order))
 
     def discard_unused_copy(
         self, stop_order: StopOrder, *, used: dialects.MemoryCopy | None
     ) -> None:
-        """Need no memory of an order any more: the run goes on with `used`, or not at all.
+        """Release the copies of an order: the run was resumed from `used`, or not at all.
 
-        What is copied besides lies there for nobody, and takes a place and memory for seconds.
+        Any other copy is unused and would take a slot and memory for seconds.
         """
         if not stop_order.is_needed:
             return
@@ -209,18 +209,18 @@
         if stop_order.copy != used:
             self._drop_copy(stop_order)
 
-    def _begin(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
-        task = self._loop.create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def _drop_copy(self, stop_order: StopOrder) -> None:
         if stop_order.copy is not None:
-            self._begin(self._dialect.drop_copy(stop_order.copy))
+            self._start_task(self._dialect.drop_copy(stop_order.copy))
 
     async def _order(self, stop_order: StopOrder) -> None:
-        """Give the order once, and take its answer whenever it comes."""
+        """Send the order once, and process its answer whenever it arrives."""
         run = stop_order.run
         is_stream_open = stop_order.is_stream_open
         may_be_copying = run.may_be_copying or not stop_order.unanswered
@@ -230,7 +230,7 @@
         result = await self._dialect.stop_run(
             run.target.address, run.request_id, stop_order.destination, ORDER_TIMEOUT_SECONDS
         )
-        if result.outcome in _NOT_TAKEN and not result.handle:
+        if result.outcome in _NOT_CARRIED_OUT and not result.handle:
             stop_order.unanswered -= 1
         if result.outcome is dialects.CopyOutcome.UNSUPPORTED:
             stop_order.record_unsupported()
@@ -240,14 +240,14 @@
             if not stop_order.is_needed:
                 self._drop_copy(stop_order)
         evidence = handover.judge(
-            _read_word(result), is_stream_open=is_stream_open, may_be_copying=may_be_copying
+            _get_stop_outcome(result), is_stream_open=is_stream_open, may_be_copying=may_be_copying
         )
         stop_order.record_answer(number, evidence)
 
-    async def _insist(self, stop_order: StopOrder) -> None:
-        """Give the order until the runner has let go."""
-        began = self._loop.time()
-        pause = RETRY_DELAY_SECONDS
+    async def _repeat_order(self, stop_order: StopOrder) -> None:
+        """Repeat the order until the run is released."""
+        started_at = self._loop.time()
+        delay = RETRY_DELAY_SECONDS
         while (
             not stop_order.is_released and stop_order.is_supported and not stop_order.is_cancelled
         ):
@@ -255,19 +255,19 @@
                 stop_order.record_evidence(handover.Evidence.EXPIRED)
                 break
             await asyncio.wait(
-                {self._begin(self._order(stop_order))}, timeout=ANSWER_TIMEOUT_SECONDS
+                {self._start_task(self._order(stop_order))}, timeout=ANSWER_TIMEOUT_SECONDS
             )
             if stop_order.is_released:
                 break
             if stop_order.evidence is handover.Evidence.OUT_OF_REACH:
-                await self._await_reach(stop_order)
+                await self._wait_until_reachable(stop_order)
                 stop_order.record_evidence(handover.Evidence.NONE)
                 continue
-            await asyncio.sleep(pause)
-            pause = min(2 * pause, MAX_RETRY_DELAY_SECONDS)
-        self._note_over(stop_order, began)
+            await asyncio.sleep(delay)
+            delay = min(2 * delay, MAX_RETRY_DELAY_SECONDS)
+        self._record_result(stop_order, started_at)
 
-    def _note_over(self, stop_order: StopOrder, began: float) -> None:
+    def _record_result(self, stop_order: StopOrder, started_at: float) -> None:
         self._meters.stops.labels(stop_order.evidence.value).inc()
         self._timeline.record(
             "run.stop",
@@ -275,20 +275,20 @@
             source=stop_order.run.target.target_id,
             evidence=stop_order.evidence.value,
             orders=stop_order.orders,
-            took_ms=int((self._loop.time() - began) * 1000),
+            took_ms=int((self._loop.time() - started_at) * 1000),
         )
 
-    async def _await_reach(self, stop_order: StopOrder) -> None:
-        """Wait until a connection to a run's runner comes about, or is refused."""
+    async def _wait_until_reachable(self, stop_order: StopOrder) -> None:
+        """Wait until a connection to a run's runner is established or refused."""
         address = stop_order.run.target.address
-        task = self._reaching.get(address)
+        task = self._probes.get(address)
         if task is None:
-            task = self._begin(self._try_to_reach(address, stop_order.ends_at))
-            self._reaching[address] = task
-            task.add_done_callback(lambda _: self._reaching.pop(address))
+            task = self._start_task(self._probe_until_reachable(address, stop_order.ends_at))
+            self._probes[address] = task
+            task.add_done_callback(lambda _: self._probes.pop(address))
         await asyncio.shield(task)
 
-    async def _try_to_reach(self, address: str, ends_at: float) -> None:
+    async def _probe_until_reachable(self, address: str, ends_at: float) -> None:
         while self._loop.time() < ends_at:
             if await http_client.probe(address) is not http_client.ProbeResult.UNREACHABLE:
                 return
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -1,10 +1,10 @@
-"""Streams under way at runners, and moving them off a runner that leaves.
+"""Active runs, and moving them off a runner that leaves.
 
-A run's memory is copied while the run goes on.  Once the copy is whole, the runner is told to stop
-the run, and the same request goes to the destination with the copy's handle and the last event that
-the caller has; its events follow in the same answer, and the destination reads anew what was
-written during the copy.  All runs of a runner are ordered at once: the runner's link, which makes
-copies one after another, is never idle while a run waits.
+A run's memory is copied while the run continues.  Once the copy is complete, the runner is ordered
+to stop the run, and the same request is sent to the destination with the handle of the copy and the
+id of the caller's last event.  The destination recomputes what was written during the copy, and its
+events follow in the same response.  Copies of all runs of a runner are ordered at once, as far as
+time allows: its link, which makes one copy at a time, is never idle while a run waits.
 """
 
 import asyncio
@@ -23,24 +23,24 @@
 __all__ = ["Mover", "ResumePoint", "Run"]
 
 COPY_TIMEOUT_SECONDS = 4.0
-"""Longest wait for a copy: twice the longest notice met (2.1 s); the source is gone by then."""
+"""Longest wait for a copy: twice the longest notice (2.1 s), after which the source has exited."""
 FULL_DESTINATION_DELAY_SECONDS = 0.8
-"""Time from a runner's notice after which a destination is asked that is full by our own count;
-the shortest notice met is 1.5 s."""
+"""Time after a runner's notice from which a destination that is full by this entry's count may be
+tried; the shortest notice is 1.5 s."""
 MIN_NOTICE_SECONDS = 1.5
-"""Shortest time met from a runner's notice to its end, and the time for which a run may still go to
+"""Shortest time between a runner's notice and its exit, during which runs may still be sent to
 it."""
 LINK_CHECK_INTERVAL_SECONDS = 0.03
-"""Pause of a run that waits for the link: a fifth of the shortest copy seen, so that little of its
-time is lost."""
+"""Interval at which a run that waits for the link checks again: a fifth of the shortest copy, so
+that little link time is lost."""
 MOVE_TIMEOUT_SECONDS = 6.0
-"""Longest time in which moving one run is tried: a runner that drains may serve on for seconds."""
+"""Longest time for moving one run: a draining runner may continue to serve for seconds."""
 RETRY_DELAY_SECONDS = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResumePoint:
-    """Where a run goes on, and with which memory."""
+    """Where a run is resumed, and from which copy of its memory."""
 
     target: directories.Target
     copy: dialects.MemoryCopy
@@ -48,18 +48,18 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Run:
-    """A stream under way.
+    """An active run.
 
     Attributes
     ----------
     request_id : str
-        The caller's id, by which the runner knows the run too.
+        The caller's request id, which the runner uses for the run too.
     target : directories.Target
-        Where it runs now.
+        Its current runner.
     tokens : int
-        Memory that it may need.
+        Memory that it is counted with.
     backup : directories.Target or None
-        Runner that gets its memory as it grows.
+        Runner that receives backup copies of its memory.
     moving : asyncio.Task or None
         Gives a `ResumePoint`, or None if the run stays where it is.
     on_copied : callable
@@ -72,20 +72,20 @@
     tokens: int
     backup: directories.Target | None = None
     remaining_events: float = 0.0
-    """Events that it is expected to write yet."""
+    """Events that it is expected to write from now on."""
     is_long: bool = False
-    """Whether its memory is worth a copy."""
+    """Whether its memory is worth copying."""
     leaving_since: float = 0.0
     """Time of the event loop at which its runner was known to leave."""
     moving: "asyncio.Task[ResumePoint | None] | None" = None
     on_copied: Callable[[], None] = lambda: None
     rejected_by: frozenset[str] = frozenset()
-    """Runners that did not take it up."""
+    """Runners that rejected the resumed run."""
     may_be_copying: bool = False
-    """Whether its runner may be carrying out an order to copy it, of which nobody has an answer."""
+    """Whether its runner may be carrying out an unanswered order to copy it."""
 
     def can_move_to(self, target: directories.Target) -> bool:
-        """Whether the run may go on at a target, as far as that one's leaving goes."""
+        """Whether the run may be sent to a target that may be leaving."""
         if not target.is_leaving:
             return True
         now = asyncio.get_running_loop().time()
@@ -93,11 +93,11 @@
 
     @property
     def unsaved_tokens(self) -> int:
-        """Memory that it is counted with among the runs without a copy."""
+        """Memory that counts towards runs without a copy."""
         return self.tokens if self.is_long and self.backup is None else 0
 
     def get_resume_point(self) -> ResumePoint | None:
-        """Where the run can go on by now."""
+        """Where the run can be resumed now; None if no copy is ready."""
         task = self.moving
         if task is None or not task.done() or task.cancelled():
             return None
@@ -105,20 +105,20 @@
 
 
 class Mover:
-    """All runs of one entry, by target.
+    """All active runs of one entry, by target.
 
     Parameters
     ----------
     dialect : dialects.Dialect
-        Gives the orders.
+        Sends the orders.
     selector : selection.Selector
         Chooses destinations.
     usage : usages.Usage
-        Counts the memory that copies take.
+        Counts the memory of copies.
     directory : directories.Directory
-        Tells of targets that leave.
+        Notifies of targets that leave.
     timeline : timelines.Timeline
-        Takes the decisions.
+        Log of decisions.
     meters : entry_meters.EntryMeters
         Counts orders.
     """
@@ -139,19 +139,19 @@
         self._timeline = timeline
         self._meters = meters
         self._runs: dict[str, set[Run]] = collections.defaultdict(set)
-        self._ordered: dict[str, int] = {}
-        """Tokens of the copies under way from each source, by its id; none without a copy."""
-        self._dropping: set[asyncio.Task[None]] = set()
-        directory.listen(self._note_phase)
+        self._copying_tokens: dict[str, int] = {}
+        """Tokens of the copies in progress from each source, by its id; no entry without one."""
+        self._drop_tasks: set[asyncio.Task[None]] = set()
+        directory.listen(self._handle_phase)
 
     def add(self, run: Run) -> None:
-        """Take a run that begins at a target."""
+        """Register a run that starts on a target."""
         self._runs[run.target.target_id].add(run)
         if run.target.is_winding_down:
-            self._start(run)
+            self._start_move(run)
 
     def remove(self, run: Run) -> None:
-        """Drop a run that ended there or goes on elsewhere."""
+        """Unregister a run that ended on a target or was resumed elsewhere."""
         runs = self._runs.get(run.target.target_id)
         if runs is not None:
             runs.discard(run)
@@ -160,7 +160,7 @@
         self.cancel_move(run)
 
     def cancel_move(self, run: Run) -> None:
-        """Move a run no more, and free a copy that it does not go on with."""
+        """Cancel moving a run, and free a copy that it is not resumed from."""
         unused = run.get_resume_point()
         if unused is not None:
             self._drop_copy(run, unused)
@@ -169,60 +169,60 @@
         run.moving = None
 
     def retry_move(self, run: Run) -> None:
-        """Look for another destination after one did not take the run up."""
+        """Look for another destination after one rejected the run."""
         self.cancel_move(run)
         if run.target.is_winding_down:
-            self._start(run)
+            self._start_move(run)
 
     def discard_evacuated_backups(self) -> None:
-        """Go by no copy in a data hall that gets nothing new: it could not be sent there."""
-        self._lose_backups(lambda backup: backup.data_hall in self._directory.evacuated)
+        """Discard backup copies in evacuated data halls: runs could not be sent there."""
+        self._discard_backups(lambda backup: backup.data_hall in self._directory.evacuated)
 
-    def _note_phase(self, target: directories.Target, former: directories.Phase | None) -> None:
+    def _handle_phase(self, target: directories.Target, former: directories.Phase | None) -> None:
         if not target.is_leaving:
             return
-        self._lose_backups(lambda backup: backup.target_id == target.target_id)
+        self._discard_backups(lambda backup: backup.target_id == target.target_id)
         runs = sorted(self._runs.get(target.target_id, ()), key=lambda run: run.tokens)
         for run in runs:
             if target.is_over:
-                self._stop_move(run)
+                self._cancel_copy(run)
             else:
-                self._start(run)
+                self._start_move(run)
 
-    def _stop_move(self, run: Run) -> None:
-        """Wait for no copy out of memory that is lost; one that is whole may still be used."""
+    def _cancel_copy(self, run: Run) -> None:
+        """Stop waiting for a copy of lost memory; a complete copy may still be used."""
         if run.moving is not None and not run.moving.done():
             run.moving.cancel()
             run.moving = None
 
-    def _lose_backups(self, is_lost: Callable[[directories.Target], bool]) -> None:
+    def _discard_backups(self, is_lost: Callable[[directories.Target], bool]) -> None:
         for run in [run for runs in self._runs.values() for run in runs]:
             if run.backup is not None and is_lost(run.backup):
-                self._lose_backup(run)
+                self._discard_backup(run)
 
-    def _lose_backup(self, run: Run) -> None:
-        """Count a run among those without a copy when the one that it has can't be used."""
+    def _discard_backup(self, run: Run) -> None:
+        """Count a run as one without a copy after its backup copy became unusable."""
         assert run.backup is not None
         self._usage.add(run.backup.address, tokens=-run.tokens)
         run.backup = None
         self._usage.add(run.target.address, unsaved=run.unsaved_tokens)
         if run.target.is_winding_down:
-            self._start(run)
+            self._start_move(run)
 
-    def _start(self, run: Run) -> None:
+    def _start_move(self, run: Run) -> None:
         engine = run.pool.engine
         if engine is None or not engine.can_move or run.moving is not None:
             return
         if run.backup is not None and self._directory.takes_work(run.backup):
-            # It may end here yet, and goes on there at once if it does not.  An order would copy
-            # all of its memory again, and hold up those runs that have no other copy.
+            # The run may still end here, and is resumed from the backup copy at once if it does
+            # not.  An order would copy all of its memory again and delay runs without a copy.
             return
         run.leaving_since = asyncio.get_running_loop().time()
         run.moving = asyncio.get_running_loop().create_task(self._move(run))
         run.moving.add_done_callback(lambda task: run.on_copied())
 
     async def _move(self, run: Run) -> ResumePoint | None:
-        """Copy a run's memory to a runner with room; None if it stays."""
+        """Copy a run's memory to a runner with room; None if the run stays."""
         excluded = {run.target.target_id, *run.rejected_by}
         loop = asyncio.get_running_loop()
         until = loop.time() + MOVE_TIMEOUT_SECONDS
@@ -242,51 +242,53 @@
                     excluded.add(destination.target_id)
             else:
                 excluded = {run.target.target_id, *run.rejected_by}
-            # A run that has not begun yet has no memory to copy; room may come.
+            # A run that has not started yet has no memory to copy; room may become free.
             await asyncio.sleep(RETRY_DELAY_SECONDS)
         return None
 
-    def _count_ordered(self, run: Run, tokens: int) -> None:
+    def _count_copying(self, run: Run, tokens: int) -> None:
         source = run.target.target_id
-        total = self._ordered.pop(source, 0) + tokens
+        total = self._copying_tokens.pop(source, 0) + tokens
         if total:
-            self._ordered[source] = total
+            self._copying_tokens[source] = total
 
     def _has_link_time(self, run: Run) -> bool:
-        """Whether a copy is likely whole before the runner ends, or none is under way.
+        """Whether a copy would likely complete before the runner exits, or none is in progress.
 
-        A copy that waits on the link takes memory at its destination all the while, and for
-        seconds after the runner has ended.  Entries share the time that is left by what they have
-        to move.
+        A copy that waits for the link takes memory at its destination until seconds after the
+        runner has exited.  Entries share the remaining time in proportion to what they have to
+        move.
         """
-        ordered = self._ordered.get(run.target.target_id)
-        if ordered is None:
+        copying_tokens = self._copying_tokens.get(run.target.target_id)
+        if copying_tokens is None:
             return True
         waited = asyncio.get_running_loop().time() - run.leaving_since
         left = max(0.0, MIN_NOTICE_SECONDS - waited)
         share = self._selector.read_own_share(run.target)
-        return self._selector.read_copy_seconds(run.pool, ordered + run.tokens) <= left * share
+        return (
+            self._selector.read_copy_seconds(run.pool, copying_tokens + run.tokens) <= left * share
+        )
 
     async def _copy(self, run: Run, destination: directories.Target) -> dialects.CopyResult:
-        """Copy a run's memory while it goes on, and count the copy as memory meanwhile."""
+        """Copy a run's memory while the run continues, and count the memory of the copy."""
         tokens = run.tokens
-        lingers = True  # unless the runners say otherwise
+        is_abandoned = True  # unless the runner's answer says otherwise
         self._usage.add(destination.address, tokens=tokens)
-        self._count_ordered(run, tokens)
+        self._count_copying(run, tokens)
         try:
             result = await self._order(run, destination)
-            lingers = result.outcome.is_unanswered
+            is_abandoned = result.outcome.is_unanswered
             return result
         finally:
-            self._release(run, destination, tokens, lingers)
+            self._uncount_copy(run, destination, tokens, is_abandoned)
 
-    def _release(
-        self, run: Run, destination: directories.Target, tokens: int, lingers: bool
+    def _uncount_copy(
+        self, run: Run, destination: directories.Target, tokens: int, is_abandoned: bool
     ) -> None:
-        """Count a copy out; one that nobody asks for stays for as long as copies are kept."""
-        self._count_ordered(run, -tokens)
+        """Stop counting a copy; an abandoned one counts until its retention time has passed."""
+        self._count_copying(run, -tokens)
         engine = run.pool.engine
-        if not lingers or engine is None:
+        if not is_abandoned or engine is None:
             self._usage.add(destination.address, tokens=-tokens)
             return
         asyncio.get_running_loop().call_later(
@@ -295,7 +297,7 @@
         )
 
     def _drop_copy(self, run: Run, unused: ResumePoint) -> None:
-        """Free a copy that nobody will use; it would hold memory for seconds."""
+        """Free an unused copy, which would otherwise hold memory for seconds."""
         self._timeline.record(
             "copy.drop",
             request_id=run.request_id,
@@ -306,22 +308,22 @@
             task = asyncio.get_running_loop().create_task(
                 self._dialect.drop_copy(dialects.MemoryCopy(address, unused.copy.handle))
             )
-            self._dropping.add(task)
-            task.add_done_callback(self._dropping.discard)
+            self._drop_tasks.add(task)
+            task.add_done_callback(self._drop_tasks.discard)
 
     def _choose(self, run: Run, excluded: set[str]) -> directories.Target | None:
-        """The least loaded runner with room for the run; in the end any, whose word it is."""
-        hall = run.target.data_hall
+        """Choose the least loaded runner with room; late in the notice, one that may refuse."""
+        data_hall = run.target.data_hall
         work = placing.Work(run.tokens, events=run.remaining_events)
-        found = self._selector.choose(run.pool, work, excluded, hall, is_sent_now=False)
-        if found is None or self._selector.has_room(run.pool, found, run.tokens, 1.0):
-            return found
+        destination = self._selector.choose(run.pool, work, excluded, data_hall, is_sent_now=False)
+        if destination is None or self._selector.has_room(run.pool, destination, run.tokens, 1.0):
+            return destination
         waited = asyncio.get_running_loop().time() - run.leaving_since
-        return found if waited > FULL_DESTINATION_DELAY_SECONDS else None
+        return destination if waited > FULL_DESTINATION_DELAY_SECONDS else None
 
     async def _order(self, run: Run, destination: directories.Target) -> dialects.CopyResult:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         run.may_be_copying = True
         result = await self._dialect.copy_run(
             run.target.address, run.request_id, destination.address, COPY_TIMEOUT_SECONDS
@@ -334,7 +336,7 @@
             source=run.target.target_id,
             destination=destination.target_id,
             outcome=result.outcome.value,
-            took_ms=int((loop.time() - began) * 1000),
+            took_ms=int((loop.time() - started_at) * 1000),
             events=result.events,
             tokens=run.tokens,
         )
