--- a/tillerlane/gateway/dialect.py
+++ b/tillerlane/gateway/dialect.py
@@ -1,6 +1,6 @@
-"""What the gateway needs of the way in which callers and targets speak, as functions.
+"""Functions through which the gateway decodes and encodes the messages of callers and targets.
 
-An adapter fills in a `Dialect`; `tillerlane.platform` has the only one so far.
+An adapter provides a `Dialect`; `tillerlane.platform` has the only one.
 """
 
 import dataclasses
@@ -23,22 +23,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a request's head says, decoded.
+    """Decoded head of a caller's request.
 
     Attributes
     ----------
     request_id : str
         The caller's id of this attempt.
     wait_seconds : float or None
-        How long the caller waits.
+        Time within which the caller expects a response.
     key : str
         Secret key; empty if there is none.
     prompt_tokens : int
-        0 where the request is no generation.
+        0 if the request is not a generation.
     output_tokens : int
-        Likely length of the answer: the caller's estimate, else the most it allows.
+        Expected length of the output: the caller's estimate, otherwise the caller's maximum.
     last_event_id : str
-        The caller has this event of an earlier stream; empty for a new stream.
+        Last event that the caller has of an earlier stream; empty for a new stream.
     """
 
     request_id: str
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MemoryCopy:
-    """Where a run's memory lies: the runner that made the copy, and its name for it."""
+    """Location of a copy of a run's memory: the runner that made it, and the runner's handle."""
 
     address: str
     handle: str
@@ -64,19 +64,19 @@
     Attributes
     ----------
     wait_seconds : float
-        What is left of the caller's and the route's time.
+        Time left to the caller's and the route's deadline.
     target_id : str
-        Only this incarnation may run it.
+        Only this incarnation of a target may run the request.
     workspace : str
-        Whose request it is; empty on a public route.
+        Workspace of the request; empty on a public route.
     priority : int
         0 is the most urgent.
     last_event_id : str
-        Go on behind this event.
+        Continue after this event.
     copy : MemoryCopy or None
-        Go on with this memory: the same run, not a new one.
+        Resume the run from this copy instead of starting a new one.
     backup_address : str
-        Runner that gets the run's memory while it grows; empty for none.
+        Runner that receives backup copies of the run's memory; empty for none.
     """
 
     wait_seconds: float
@@ -90,7 +90,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InvalidHeader:
-    """Something that a target says of itself and that can't be read: which word, and its text."""
+    """A header by which a target reports its state and whose value is invalid."""
 
     name: str
     text: str
@@ -98,21 +98,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseFacts:
-    """What a target's head says, decoded.
+    """Decoded head of a target's response.
 
     Attributes
     ----------
     did_run : bool
-        False only where the target vouches.
+        False only if the target guarantees that the request did not run.
     rate_limit : float or None
-        Requests a second that the target takes from all entries together; None if it names no limit
-        that can be read.
+        Requests a second that the target accepts from all entries together; None if it reports no
+        valid limit.
     backoff_seconds : float or None
-        How long the target wants nothing more from this entry; None if it does not say so.
+        How long this entry should send the target no requests; None if the target asks for no
+        back-off.
     is_leaving : bool
-        Whether the target says that it leaves.
+        Whether the target reports that it is leaving.
     invalid : tuple of InvalidHeader
-        What it says of itself and can't be read.
+        Reports with invalid values.
     """
 
     request_id: str
@@ -124,29 +125,29 @@
     invalid: tuple[InvalidHeader, ...] = ()
 
     def has_invalid(self, name: str) -> bool:
-        """Whether the target says something by a word that can't be read."""
+        """Whether the target's report of this name is invalid."""
         return any(item.name == name for item in self.invalid)
 
 
 class CopyOutcome(enum.StrEnum):
-    """How an order to copy a run's memory ended."""
+    """Outcome of an order to copy a run's memory."""
 
     COPIED = "copied"
     NO_RUN = "no_run"
     BUSY = "busy"
     NO_ROOM = "no_room"
     LOST = "lost"
-    """No clear answer: the runner may be gone."""
+    """No clear answer; the runner may have exited."""
     REFUSED = "refused"
-    """The runner's host refuses connections to it: its process has ended."""
+    """The runner's host refuses connections, so its process has exited."""
     UNREACHABLE = "unreachable"
-    """No connection to it came about."""
+    """No connection could be established."""
     UNSUPPORTED = "not_understood"
-    """What answers there knows no such order."""
+    """The process at the runner's address does not support the order."""
 
     @property
     def is_unanswered(self) -> bool:
-        """Whether the runner has not answered so that anything is known of its runs."""
+        """Whether the runner gave no answer from which anything is known about its runs."""
         return self not in (
             CopyOutcome.COPIED,
             CopyOutcome.NO_RUN,
@@ -157,7 +158,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyResult:
-    """Answer to such an order; `handle` is empty where no memory is kept."""
+    """Answer to such an order; `handle` is empty if no copy is kept."""
 
     outcome: CopyOutcome
     handle: str = ""
@@ -171,24 +172,23 @@
     Attributes
     ----------
     decode_request : callable
-        (head) gives the facts of a caller's request.
+        (head) decodes the head of a caller's request.
     build_forward : callable
-        (head, plan) gives the head for a target.
+        (head, plan) gives the head of the request to a target.
     decode_response : callable
-        (head) gives the facts of a target's answer.
+        (head) decodes the head of a target's response.
     build_refusal : callable
-        (status, seconds until another try may succeed or None) gives the headers of an answer
-        of our own.
+        (status, retry delay in seconds or None) gives the head of a refusal by the entry itself.
     parse_table : callable
         (document) gives the routing table, or raises `faults.FaultError`.
     copy_run : callable
         (source address, request id, destination address, seconds) copies a run's memory while the
-        run goes on.
+        run continues.
     stop_run : callable
-        The same, but the runner stops the run first, whatever comes of the copy, and keeps its
-        memory for a while.
+        The same, but the runner first stops the run, whether or not the copy succeeds, and keeps
+        its memory for a while.
     drop_copy : callable
-        (copy) frees a copy that will not be used.
+        (copy) frees an unused copy.
     """
 
     decode_request: Callable[[http_head.RequestHead], RequestFacts]
--- a/tillerlane/gateway/events.py
+++ b/tillerlane/gateway/events.py
@@ -1,24 +1,24 @@
-"""Server-sent events cut out of a stream of bytes, whole ones only."""
+"""Splits a stream of bytes into complete server-sent events."""
 
 __all__ = ["EventSplitter", "parse_event_id"]
 
 MAX_EVENT_BYTES = 1024 * 1024
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_SEPARATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
-    """Collects bytes and gives the whole events among them."""
+    """Buffers bytes and extracts the complete events."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether a part of an event is left."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes; gives the events that are whole now, each with its closing blank line.
+        """Add bytes; returns the events completed by them, each with its closing blank line.
 
         Raises
         ------
@@ -26,21 +26,21 @@
             If an event grows beyond `MAX_EVENT_BYTES`.
         """
         self._buffer += data
-        found = []
+        complete_events = []
         while True:
-            cuts = [self._buffer.find(end) + len(end) for end in _ENDS if end in self._buffer]
-            if not cuts:
+            ends = [self._buffer.find(end) + len(end) for end in _SEPARATORS if end in self._buffer]
+            if not ends:
                 break
-            cut = min(cuts)
-            found.append(self._buffer[:cut])
+            cut = min(ends)
+            complete_events.append(self._buffer[:cut])
             self._buffer = self._buffer[cut:]
         if len(self._buffer) > MAX_EVENT_BYTES:
             raise ValueError(f"got an event of over {MAX_EVENT_BYTES} bytes")
-        return found
+        return complete_events
 
 
 def parse_event_id(event: bytes) -> str:
-    """An event's id; empty if it has none.
+    """Id of an event; empty if it has none.
 
     Examples
     --------
--- a/tillerlane/gateway/exit_detection.py
+++ b/tillerlane/gateway/exit_detection.py
@@ -1,10 +1,10 @@
-"""Whether a target ended when it broke off an answer, or only the connection did.
+"""Detects whether a target that broke off a response has exited, or only its connection ended.
 
-A connection ends for many reasons: a reset on the way, an answer that a sound target loses or
-spoils, an idle connection.  Where the process has ended, its host refuses the next connection at
-once; that tells the two apart within a round trip, seconds before heartbeats are missed.  On a day
-with crashed targets, reset connections, spoilt and lost answers all three ends were found so, and
-none of the four other breaks was taken for one (log lines ``target.broke_off``).
+A connection can end for many reasons: a reset, a response that a healthy target loses or corrupts,
+an idle time-out.  If the process has exited, its host refuses the next connection at once, which
+tells the two apart within a round trip, seconds before missed heartbeats do.  On a simulated day
+with crashes, resets, and corrupted and lost responses, all three exits were detected and none of
+the four other breaks was taken for an exit (log event ``target.broke_off``).
 """
 
 import asyncio
@@ -18,25 +18,25 @@
 
 __all__ = ["ExitDetector"]
 
-PROBE_SECONDS = 0.05
-"""Longest wait for a refusal, which comes within a round trip: 3 ms within a region and 16 ms
-between regions as met.  The request waits for it before it goes to another target, and callers of
-plain requests have a tenth of a second; with 0.3 s one was answered after 0.6 s instead of 0.1."""
+PROBE_TIMEOUT_SECONDS = 0.05
+"""Longest wait for a refusal, which takes one round trip: 3 ms within a region and 16 ms between
+regions.  A retry waits for the probe, and callers of plain requests have a tenth of a second; with
+0.3 s, such a request is answered after 0.6 s instead of 0.1 s."""
 
 
 class ExitDetector:
-    """Asks after targets that broke off answers of one entry.
+    """Checks targets that broke off responses to one entry.
 
     Parameters
     ----------
     usage : usages.Usage
-        Tells what else was under way at a target.
+        Knows how many other requests are at a target.
     quarantined : quarantine.Quarantine
-        Takes the requests under which targets ended.
+        Records requests during which targets exited.
     timeline : timelines.Timeline
-        Takes what was found.
+        Log of results.
     meters : entry_meters.EntryMeters
-        Counts it.
+        Counts results.
     """
 
     def __init__(
@@ -51,8 +51,8 @@
         self._timeline = timeline
         self._meters = meters
         self._loop = asyncio.get_running_loop()
-        self._probing: dict[str, asyncio.Task[http_client.ProbeResult]] = {}
-        """Probes under way by target: all answers that break off with one share it."""
+        self._probes: dict[str, asyncio.Task[http_client.ProbeResult]] = {}
+        """Probes in progress by target; responses that break off at one target share a probe."""
 
     async def check_target(
         self,
@@ -61,18 +61,18 @@
         sent_at: float,
         events: int,
     ) -> None:
-        """Find out what became of a target that broke off a request's answer.
+        """Find out whether a target that broke off the response to a request has exited.
 
-        A target that leaves ends as planned, and with it what still runs there.
+        The exit of a draining target is planned, and ends whatever still runs there.
 
         Parameters
         ----------
         admission : admissions.Admission
             The request.
         sent_at : float
-            Time of the event loop at which it was sent there.
+            Time of the event loop at which it was sent to the target.
         events : int
-            Events of its stream that have come so far, from all of its runners.
+            Events of its stream that arrived so far, from all of its runners.
         """
         if target.is_winding_down:
             return
@@ -95,12 +95,11 @@
 
     async def _probe(self, target: directories.Target) -> http_client.ProbeResult:
         if target.is_over:
-            return (
-                http_client.ProbeResult.REFUSED
-            )  # it has started again, so the former start has ended
-        task = self._probing.get(target.target_id)
+            # It has restarted, so the former process has exited.
+            return http_client.ProbeResult.REFUSED
+        task = self._probes.get(target.target_id)
         if task is None:
-            task = self._loop.create_task(http_client.probe(target.address, PROBE_SECONDS))
-            self._probing[target.target_id] = task
-            task.add_done_callback(lambda _: self._probing.pop(target.target_id))
+            task = self._loop.create_task(http_client.probe(target.address, PROBE_TIMEOUT_SECONDS))
+            self._probes[target.target_id] = task
+            task.add_done_callback(lambda _: self._probes.pop(target.target_id))
         return await asyncio.shield(task)
--- a/tillerlane/gateway/fingerprints.py
+++ b/tillerlane/gateway/fingerprints.py
@@ -1,7 +1,7 @@
-"""Which attempts are the same request: a digest of what it asks for and who asks.
+"""Identifies attempts of the same request by a digest of its content and workspace.
 
-A caller that comes again sends an attempt of its own, with an id of its own, to any entry.  What
-does not change is the method, the host, the path with its query, the workspace and the body.
+A caller that retries sends a new attempt with a new id, to any entry.  The method, the host, the
+path with its query, the workspace and the body stay the same.
 """
 
 import hashlib
@@ -11,22 +11,22 @@
 __all__ = ["FINGERPRINT_BYTES", "compute"]
 
 FINGERPRINT_BYTES = 16
-"""Two different ones of a million requests have the same with a chance of 1.5 in 10^27."""
+"""Among a million requests, any two share a fingerprint with a probability of 1.5 in 10^27."""
 
 
 def compute(head: http_head.RequestHead, body: bytes, workspace: str) -> str:
-    """The fingerprint of a request in hex.
+    """Fingerprint of a request in hex.
 
-    Headers other than the host do not count: among them are the attempt's id and its deadline.
+    Headers other than the host are left out, since they include the attempt's id and deadline.
 
     Parameters
     ----------
     head : http_head.RequestHead
-        The caller's, as it came.
+        Head of the caller's request as received.
     body : bytes
-        All of it, however it was framed.
+        The complete body, whatever its framing.
     workspace : str
-        Whose request it is; empty on a public route.
+        Workspace of the request; empty on a public route.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     host = http_head.get_header(head.headers, b"host") or b""
--- a/tillerlane/gateway/routes.py
+++ b/tillerlane/gateway/routes.py
@@ -1,6 +1,6 @@
-"""The routing table: which request may go to which pool of targets, and within which bounds.
+"""The routing table: which requests may go to which pool of targets, and within which limits.
 
-A table is one immutable value; an entry swaps the whole of it.  Times are in seconds.
+A table is immutable; an entry replaces it as a whole.  Times are in seconds.
 """
 
 import dataclasses
@@ -24,12 +24,12 @@
     FREELY = "freely"
     ONCE = "once"
     STREAM = "stream"
-    """A stream of events: once, unless the route lets a stream be resumed."""
+    """A stream of events: once, unless the route allows streams to be resumed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host and path prefix.
+    """Requests with one host and path prefix.
 
     Attributes
     ----------
@@ -38,17 +38,17 @@
     timeout_seconds : float or None
         Longest time that a request is held.
     objective_seconds : float
-        An answer (of a stream: its first event) within it is in time.
+        A response (of a stream: its first event) within this time meets the objective.
     priority : int
         0 is the most urgent.
     max_attempts : int
-        Most runners that one request is sent to.
+        Largest number of runners that one request is sent to.
     is_public : bool
         Whether requests need no key.
     is_resumable : bool
-        Whether another run may go on behind a stream's last event.
+        Whether a new run may continue after a stream's last event.
     pause_objective_seconds : float or None
-        Longest pause between events that is still in time.
+        Longest pause between events that meets the objective.
     """
 
     name: str
@@ -66,7 +66,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request that may have run can be sent again."""
         return self.repeat is RepeatPolicy.FREELY or (
             self.repeat is RepeatPolicy.STREAM and self.is_resumable
         )
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """What the model runners of a pool can do.
+    """Capabilities of a pool's model runners.
 
     Attributes
     ----------
@@ -83,13 +83,13 @@
     memory_tokens : int
         Tokens that running requests and cached prefixes share.
     token_bytes, link_mbps : float
-        Size of a token's memory, and the link that copies of it take.
+        Memory of one token, and bandwidth of the link over which copies are sent.
     event_tokens : int
-        Tokens that one event of a stream holds.
+        Tokens in one event of a stream.
     can_move, can_back_up : bool
-        Whether a run's memory can go to another runner on order, or all the while.
+        Whether a run's memory can be copied to another runner on order, or continuously.
     copy_retention_seconds : float
-        How long a runner keeps memory that was moved to it.
+        How long a runner keeps a copy of a run's memory.
     """
 
     slots: int
@@ -109,7 +109,7 @@
     Attributes
     ----------
     cold_rate : float
-        Requests a second that one of them bears while it is cold; 0 for no bound.
+        Requests a second that a cold target sustains; 0 for no limit.
     """
 
     name: str
@@ -121,7 +121,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a caller may send and how long it may take or rest."""
+    """Limits on the size of a caller's requests, and on the time that it may take or stay idle."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -131,7 +131,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """Whose requests are whose: a name, its keys, and its rank if it has one of its own."""
+    """A workspace: its name, its keys, and its priority if it has one of its own."""
 
     name: str
     keys: tuple[str, ...]
@@ -140,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoutingTable:
-    """Everything that decides where a request may go; one version of it is in force."""
+    """Everything that decides where a request may go; one version is in force at a time."""
 
     version: int
     routes: tuple[Route, ...]
@@ -159,19 +159,19 @@
         object.__setattr__(self, "_by_key", by_key)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """The route of the longest prefix; `path` has no query."""
+        """Find the route with the longest matching prefix; `path` has no query."""
         for route in self._by_host.get(host, ()):  # type: ignore[attr-defined]
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def find_workspace(self, key: str) -> Workspace | None:
-        """The workspace that holds a key."""
+        """Find the workspace that a key belongs to."""
         return self._by_key.get(key)  # type: ignore[attr-defined]
 
 
 def check_table(table: RoutingTable) -> list[str]:
-    """Everything that is wrong with a table, each with what was got; empty if nothing is."""
+    """List all problems of a table, each with the value found; empty if it is valid."""
     problems: list[str] = []
     places: set[tuple[str, str]] = set()
     for route in table.routes:
