--- a/tillerlane/gateway/tests/test_moves.py
+++ b/tillerlane/gateway/tests/test_moves.py
@@ -1,4 +1,4 @@
-"""Runs that go on at another runner: moved off one that leaves, or from a copy made beforehand."""
+"""Runs resumed on another runner: moved off a leaving one, or resumed from a backup copy."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 class MoveTest(gateway_scenes.GatewayCase):
     """Runs of one entry."""
 
-    def test_run_moves_off_a_leaving_runner_in_one_answer(self) -> None:
+    def test_run_moves_off_a_leaving_runner_within_one_response(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=60)
             await asyncio.sleep(0.2)
@@ -19,18 +19,18 @@
             second = await stage.add_runner("t2", "llm", length=60)
             await asyncio.sleep(0.2)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
-            answer = await call
-            self.assertTrue(answer.is_whole)
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 60))
+            response = await call
+            self.assertTrue(response.is_whole)
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", 60))
             self.assertEqual((first.ran[0].ended, second.ran[0].ended), ("stopped", "whole"))
             self.assertEqual(len(first.ran) + len(second.ran), 2)
-            # The former run has stopped before the other one begins, behind its last event.
+            # The former run has stopped before the new one starts, after the last event.
             self.assertLessEqual(first.ran[0].ended_at, second.ran[0].began)
             self.assertEqual(second.ran[0].first_event, first.ran[0].events + 1)
 
         self.play(scene)
 
-    def test_no_more_copies_are_ordered_than_the_notice_has_time_for(self) -> None:
+    def test_copies_are_ordered_only_as_far_as_the_notice_allows(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=90, copy_seconds=0.4)
             await asyncio.sleep(0.2)
@@ -46,16 +46,18 @@
             await asyncio.sleep(0.2)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(0.3)
-            # 1.5 s of notice, and 0.37 s of link for each (3,300 tokens between halls).
+            # 1.5 s of notice, and 0.37 s of link time per copy (3,300 tokens between halls).
             self.assertEqual(len(first.copied), 4)
             await asyncio.sleep(2.2)
             self.assertEqual(len(first.copied), 6)
-            for number, answer in enumerate(await asyncio.gather(*calls)):
-                self.assertEqual(answer.body, gateway_scenes.build_stream(f"r{number}", 90), number)
+            for number, response in enumerate(await asyncio.gather(*calls)):
+                self.assertEqual(
+                    response.body, gateway_scenes.build_stream(f"r{number}", 90), number
+                )
 
         self.play(scene)
 
-    def test_run_that_ends_is_moved_no_more(self) -> None:
+    def test_move_is_cancelled_when_the_run_ends(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=30, copy_seconds=2.0)
             await asyncio.sleep(0.2)
@@ -68,7 +70,7 @@
             await asyncio.sleep(0.1)
             tasks = [task.get_coro().__qualname__ for task in asyncio.all_tasks()]
             self.assertEqual([name for name in tasks if name == "Mover._move"], [])
-            # The runners make the copy all the same, and keep it for a while.
+            # The runners complete the copy nevertheless, and keep it for a while.
             usage = stage.entries["entry-1"].usage
             self.assertGreater(usage.read(second.address).tokens, 3_000)
             await asyncio.sleep(5.2)
@@ -76,7 +78,7 @@
 
         self.play(scene)
 
-    def test_copy_of_a_lost_source_counts_as_memory_for_as_long_as_it_is_kept(self) -> None:
+    def test_copy_of_a_lost_source_counts_as_memory_while_it_is_kept(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=90, copy_seconds=2.0)
             await asyncio.sleep(0.2)
@@ -95,7 +97,7 @@
 
         self.play(scene)
 
-    def test_copy_that_came_too_late_is_freed(self) -> None:
+    def test_late_copy_is_freed(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=90, copy_seconds=0.2)
             await asyncio.sleep(0.2)
@@ -114,7 +116,7 @@
 
         self.play(scene)
 
-    def test_copy_that_is_not_taken_up_leaves_the_run_where_it_is(self) -> None:
+    def test_run_returns_to_its_source_when_the_destination_rejects_it(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=90)
             await asyncio.sleep(0.2)
@@ -124,12 +126,12 @@
             await asyncio.sleep(0.2)
             second.loses_copies = True
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
-            answer = await call
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 90))
-            self.assertTrue(answer.is_whole)
+            response = await call
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", 90))
+            self.assertTrue(response.is_whole)
             self.assertIn("r1", second.turned_away)
             self.assertEqual((len(first.ran), len(second.ran)), (2, 0))
-            # It goes on there with its own memory, behind the event at which it stopped.
+            # The run is resumed there from its own memory, after the event at which it stopped.
             former, later = first.ran
             self.assertEqual((former.ended, later.ended), ("stopped", "whole"))
             self.assertTrue(later.headers["kv-from"].startswith(first.address))
@@ -138,7 +140,7 @@
 
         self.play(scene)
 
-    def test_run_that_may_go_on_elsewhere_is_not_gone_on_with_here(self) -> None:
+    def test_run_that_may_be_active_elsewhere_is_not_resumed_at_its_source(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=90)
             await asyncio.sleep(0.2)
@@ -148,15 +150,15 @@
             await asyncio.sleep(0.2)
             second.loses_answer = True
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
-            answer = await call
-            self.assertFalse(answer.is_whole)
-            self.assertTrue(gateway_scenes.build_stream("r1", 90).startswith(answer.body))
+            response = await call
+            self.assertFalse(response.is_whole)
+            self.assertTrue(gateway_scenes.build_stream("r1", 90).startswith(response.body))
             self.assertEqual((len(first.ran), len(second.ran)), (1, 1))
             self.assertEqual(first.ran[0].ended, "stopped")
 
         self.play(scene)
 
-    def test_move_without_room_is_tried_elsewhere(self) -> None:
+    def test_move_to_a_full_runner_is_retried_elsewhere(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=90)
             await asyncio.sleep(0.2)
@@ -167,17 +169,17 @@
             await stage.add_runner("t3", "llm", hall="hall-b", length=90)
             await asyncio.sleep(0.2)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
-            answer = await call
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 90))
+            response = await call
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", 90))
             self.assertEqual(full.ran, [])
 
         self.play(scene)
 
-    def test_crash_of_a_runner_goes_on_from_the_copy(self) -> None:
+    def test_run_of_a_crashed_runner_is_resumed_from_its_backup_copy(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(f"t{number}", "llm", length=80) for number in (1, 2)]
             await asyncio.sleep(0.2)
-            # Enough memory without a copy that the next run gets one.
+            # Enough memory without a copy that the next run gets a backup copy.
             calls = [
                 asyncio.create_task(
                     stage.call("entry-1", "record", f"r{number}", **gateway_scenes.LONG)
@@ -185,18 +187,18 @@
                 for number in range(6)
             ]
             await asyncio.sleep(0.6)
-            backed = [run for run in runners[0].ran if "kv-backup" in run.headers]
-            self.assertTrue(backed)
+            backed_up = [run for run in runners[0].ran if "kv-backup" in run.headers]
+            self.assertTrue(backed_up)
             runners[0].crash()
-            answers = await asyncio.gather(*calls)
-            for run in backed:
-                answer = answers[int(run.request_id[1:])]
-                self.assertEqual(answer.body, gateway_scenes.build_stream(run.request_id, 80))
-                self.assertTrue(answer.is_whole)
+            responses = await asyncio.gather(*calls)
+            for run in backed_up:
+                response = responses[int(run.request_id[1:])]
+                self.assertEqual(response.body, gateway_scenes.build_stream(run.request_id, 80))
+                self.assertTrue(response.is_whole)
 
         self.play(scene)
 
-    def test_run_is_moved_when_its_copy_leaves_too(self) -> None:
+    def test_run_is_moved_when_the_runner_of_its_backup_copy_leaves_too(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=120)
             await asyncio.sleep(0.2)
@@ -224,14 +226,14 @@
             await asyncio.sleep(1.5)
             stage.runners["t1"].crash()
             backup.crash()
-            for number, answer in enumerate(await asyncio.gather(*calls)):
+            for number, response in enumerate(await asyncio.gather(*calls)):
                 self.assertEqual(
-                    answer.body, gateway_scenes.build_stream(f"r{number}", 120), number
+                    response.body, gateway_scenes.build_stream(f"r{number}", 120), number
                 )
 
         self.play(scene)
 
-    def test_runner_that_goes_dark_is_left_for_the_copy(self) -> None:
+    def test_run_of_an_unreachable_runner_is_resumed_from_its_backup_copy(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(f"t{number}", "llm", length=80) for number in (1, 2)]
             await asyncio.sleep(0.2)
@@ -242,11 +244,11 @@
                 for number in range(6)
             ]
             await asyncio.sleep(0.6)
-            backed = [run for run in runners[0].ran if "kv-backup" in run.headers]
-            self.assertTrue(backed)
+            backed_up = [run for run in runners[0].ran if "kv-backup" in run.headers]
+            self.assertTrue(backed_up)
             runners[0].go_dark()
             await asyncio.sleep(5)
-            for run in backed:
+            for run in backed_up:
                 call = calls[int(run.request_id[1:])]
                 self.assertTrue(call.done())
                 self.assertEqual(
@@ -257,7 +259,7 @@
 
         self.play(scene)
 
-    def test_crash_without_a_copy_does_not_look_whole(self) -> None:
+    def test_stream_without_a_copy_is_truncated_by_a_crash(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "llm", length=80)
             await stage.add_runner("t2", "llm", length=80)
@@ -266,9 +268,9 @@
             call = asyncio.create_task(stage.call("entry-1", "record", "r1", **gateway_scenes.LONG))
             await asyncio.sleep(0.6)
             runner.crash()
-            answer = await call
-            self.assertFalse(answer.is_whole)
-            self.assertTrue(gateway_scenes.build_stream("r1", 80).startswith(answer.body))
+            response = await call
+            self.assertFalse(response.is_whole)
+            self.assertTrue(gateway_scenes.build_stream("r1", 80).startswith(response.body))
             self.assertEqual(stage.runners["t2"].ran, [])
 
         self.play(scene)
@@ -279,7 +281,7 @@
 
     entries = 2
 
-    def test_all_runs_of_a_leaving_runner_are_copied_one_after_another(self) -> None:
+    def test_all_runs_of_a_leaving_runner_are_copied_in_turn(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=120, copy_seconds=0.25)
             await asyncio.sleep(0.2)
@@ -296,9 +298,9 @@
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(1.15)
             first.crash()
-            for number, answer in enumerate(await asyncio.gather(*calls)):
+            for number, response in enumerate(await asyncio.gather(*calls)):
                 self.assertEqual(
-                    answer.body, gateway_scenes.build_stream(f"r{number}", 120), number
+                    response.body, gateway_scenes.build_stream(f"r{number}", 120), number
                 )
 
         self.play(scene)
--- a/tillerlane/gateway/tests/test_relay.py
+++ b/tillerlane/gateway/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Requests through an entry: what runs, how often, and what the caller is told."""
+"""Requests through an entry: which targets run them, how often, and what the caller gets."""
 
 import asyncio
 import unittest
@@ -8,18 +8,18 @@
 from tillerlane.testing import gateway_lab, gateway_scenes
 
 
-class PlainTest(gateway_scenes.GatewayCase):
-    """Requests with one whole answer."""
+class PlainRequestTest(gateway_scenes.GatewayCase):
+    """Requests with a single complete response."""
 
-    def test_request_and_answer_pass_unaltered(self) -> None:
+    def test_request_and_response_are_relayed_unaltered(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             await asyncio.sleep(0.2)
-            answer = await stage.call(
+            response = await stage.call(
                 "entry-1", "order", "r1", X_Own="kept", Tenant="forged", Kv_From="forged"
             )
-            self.assertEqual((answer.status, answer.body), (200, b"answer to r1"))
-            self.assertEqual(answer.headers["response-seal"], "s.1")
+            self.assertEqual((response.status, response.body), (200, b"answer to r1"))
+            self.assertEqual(response.headers["response-seal"], "s.1")
             ran = runner.ran[0]
             self.assertEqual((ran.path, ran.body), ("/order/x?q=1", b"body"))
             self.assertEqual(ran.headers["tenant"], "workspace-a")
@@ -41,18 +41,18 @@
 
         self.play(scene)
 
-    def test_without_a_target_the_refusal_says_when_to_come_back(self) -> None:
+    def test_refusal_without_a_target_has_a_retry_time(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            # Just after its start an entry waits for targets, which have not told of themselves.
+            # Just after its start, an entry waits for targets that have not been reported yet.
             await asyncio.sleep(startup.TARGETS_SECONDS)
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual(answer.status, 503)
-            self.assertGreater(float(answer.headers["retry-after"]), 0)
-            self.assertLess(answer.seconds, 0.1)
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual(response.status, 503)
+            self.assertGreater(float(response.headers["retry-after"]), 0)
+            self.assertLess(response.seconds, 0.1)
 
         self.play(scene)
 
-    def test_late_heartbeat_of_a_target_whose_address_is_anothers_runs_nothing_twice(self) -> None:
+    def test_late_heartbeat_with_a_reused_address_runs_nothing_twice(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("new", "app")
             late = directories.Target(
@@ -69,55 +69,55 @@
             await asyncio.sleep(0.5)
             statuses = []
             for number in range(10):
-                answer = await stage.call("entry-1", "price", f"r{number}")
-                statuses.append(answer.status)
+                response = await stage.call("entry-1", "price", f"r{number}")
+                statuses.append(response.status)
             self.assertEqual(statuses, [200] * 10)
             ran = [item.request_id for item in runner.ran]
             self.assertEqual(ran, [f"r{number}" for number in range(10)])
 
         self.play(scene)
 
-    def test_lost_answer_of_what_may_run_once_is_no_refusal_and_no_second_run(self) -> None:
+    def test_lost_response_to_a_non_repeatable_request_is_not_retried(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(name, "app") for name in ("t1", "t2")]
             await asyncio.sleep(0.2)
             for runner in runners:
                 runner.loses_answer = True
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual(answer.status, 502)
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual(response.status, 502)
             self.assertEqual(sum(len(runner.ran) for runner in runners), 1)
 
         self.play(scene)
 
-    def test_lost_answer_of_what_may_be_repeated_is_tried_at_another_target(self) -> None:
+    def test_lost_response_to_a_repeatable_request_is_retried_elsewhere(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(name, "app") for name in ("t1", "t2")]
             await asyncio.sleep(0.2)
             for runner in runners:
                 runner.loses_answer = True
-            answer = await stage.call("entry-1", "price", "r1", method=b"GET", body=b"")
-            self.assertEqual(answer.status, 502)
+            response = await stage.call("entry-1", "price", "r1", method=b"GET", body=b"")
+            self.assertEqual(response.status, 502)
             self.assertEqual([len(runner.ran) for runner in runners], [1, 1])
 
         self.play(scene)
 
-    def test_target_that_never_answers_costs_half_of_the_time_once(self) -> None:
+    def test_unresponsive_target_costs_half_of_the_deadline_once(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(name, "app") for name in ("t1", "t2")]
             await asyncio.sleep(0.2)
             runners[0].is_dark = True
             seconds = []
             for number in range(8):
-                answer = await stage.call(
+                response = await stage.call(
                     "entry-1", "price", f"r{number}", method=b"GET", body=b"", wait_ms=800
                 )
-                self.assertEqual(answer.status, 200)
-                seconds.append(answer.seconds)
+                self.assertEqual(response.status, 200)
+                seconds.append(response.seconds)
             self.assertEqual(sum(item > 0.3 for item in seconds), 1, seconds)
 
         self.play(scene)
 
-    def test_short_deadlines_do_not_give_a_target_a_bad_name(self) -> None:
+    def test_short_deadlines_do_not_count_against_a_target(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(name, "app", pace=0.1) for name in ("t1", "t2")]
             await asyncio.sleep(0.2)
@@ -131,41 +131,41 @@
 
         self.play(scene)
 
-    def test_target_that_turned_away_is_a_true_refusal(self) -> None:
+    def test_rejection_by_a_target_becomes_a_refusal(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             await asyncio.sleep(0.2)
             runner.refuses = True
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual(answer.status, 503)
-            self.assertIn("retry-after", answer.headers)
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual(response.status, 503)
+            self.assertIn("retry-after", response.headers)
             self.assertEqual(runner.ran, [])
 
         self.play(scene)
 
-    def test_own_503_of_a_target_is_no_promise(self) -> None:
+    def test_503_without_not_run_guarantees_nothing(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             await asyncio.sleep(0.2)
             runner.answer_status = 503
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual(answer.status, 502)
-            self.assertNotIn("response-seal", answer.headers)
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual(response.status, 502)
+            self.assertNotIn("response-seal", response.headers)
 
         self.play(scene)
 
-    def test_answer_to_another_request_reaches_nobody(self) -> None:
+    def test_response_to_another_request_is_discarded(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             await asyncio.sleep(0.2)
             runner.answers_for = "r0"
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual((answer.status, answer.body), (502, b""))
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual((response.status, response.body), (502, b""))
 
         self.play(scene)
 
-    def test_prompt_waits_here_for_the_runner_that_has_read_first(self) -> None:
-        """Before, it was sent at once, behind the prompt of the runner that seemed least loaded."""
+    def test_prompt_waits_in_the_entry_until_a_runner_has_finished_prefill(self) -> None:
+        """Guards against sending it at once to the least loaded runner, behind its prompt."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             fast = await stage.add_runner("t1", "llm", length=5, reading_seconds=0.15)
@@ -177,8 +177,8 @@
                 call = stage.call("entry-1", "record", f"r{number}", **gateway_scenes.LONG)
                 calls.append(asyncio.create_task(call))
                 await asyncio.sleep(0.02)
-            for answer in await asyncio.gather(*calls):
-                self.assertTrue(answer.is_whole)
+            for response in await asyncio.gather(*calls):
+                self.assertTrue(response.is_whole)
             self.assertEqual((len(fast.ran), len(slow.ran)), (2, 1))
             waited = fast.ran[1].began - began
             self.assertGreater(waited, 0.15)
@@ -186,7 +186,7 @@
 
         self.play(scene)
 
-    def test_draining_target_gets_nothing_whichever_keeper_heard_it(self) -> None:
+    def test_draining_target_gets_no_requests_whichever_keeper_knows(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(name, "app") for name in ("t1", "t2")]
             await asyncio.sleep(0.2)
@@ -200,7 +200,7 @@
 
         self.play(scene)
 
-    def test_caller_that_leaves_ends_the_run(self) -> None:
+    def test_run_ends_when_its_caller_disconnects(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "llm", length=200)
             await asyncio.sleep(0.2)
@@ -211,7 +211,7 @@
 
         self.play(scene)
 
-    def test_held_no_longer_than_the_route_says(self) -> None:
+    def test_request_is_held_no_longer_than_the_route_timeout(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             await asyncio.sleep(0.2)
@@ -220,27 +220,26 @@
             document["routes"][2]["timeout_ms"] = 700
             await stage.publish("keeper-1", document)
             await asyncio.sleep(0.5)
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual(answer.status, 504)
-            self.assertLess(answer.seconds, 0.75)
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual(response.status, 504)
+            self.assertLess(response.seconds, 0.75)
 
         self.play(scene)
 
 
-class TruthTest(gateway_scenes.GatewayCase):
-    """ "Not run" is said only of a request that no target can have begun.
+class NotRunGuaranteeTest(gateway_scenes.GatewayCase):
+    """A refusal that guarantees "not run" is given only if no target can have started the request.
 
-    Callers of requests that may be repeated were told 503, which promises that the request has not
-    run, although the first target had begun it: it ended, and the others that were tried next could
-    not be reached or turned the request away.  The last outcome was answered, whatever the earlier
-    ones were.
+    Callers of repeatable requests got 503, which guarantees that nothing ran, although the first
+    target had started the request and then exited: the targets tried next were unreachable or
+    rejected the request, and only the last outcome was considered.
 
-    Callers of requests that may not be repeated were told 503 on a refusal that did not say which
-    request it answered: an answer of a target without that belongs to nobody.
+    Callers of requests that may run once got 503 after a rejection that did not name the request
+    that it answered.  Such a response proves nothing about any request.
     """
 
-    def play_second_send(self, route: str, pool: str, length: int, *, gone: bool) -> None:
-        """Have a target lose an answer, and the others be out of reach or turn the request away."""
+    def check_second_send(self, route: str, pool: str, length: int, *, gone: bool) -> None:
+        """Have a target lose its response, and the others be unreachable or reject the request."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(f"t{n}", pool, length=length) for n in range(4)]
@@ -254,31 +253,31 @@
                 runner.refuses = True
                 if gone:
                     runner.crash()
-            answer = await call
-            self.assertEqual(answer.status, 502)
+            response = await call
+            self.assertEqual(response.status, 502)
 
         self.play(scene)
 
-    def test_others_can_not_be_reached(self) -> None:
+    def test_other_targets_are_unreachable(self) -> None:
         for route, pool, length in (("price", "app", 0), ("verdict", "llm", 4)):
             with self.subTest(route):
-                self.play_second_send(route, pool, length, gone=True)
+                self.check_second_send(route, pool, length, gone=True)
 
-    def test_refusal_that_names_no_request_proves_nothing(self) -> None:
+    def test_rejection_without_a_request_id_proves_nothing(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             await asyncio.sleep(0.2)
             runner.denies_status, runner.names_no_request = 503, True
-            answer = await stage.call("entry-1", "order", "r1")
+            response = await stage.call("entry-1", "order", "r1")
             self.assertEqual(len(runner.ran), 1)
-            self.assertEqual(answer.status, 502)
+            self.assertEqual(response.status, 502)
 
         self.play(scene)
 
-    def test_others_turn_it_away(self) -> None:
+    def test_other_targets_reject_the_request(self) -> None:
         for route, pool, length in (("price", "app", 0), ("verdict", "llm", 4)):
             with self.subTest(route):
-                self.play_second_send(route, pool, length, gone=False)
+                self.check_second_send(route, pool, length, gone=False)
 
 
 if __name__ == "__main__":
--- a/tillerlane/gateway/tests/test_streams.py
+++ b/tillerlane/gateway/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams through an entry: which runs a caller gets, and what ends them."""
+"""Streams through an entry: which runs a caller gets events of, and what ends a stream."""
 
 import asyncio
 import unittest
@@ -9,37 +9,37 @@
 class StreamTest(gateway_scenes.GatewayCase):
     """Streams of events."""
 
-    def test_stream_is_passed_on_whole(self) -> None:
+    def test_stream_is_relayed_completely(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=20)
             await asyncio.sleep(0.2)
-            answer = await stage.call("entry-1", "record", "r1", **gateway_scenes.LONG)
-            self.assertTrue(answer.is_whole)
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 20))
+            response = await stage.call("entry-1", "record", "r1", **gateway_scenes.LONG)
+            self.assertTrue(response.is_whole)
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", 20))
 
         self.play(scene)
 
-    def test_missing_event_ends_the_stream_unfinished(self) -> None:
+    def test_missing_event_truncates_the_stream(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "llm", length=20)
             runner.skips_event = 7
             await asyncio.sleep(0.2)
-            answer = await stage.call("entry-1", "record", "r1", **gateway_scenes.LONG)
-            self.assertFalse(answer.is_whole)
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 6))
+            response = await stage.call("entry-1", "record", "r1", **gateway_scenes.LONG)
+            self.assertFalse(response.is_whole)
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", 6))
 
         self.play(scene)
 
-    def test_missing_first_event_ends_the_stream_unfinished(self) -> None:
-        """A runner that said nothing for a while at first went on in the middle of its stream."""
+    def test_missing_first_event_truncates_the_stream(self) -> None:
+        """A runner that stays silent at first and then starts in the middle of its stream."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "llm", length=20)
             runner.skips_event = 1
             await asyncio.sleep(0.2)
-            answer = await stage.call("entry-1", "record", "r1", **gateway_scenes.LONG)
-            self.assertFalse(answer.is_whole)
-            self.assertEqual(answer.body, b"")
+            response = await stage.call("entry-1", "record", "r1", **gateway_scenes.LONG)
+            self.assertFalse(response.is_whole)
+            self.assertEqual(response.body, b"")
 
         self.play(scene)
 
@@ -56,13 +56,13 @@
             while not any(runner.ran for runner in runners):
                 await asyncio.sleep(0)
             next(runner for runner in runners if not runner.ran).skips_event = 0
-            answer = await call
-            self.assertTrue(answer.is_whole)
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 20))
+            response = await call
+            self.assertTrue(response.is_whole)
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", 20))
 
         self.play(scene)
 
-    def test_stream_runs_on_no_more_runners_than_its_route_allows(self) -> None:
+    def test_stream_uses_no_more_runners_than_its_route_allows(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [
                 await stage.add_runner(f"t{number}", "llm", length=20) for number in (1, 2, 3, 4)
@@ -81,35 +81,35 @@
 
         self.play(scene)
 
-    def test_refusal_for_memory_says_when_runs_will_have_ended(self) -> None:
+    def test_refusal_for_lack_of_memory_has_a_retry_time(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=90)
             await asyncio.sleep(0.2)
             long = {**gateway_scenes.LONG, "Token_Counts": "33900,2000"}
-            answers = [
+            responses = [
                 await stage.call("entry-1", "record", "r1", **long),
                 await stage.call("entry-1", "record", "r2", wait_ms=3_000, **long),
             ]
-            self.assertEqual([answer.status for answer in answers], [503, 503])
-            waits = [float(answer.headers["retry-after"]) for answer in answers]
+            self.assertEqual([response.status for response in responses], [503, 503])
+            waits = [float(response.headers["retry-after"]) for response in responses]
             self.assertTrue(2.9 < waits[0] <= 3.0, waits)
             self.assertTrue(0.8 < waits[1] <= 1.0, waits)
 
         self.play(scene)
 
-    def test_silence_alone_does_not_end_a_run(self) -> None:
+    def test_pause_alone_does_not_end_a_run(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [
                 await stage.add_runner(f"t{number}", "llm", length=4, pace=2.0) for number in (1, 2)
             ]
             await asyncio.sleep(0.2)
-            answer = await stage.call("entry-1", "verdict", "r1", Model="m")
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 4))
+            response = await stage.call("entry-1", "verdict", "r1", Model="m")
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", 4))
             self.assertEqual(sum(len(runner.ran) for runner in runners), 1)
 
         self.play(scene)
 
-    def test_resumable_stream_goes_on_in_another_run(self) -> None:
+    def test_resumable_stream_continues_in_a_new_run(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(f"t{number}", "llm", length=30) for number in (1, 2)]
             await asyncio.sleep(0.2)
@@ -118,9 +118,9 @@
             )
             await asyncio.sleep(0.4)
             next(item for item in runners if item.ran).crash()
-            answer = await call
-            self.assertTrue(answer.is_whole)
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 30))
+            response = await call
+            self.assertTrue(response.is_whole)
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", 30))
 
         self.play(scene)
 
