--- a/tillerlane/gateway/tests/test_handover_evidence.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -1,8 +1,8 @@
-"""Runs that are handed over, looked at a second time: what an entry does without need or end.
+"""Evidence of whether a former runner released a run, and the cost of obtaining it.
 
-Callers would wait seconds for memory that nobody has, a run would go on beside a runner that works
-on it, since that one was out of reach some time before, and a runner in trouble would get thousands
-of orders a second.
+Guards against callers that wait seconds for memory that no runner has, runs that are resumed while
+their former runner, unreachable for a moment, still works on them, and thousands of orders a second
+to a runner in trouble.
 """
 
 import asyncio
@@ -20,56 +20,56 @@
 Order = test_handover_orders.Order
 
 
-def answer_stops(
+def answer_stop_orders(
     runner: platform_runner.PlatformRunner, status: int, seconds: float
 ) -> list[Order]:
-    """Have a runner answer orders to stop with a status for a while; gives a list of them."""
-    asked: list[Order] = []
+    """Have a runner answer orders to stop with a status for a while; returns these orders."""
+    received_orders: list[Order] = []
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
 
-    async def take(order: Order, responder: http_server.Responder) -> bool:
+    async def handle_order(order: Order, responder: http_server.Responder) -> bool:
         if not order.get("last") or loop.time() > until:
             return False
-        asked.append(order)
+        received_orders.append(order)
         await asyncio.sleep(0.005)
         await responder.send_response(http_head.ResponseHead(status, []), b"")
         return True
 
-    test_handover_orders.intercept(runner, take)
-    return asked
+    test_handover_orders.intercept(runner, handle_order)
+    return received_orders
 
 
 class OrdersTest(gateway_scenes.GatewayCase):
-    """Orders to stop a run, and what is known of its runner."""
+    """Orders to stop a run, and what is known about its runner."""
 
-    begin = test_handover_orders.OrdersTest.begin
+    start_run = test_handover_orders.OrdersTest.start_run
     check_overlap = test_handover_orders.OrdersTest.check_overlap
 
-    async def begin_with_copies(self, stage: gateway_lab.GatewayLab) -> Any:
-        return await test_handover.HandoverTest.begin_with_copies(self, stage)
+    async def start_runs_with_copies(self, stage: gateway_lab.GatewayLab) -> Any:
+        return await test_handover.HandoverTest.start_runs_with_copies(self, stage)
 
-    def test_runner_that_is_reached_again_and_busy_is_not_asked_without_a_pause(self) -> None:
+    def test_busy_runner_that_is_reachable_again_gets_orders_with_pauses(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await self.begin_with_copies(stage)
+            runners, calls, backed_up = await self.start_runs_with_copies(stage)
             runners[0].length = LENGTH
             runners[0].is_cut_off = True
             await asyncio.sleep(2.0)
-            asked = answer_stops(runners[0], 429, 1.0)
+            received_orders = answer_stop_orders(runners[0], 429, 1.0)
             runners[0].is_cut_off = False
             await asyncio.sleep(1.0)
-            self.assertTrue(asked)
-            self.assertLessEqual(len(asked), 20 * len(backed))
+            self.assertTrue(received_orders)
+            self.assertLessEqual(len(received_orders), 20 * len(backed_up))
             for call in calls.values():
                 call.cancel()
 
         self.play(scene)
 
-    def test_runner_that_was_out_of_reach_for_a_moment_is_heard_later(self) -> None:
-        """The order finds no connection while events come; once it does, the runner is at work."""
+    def test_answer_of_a_runner_that_was_briefly_unreachable_counts(self) -> None:
+        """The order finds no connection while events arrive; later the runner still works."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
+            first, call = await self.start_run(stage)
             first.works_on = True
             second = await stage.add_runner("t2", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
@@ -83,10 +83,10 @@
                 return await connect(factory, host, port)
 
             loop.create_connection = lose  # type: ignore[method-assign]
-            asked = answer_stops(first, 429, 2.5)
+            received_orders = answer_stop_orders(first, 429, 2.5)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(1.2)
-            self.assertTrue(asked)
+            self.assertTrue(received_orders)
             self.assertEqual(len(second.ran), 0)
             first.reset_connections("r1")
             await asyncio.sleep(3.0)
@@ -95,29 +95,29 @@
 
         self.play(scene)
 
-    def test_run_that_came_back_is_not_stopped_by_the_order_for_the_former_one(self) -> None:
-        """The order was carried out and its answers are lost, so that it is given on and on."""
+    def test_returned_run_is_not_stopped_by_the_former_order(self) -> None:
+        """The order was carried out but its answers are lost, so that it is repeated."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await self.begin_with_copies(stage)
+            runners, calls, backed_up = await self.start_runs_with_copies(stage)
             runners[0].is_cut_off = True
             await asyncio.sleep(1.5)
-            answer_stops(runners[0], 500, 0.8)
+            answer_stop_orders(runners[0], 500, 0.8)
             for run in list(runners[0].ran):
                 runners[0]._stop(run)
             runners[0].is_cut_off = False
             await asyncio.sleep(0.5)
             runners[1].crash()
-            answers = {name: await call for name, call in calls.items()}
+            responses = {name: await call for name, call in calls.items()}
             came_back = [run.request_id for run in runners[0].ran if "kv-from" in run.headers]
-            self.assertLessEqual(set(backed), set(came_back))
-            for request_id in backed:
-                self.assertTrue(answers[request_id].is_whole, request_id)
+            self.assertLessEqual(set(backed_up), set(came_back))
+            for request_id in backed_up:
+                self.assertTrue(responses[request_id].is_whole, request_id)
 
         self.play(scene)
 
-    def test_run_whose_end_has_come_is_whole_though_its_runner_ended_then(self) -> None:
-        """A caller reads slowly; its run's last events lie here when the order is refused."""
+    def test_run_that_ended_is_complete_although_its_runner_exited_then(self) -> None:
+        """A slow caller's last events are still buffered in the entry when the order is refused."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=32)
@@ -128,7 +128,7 @@
             await asyncio.sleep(0.8)
             stage.beat("t2", "llm")
             second.loses_copies = True
-            lost = test_handover_orders.lose_first_stop(first)
+            lost = test_handover_orders.drop_first_stop_order(first)
             pass_on = stream_relay.StreamRelay._forward
 
             async def pass_on_slowly(stream: stream_relay.StreamRelay, data: bytes) -> bool:
@@ -142,29 +142,31 @@
                 while not first.ran[0].ended:
                     await asyncio.sleep(0.005)
                 first._server.stop_accepting()
-                answer = await call
+                response = await call
             self.assertEqual((len(lost), first.ran[0].ended), (1, "whole"))
-            self.assertTrue(answer.is_whole)
+            self.assertTrue(response.is_whole)
 
         self.play(scene)
 
 
 class WaitsTest(gateway_scenes.GatewayCase):
-    """What an entry waits for, and how often it looks."""
+    """What an entry waits for, and how often it checks."""
 
-    def test_memory_of_a_runner_that_has_ended_is_not_waited_for(self) -> None:
+    def test_memory_of_an_exited_runner_is_not_waited_for(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await test_handover.HandoverTest.begin_with_copies(self, stage)
+            runners, calls, backed_up = await test_handover.HandoverTest.start_runs_with_copies(
+                self, stage
+            )
             runners[1].loses_copies = True
             runners[0].crash()
-            _, waiting = await asyncio.wait({calls[name] for name in backed}, timeout=2.0)
-            self.assertEqual(len(waiting), 0, "callers wait for memory that nobody has")
+            _, waiting = await asyncio.wait({calls[name] for name in backed_up}, timeout=2.0)
+            self.assertEqual(len(waiting), 0, "callers wait for memory that no runner has")
             for call in calls.values():
                 call.cancel()
 
         self.play(scene)
 
-    def test_run_that_waits_for_a_cold_destination_looks_at_a_steady_rate(self) -> None:
+    def test_run_that_waits_for_a_cold_destination_checks_at_a_steady_rate(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             document = gateway_lab.build_document(2)
             document["services"][0]["cold_per_s"] = 1.0
@@ -180,11 +182,11 @@
             ]
             await asyncio.sleep(0.5)
             available = stage.entries["entry-1"]._relay._streams._available
-            looks: list[float] = []
+            checked_at: list[float] = []
             is_held_up = available.is_held_up
 
             def count(pool: Any, target: Any) -> bool:
-                looks.append(asyncio.get_running_loop().time())
+                checked_at.append(asyncio.get_running_loop().time())
                 return is_held_up(pool, target)
 
             available.is_held_up = count  # type: ignore[method-assign]
@@ -194,9 +196,9 @@
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             began = asyncio.get_running_loop().time()
             await asyncio.sleep(3.0)
-            self.assertTrue(looks)
-            # Each run each 50 ms, and with each of the 32 events that come in a second.
-            most = max(collections.Counter(int(at - began) for at in looks).values())
+            self.assertTrue(checked_at)
+            # Each run every 50 ms, and with each of the 32 events per second.
+            most = max(collections.Counter(int(at - began) for at in checked_at).values())
             self.assertLessEqual(most, len(calls) * (20 + 32))
             for call in calls:
                 call.cancel()
@@ -204,39 +206,41 @@
         self.play(scene)
 
 
-class WordTest(gateway_scenes.GatewayCase):
-    """What a runner's word on an order proves, and what it doesn't."""
+class AnswerTest(gateway_scenes.GatewayCase):
+    """What a runner's answer to an order proves, and what it does not."""
 
-    begin = test_handover_orders.OrdersTest.begin
+    start_run = test_handover_orders.OrdersTest.start_run
     check_overlap = test_handover_orders.OrdersTest.check_overlap
 
-    def play_silent(self, status: int) -> None:
-        """A runner whose connection breaks works on, and has no clear word on it."""
+    def check_unclear_answer(self, status: int) -> None:
+        """A runner whose connection breaks works on, and gives no clear answer."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await test_handover.HandoverTest.begin_with_copies(self, stage)
+            runners, calls, backed_up = await test_handover.HandoverTest.start_runs_with_copies(
+                self, stage
+            )
             runners[0].works_on = True
-            asked = answer_stops(runners[0], status, 4.0)
+            received_orders = answer_stop_orders(runners[0], status, 4.0)
             runners[0].reset_connections()
             await asyncio.sleep(2.6)
-            self.assertTrue(asked)
+            self.assertTrue(received_orders)
             taken = [run.request_id for run in runners[1].ran if "kv-from" in run.headers]
             self.assertEqual(taken, [])
-            for request_id in backed:
-                self.assertTrue(calls[request_id].done(), "told that its run is lost")
+            for request_id in backed_up:
+                self.assertTrue(calls[request_id].done(), "the caller is told that its run is lost")
             for call in calls.values():
                 call.cancel()
 
         self.play(scene)
 
-    def test_run_goes_on_nowhere_without_a_word_of_its_runner(self) -> None:
-        self.play_silent(429)
+    def test_run_is_not_resumed_without_an_answer_of_its_runner(self) -> None:
+        self.check_unclear_answer(429)
 
-    def test_call_under_way_that_is_no_order_of_ours_stops_no_run(self) -> None:
-        self.play_silent(409)
+    def test_busy_answer_for_another_order_does_not_prove_a_stop(self) -> None:
+        self.check_unclear_answer(409)
 
-    def judge_orders(self, *outcomes: dialect.CopyOutcome, may_be_copying: bool) -> str:
-        """What is known after orders with these outcomes, the last of which stays so."""
+    def derive_evidence(self, *outcomes: dialect.CopyOutcome, may_be_copying: bool) -> str:
+        """Evidence after orders with these outcomes, the last of which repeats."""
         left = list(outcomes)
 
         async def stop_run(*order: Any) -> dialect.CopyResult:
@@ -254,18 +258,18 @@
 
         return lab.run_virtual(run())
 
-    def test_order_under_way_is_ours_only_if_one_is_unanswered_and_no_copy_is(self) -> None:
+    def test_busy_answer_proves_a_stop_only_after_an_unanswered_order(self) -> None:
         lost, busy = dialect.CopyOutcome.LOST, dialect.CopyOutcome.BUSY
-        self.assertEqual(self.judge_orders(lost, busy, may_be_copying=False), "stopped")
-        self.assertEqual(self.judge_orders(lost, busy, may_be_copying=True), "none")
-        self.assertEqual(self.judge_orders(busy, may_be_copying=False), "none")
+        self.assertEqual(self.derive_evidence(lost, busy, may_be_copying=False), "stopped")
+        self.assertEqual(self.derive_evidence(lost, busy, may_be_copying=True), "none")
+        self.assertEqual(self.derive_evidence(busy, may_be_copying=False), "none")
 
-    def test_order_that_was_answered_is_none_that_may_be_carried_out(self) -> None:
-        """An answer of 503 that names no memory says that the run was not stopped."""
+    def test_answered_order_is_not_in_progress(self) -> None:
+        """An answer of 503 that names no memory means that the run was not stopped."""
         no_room, busy = dialect.CopyOutcome.NO_ROOM, dialect.CopyOutcome.BUSY
-        self.assertEqual(self.judge_orders(no_room, busy, may_be_copying=False), "none")
+        self.assertEqual(self.derive_evidence(no_room, busy, may_be_copying=False), "none")
 
-    def test_no_run_said_to_an_order_from_before_the_streams_end_proves_nothing(self) -> None:
+    def test_no_run_in_answer_to_an_order_before_the_streams_end_proves_nothing(self) -> None:
         outcomes = [dialect.CopyOutcome.NO_RUN, dialect.CopyOutcome.LOST]
 
         async def stop_run(*order: Any) -> dialect.CopyResult:
@@ -288,17 +292,17 @@
 
 
 class DestinationTest(gateway_scenes.GatewayCase):
-    """Where a run goes whose copy is ready, and what is left of copies."""
+    """Where a run with a complete copy is resumed, and which copies remain."""
 
-    begin = test_handover_orders.OrdersTest.begin
+    start_run = test_handover_orders.OrdersTest.start_run
 
-    def play_lost_destination(
+    def check_lost_destination(
         self, lose: Callable[[gateway_lab.GatewayLab], Awaitable[None]]
     ) -> None:
-        """A destination that can't be used any more when a run's copy is there."""
+        """A destination becomes unusable while a run is copied to it."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage, copy_seconds=2.0)
+            first, call = await self.start_run(stage, copy_seconds=2.0)
             second = await stage.add_runner("t2", "llm", "hall-b", length=LENGTH)
             await asyncio.sleep(0.2)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
@@ -308,8 +312,8 @@
             third = await stage.add_runner("t3", "llm", length=LENGTH)
             await asyncio.sleep(1.8)
             self.assertEqual(first.stopped, [])
-            answer = await call
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", LENGTH))
+            response = await call
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", LENGTH))
             self.assertEqual((len(first.ran), len(second.ran), len(third.ran)), (1, 0, 1))
 
         self.play(scene)
@@ -318,23 +322,25 @@
         async def lose(stage: gateway_lab.GatewayLab) -> None:
             stage.beat("t2", "llm", "hall-b", phase=directories.Phase.DRAINING)
 
-        self.play_lost_destination(lose)
+        self.check_lost_destination(lose)
 
     def test_run_is_not_stopped_for_a_destination_that_was_evacuated_during_the_copy(self) -> None:
         async def lose(stage: gateway_lab.GatewayLab) -> None:
             await stage.keepers["keeper-1"].evacuate("hall-b", True)
 
-        self.play_lost_destination(lose)
+        self.check_lost_destination(lose)
 
-    def test_copy_that_comes_after_the_run_went_on_is_freed(self) -> None:
+    def test_copy_that_completes_after_the_run_was_resumed_is_freed(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await test_handover.HandoverTest.begin_with_copies(self, stage)
+            runners, calls, backed_up = await test_handover.HandoverTest.start_runs_with_copies(
+                self, stage
+            )
             runners[0].works_on = True
             runners[0].copy_seconds = 0.5
             runners[0].reset_connections()
             await asyncio.sleep(2.0)
             taken = [run.request_id for run in runners[1].ran if "kv-from" in run.headers]
-            self.assertEqual(sorted(taken), sorted(backed))
+            self.assertEqual(sorted(taken), sorted(backed_up))
             left = [handle for runner in runners for handle in runner.copies if handle[0] == "h"]
             self.assertEqual(left, [])
             for call in calls.values():
@@ -342,7 +348,7 @@
 
         self.play(scene)
 
-    def test_runner_is_stopped_whose_run_begins_anew_and_no_copy_is_left(self) -> None:
+    def test_former_runner_of_a_restarted_run_is_stopped_and_no_copy_remains(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
@@ -360,17 +366,17 @@
 
         self.play(scene)
 
-    def test_run_goes_to_no_destination_whose_time_to_drain_passed_while_it_was_stopped(
+    def test_run_is_not_sent_to_a_destination_whose_time_to_drain_has_passed(
         self,
     ) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
+            first, call = await self.start_run(stage)
             second = await stage.add_runner("t2", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
-            asked = answer_stops(first, 429, 2.2)
+            received_orders = answer_stop_orders(first, 429, 2.2)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(0.2)
-            self.assertTrue(asked)
+            self.assertTrue(received_orders)
             stage.beat("t2", "llm", phase=directories.Phase.DRAINING)
             await call
             self.assertEqual(first.stopped[:1], ["r1"])
@@ -378,7 +384,7 @@
 
         self.play(scene)
 
-    def test_run_without_an_event_is_taken_to_no_copy(self) -> None:
+    def test_run_without_an_event_is_not_resumed_from_a_copy(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             more = {"length": 20, "pace": 0.6}
             runners = [await stage.add_runner(name, "llm", **more) for name in ("t1", "t2")]
@@ -390,26 +396,26 @@
                 for number in range(6)
             ]
             await asyncio.sleep(0.3)
-            backed = [run.request_id for run in runners[0].ran if "kv-backup" in run.headers]
-            self.assertTrue(backed)
+            backed_up = [run.request_id for run in runners[0].ran if "kv-backup" in run.headers]
+            self.assertTrue(backed_up)
             runners[0].crash()
             await asyncio.sleep(1.0)
             self.assertEqual(runners[1].turned_away, [])
-            for request_id in backed:
+            for request_id in backed_up:
                 self.assertEqual(len(gateway_scenes.list_runs(stage, request_id)), 1)
             for call in calls:
                 call.cancel()
 
         self.play(scene)
 
-    def test_copy_that_a_run_goes_on_with_is_not_freed(self) -> None:
+    def test_copy_that_a_run_is_resumed_from_is_not_freed(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
+            first, call = await self.start_run(stage)
             second = await stage.add_runner("t2", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
             orders: list[Order] = []
 
-            async def take(order: Order, responder: http_server.Responder) -> bool:
+            async def handle_order(order: Order, responder: http_server.Responder) -> bool:
                 """Only the first order to stop is carried out."""
                 if order.get("last"):
                     orders.append(order)
@@ -417,7 +423,7 @@
                     await responder.send_response(http_head.ResponseHead(429, []), b"")
                 return len(orders) > 1
 
-            test_handover_orders.intercept(first, take)
+            test_handover_orders.intercept(first, handle_order)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(1.0)
             self.assertEqual((len(second.ran), first.stopped), (1, ["r1"]))
@@ -426,18 +432,20 @@
 
         self.play(scene)
 
-    def test_copy_that_a_run_goes_back_with_is_not_freed(self) -> None:
-        """Its runner names the copy late, and the one that grew elsewhere is gone."""
+    def test_copy_that_a_run_returns_to_is_not_freed(self) -> None:
+        """The runner names its copy late, and the backup copy is lost."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await test_handover.HandoverTest.begin_with_copies(self, stage)
+            runners, calls, backed_up = await test_handover.HandoverTest.start_runs_with_copies(
+                self, stage
+            )
             runners[0].works_on = True
             runners[0].copy_seconds = 0.5
             runners[1].loses_copies = True
             runners[0].reset_connections()
             await asyncio.sleep(2.0)
             back = [run for run in runners[0].ran if "kv-from" in run.headers]
-            self.assertEqual(sorted(run.request_id for run in back), sorted(backed))
+            self.assertEqual(sorted(run.request_id for run in back), sorted(backed_up))
             used = [run.headers["kv-from"].rpartition("/")[2] for run in back]
             self.assertEqual([handle for handle in runners[0].dropped if handle in used], [])
             for call in calls.values():
--- a/tillerlane/gateway/tests/test_handover_orders.py
+++ b/tillerlane/gateway/tests/test_handover_orders.py
@@ -1,9 +1,9 @@
-"""Runs that are handed over: what an order to stop, its loss and its answers must not lead to.
+"""Handed over runs: lost orders to stop and ambiguous answers must not harm a run.
 
-A first form took the end of a run's stream behind an order to stop for its runner's word, and "no
-such run" as well while the stream was open: two runners worked on a run where the order was lost on
-its way, or the run was pushed aside for a moment.  In other scenes a run was lost although a copy
-of it lay ready, went to a runner after its time to drain, or an order was given without end.
+Guards against taking the end of a run's stream after an order to stop, or "no such run" while the
+stream is open, for a release by the runner: two runners worked on a run after the order was lost or
+while the run was preempted for a moment.  Also guards against losing a run although a copy is
+ready, sending it to a runner whose time to drain has passed, and repeating an order without end.
 """
 
 import asyncio
@@ -17,44 +17,44 @@
 
 LENGTH = 240
 DRAIN_SECONDS = 2.0
-"""Time after a runner's word of draining in which it may still get requests (`drain_ms`)."""
+"""Time after a runner reported draining during which it may get requests (`drain_ms`)."""
 
 Order = dict[str, Any]
 
 
 def intercept(
     runner: platform_runner.PlatformRunner,
-    take: Callable[[Order, http_server.Responder], Awaitable[bool]],
+    handle_order: Callable[[Order, http_server.Responder], Awaitable[bool]],
 ) -> None:
-    """Have `take` see a runner's orders first; those that it took go no further."""
+    """Have `handle_order` see a runner's orders first; an order that it handled goes no further."""
     move = runner._move
 
     async def first(order: Order, responder: http_server.Responder) -> None:
-        if not await take(order, responder):
+        if not await handle_order(order, responder):
             await move(order, responder)
 
     runner._move = first  # type: ignore[method-assign]
 
 
-def lose_first_stop(runner: platform_runner.PlatformRunner) -> list[Order]:
-    """Lose the first order to stop on its way to a runner; gives a list of what was lost."""
-    lost: list[Order] = []
+def drop_first_stop_order(runner: platform_runner.PlatformRunner) -> list[Order]:
+    """Lose the first order to stop on its way to a runner; returns the list of lost orders."""
+    lost_orders: list[Order] = []
 
-    async def take(order: Order, responder: http_server.Responder) -> bool:
-        if not order.get("last") or lost:
+    async def handle_order(order: Order, responder: http_server.Responder) -> bool:
+        if not order.get("last") or lost_orders:
             return False
-        lost.append(order)
+        lost_orders.append(order)
         await asyncio.sleep(3600)
         return True
 
-    intercept(runner, take)
-    return lost
+    intercept(runner, handle_order)
+    return lost_orders
 
 
 class OrdersTest(gateway_scenes.GatewayCase):
-    """One run, its runner and another one."""
+    """One run, its runner and another runner."""
 
-    async def begin(
+    async def start_run(
         self, stage: gateway_lab.GatewayLab, **more: Any
     ) -> tuple[platform_runner.PlatformRunner, asyncio.Task]:
         first = await stage.add_runner("t1", "llm", length=LENGTH, **more)
@@ -68,7 +68,7 @@
     async def move_to_second(
         self, stage: gateway_lab.GatewayLab, seconds: float
     ) -> platform_runner.PlatformRunner:
-        """Have another runner come and the first one leave, and wait so many seconds."""
+        """Add a second runner, drain the first one, and wait for the given time in seconds."""
         second = await stage.add_runner("t2", "llm", length=LENGTH)
         await asyncio.sleep(0.2)
         stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
@@ -79,13 +79,13 @@
         overlap = test_handover.measure_overlap(stage, "r1")
         self.assertLessEqual(overlap, test_handover.OVERLAP_SECONDS)
 
-    def test_run_does_not_go_on_beside_a_runner_that_the_order_did_not_reach(self) -> None:
+    def test_run_is_not_resumed_beside_a_runner_that_missed_the_order(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
+            first, call = await self.start_run(stage)
             first.works_on = True
-            lost = lose_first_stop(first)
+            lost_orders = drop_first_stop_order(first)
             second = await self.move_to_second(stage, 0.2)
-            self.assertEqual(len(lost), 1)
+            self.assertEqual(len(lost_orders), 1)
             first.reset_connections("r1")
             await asyncio.sleep(6.0)
             self.assertEqual(len(second.ran), 1)
@@ -94,16 +94,16 @@
 
         self.play(scene)
 
-    def test_event_that_does_not_follow_is_no_end_of_a_stream(self) -> None:
+    def test_event_out_of_order_does_not_count_as_the_end_of_a_stream(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
-            lost = lose_first_stop(first)
+            first, call = await self.start_run(stage)
+            lost_orders = drop_first_stop_order(first)
             second = await stage.add_runner("t2", "llm", length=LENGTH)
             second.is_mute = True
             await asyncio.sleep(0.2)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(0.2)
-            self.assertEqual(len(lost), 1)
+            self.assertEqual(len(lost_orders), 1)
             first.skips_event = first.ran[0].events + 2
             await asyncio.sleep(6.0)
             self.check_overlap(stage)
@@ -111,24 +111,24 @@
 
         self.play(scene)
 
-    def test_word_that_there_is_no_run_does_not_outlive_the_runs_next_event(self) -> None:
+    def test_no_such_run_is_outdated_by_the_next_event_of_the_run(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
+            first, call = await self.start_run(stage)
             first.works_on = True
-            pushed_aside: list[Order] = []
+            rejected_orders: list[Order] = []
             until = asyncio.get_running_loop().time() + 0.85
 
-            async def take(order: Order, responder: http_server.Responder) -> bool:
-                """A run that is pushed aside for a moment is none that the runner works on."""
+            async def handle_order(order: Order, responder: http_server.Responder) -> bool:
+                """While a run is preempted, its runner answers that there is no such run."""
                 if not order.get("last") or asyncio.get_running_loop().time() > until:
                     return False
-                pushed_aside.append(order)
+                rejected_orders.append(order)
                 await responder.send_response(http_head.ResponseHead(404, []), b"")
                 return True
 
-            intercept(first, take)
+            intercept(first, handle_order)
             second = await self.move_to_second(stage, 0.2)
-            self.assertTrue(pushed_aside)
+            self.assertTrue(rejected_orders)
             before = first.ran[0].events
             await asyncio.sleep(0.5)
             self.assertGreater(first.ran[0].events, before + 10)
@@ -140,28 +140,28 @@
 
         self.play(scene)
 
-    def test_run_pushed_aside_when_it_should_stop_is_handed_over_later(self) -> None:
+    def test_run_preempted_when_it_should_stop_is_handed_over_later(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
-            pushed_aside: list[Order] = []
+            first, call = await self.start_run(stage)
+            rejected_orders: list[Order] = []
 
-            async def take(order: Order, responder: http_server.Responder) -> bool:
-                if not order.get("last") or pushed_aside:
+            async def handle_order(order: Order, responder: http_server.Responder) -> bool:
+                if not order.get("last") or rejected_orders:
                     return False
-                pushed_aside.append(order)
+                rejected_orders.append(order)
                 await responder.send_response(http_head.ResponseHead(404, []), b"")
                 return True
 
-            intercept(first, take)
+            intercept(first, handle_order)
             second = await self.move_to_second(stage, 1.5)
-            self.assertEqual(len(second.ran), 1, "the run stays at the runner that leaves")
+            self.assertEqual(len(second.ran), 1, "the run stays on the leaving runner")
             call.cancel()
 
         self.play(scene)
 
-    def test_run_returns_to_no_runner_after_its_time_to_drain(self) -> None:
+    def test_run_does_not_return_to_a_runner_after_its_time_to_drain(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
+            first, call = await self.start_run(stage)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             drained_at = asyncio.get_running_loop().time()
             await asyncio.sleep(2.5)
@@ -173,12 +173,12 @@
 
         self.play(scene)
 
-    def test_run_goes_to_no_destination_that_drained_while_the_order_was_awaited(self) -> None:
+    def test_run_is_not_sent_to_a_destination_that_drained_during_the_order(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
-            lost = lose_first_stop(first)
+            first, call = await self.start_run(stage)
+            lost_orders = drop_first_stop_order(first)
             second = await self.move_to_second(stage, 0.2)
-            self.assertEqual(len(lost), 1)
+            self.assertEqual(len(lost_orders), 1)
             stage.beat("t2", "llm", phase=directories.Phase.DRAINING)
             drained_at = asyncio.get_running_loop().time()
             await call
@@ -187,31 +187,31 @@
 
         self.play(scene)
 
-    def test_run_goes_on_when_its_runner_falls_dark_while_it_is_handed_over(self) -> None:
+    def test_run_is_resumed_when_its_runner_becomes_unreachable_during_the_handover(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
+            first, call = await self.start_run(stage)
             second = await stage.add_runner("t2", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
-            stops: list[Order] = []
+            stop_orders: list[Order] = []
 
-            async def take(order: Order, responder: http_server.Responder) -> bool:
+            async def handle_order(order: Order, responder: http_server.Responder) -> bool:
                 if not order.get("last"):
                     return False
-                stops.append(order)
+                stop_orders.append(order)
                 first.go_dark()
                 await asyncio.sleep(3600)
                 return True
 
-            intercept(first, take)
+            intercept(first, handle_order)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(4.0)
-            self.assertTrue(stops)
-            self.assertEqual(len(second.ran), 1, "a copy lies there, and nobody goes on with it")
+            self.assertTrue(stop_orders)
+            self.assertEqual(len(second.ran), 1, "the run is not resumed from its copy")
             call.cancel()
 
         self.play(scene)
 
-    def test_stopped_run_goes_on_though_the_end_of_its_stream_is_lost(self) -> None:
+    def test_stopped_run_is_resumed_although_the_end_of_its_stream_is_lost(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=LENGTH)
             stream = first._stream
@@ -229,15 +229,17 @@
             await asyncio.sleep(0.5)
             second = await self.move_to_second(stage, 4.0)
             self.assertEqual(first.ran[0].ended, "stopped")
-            self.assertEqual(len(second.ran), 1, "the runner said that it stopped the run")
+            self.assertEqual(len(second.ran), 1, "the runner reported that it stopped the run")
             call.cancel()
 
         self.play(scene)
 
-    def test_runner_reached_again_is_told_within_the_time_though_an_order_is_lost(self) -> None:
+    def test_reachable_again_runner_is_stopped_in_time_despite_a_lost_order(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await test_handover.HandoverTest.begin_with_copies(self, stage)
-            lose_first_stop(runners[0])
+            runners, calls, backed_up = await test_handover.HandoverTest.start_runs_with_copies(
+                self, stage
+            )
+            drop_first_stop_order(runners[0])
             runners[0].length = LENGTH
             runners[0].is_cut_off = True
             await asyncio.sleep(2.0)
@@ -245,7 +247,7 @@
             healed_at = asyncio.get_running_loop().time()
             await asyncio.sleep(1.5)
             for run in runners[0].ran:
-                if run.request_id in backed:
+                if run.request_id in backed_up:
                     self.assertTrue(run.ended, run.request_id)
                     self.assertLessEqual(run.ended_at - healed_at, 0.4, run.request_id)
             for call in calls.values():
@@ -253,12 +255,12 @@
 
         self.play(scene)
 
-    def test_stopped_stream_without_a_length_does_not_end_as_whole(self) -> None:
+    def test_stopped_close_delimited_stream_is_not_complete(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=LENGTH)
 
             class Plain:
-                """Frames a stream by the end of its connection, as the protocol allows."""
+                """Delimits a response by the end of its connection, as HTTP allows."""
 
                 def __init__(self, responder: http_server.Responder) -> None:
                     self._wire = responder._connection
@@ -293,10 +295,10 @@
             await stage.add_runner("t2", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
-            answer = await call
+            response = await call
             self.assertEqual(first.ran[0].ended, "stopped")
-            whole = answer.body == gateway_scenes.build_stream("r1", LENGTH)
-            self.assertEqual(answer.is_whole, whole, f"{len(answer.body)} bytes")
+            is_complete = response.body == gateway_scenes.build_stream("r1", LENGTH)
+            self.assertEqual(response.is_whole, is_complete, f"{len(response.body)} bytes")
 
         self.play(scene)
 
@@ -323,12 +325,12 @@
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(4.0)
             first.crash()
-            answers = await asyncio.gather(*calls)
-            self.assertTrue(all(answer.is_whole for answer in answers))
+            responses = await asyncio.gather(*calls)
+            self.assertTrue(all(response.is_whole for response in responses))
 
         self.play(scene)
 
-    def test_runner_that_started_again_during_a_copy_does_not_end_the_answer(self) -> None:
+    def test_restart_of_the_runner_during_a_copy_does_not_truncate_the_stream(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1#1", "llm", length=LENGTH, copy_seconds=2.0)
             first.target_id = "t1"
@@ -345,23 +347,23 @@
             first.reset_connections("r1")
             await asyncio.sleep(0.2)
             (await stage.add_runner("t1#2", "llm", length=LENGTH)).target_id = "t1"
-            answer = await call
-            self.assertTrue(answer.is_whole)
+            response = await call
+            self.assertTrue(response.is_whole)
 
         self.play(scene)
 
-    def test_copy_of_a_caller_that_left_while_the_run_was_stopped_is_freed(self) -> None:
+    def test_copy_is_freed_when_the_caller_disconnects_during_the_stop(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage, copy_seconds=0.3)
+            first, call = await self.start_run(stage, copy_seconds=0.3)
             second = await stage.add_runner("t2", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
 
-            async def take(order: Order, responder: http_server.Responder) -> bool:
+            async def handle_order(order: Order, responder: http_server.Responder) -> bool:
                 if order.get("last"):
                     call.cancel()
                 return False
 
-            intercept(first, take)
+            intercept(first, handle_order)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(2.0)
             self.assertTrue(first.stopped)
@@ -369,63 +371,69 @@
 
         self.play(scene)
 
-    def test_no_such_run_counts_whatever_the_answer_says_besides(self) -> None:
+    def test_no_such_run_counts_whatever_else_the_answer_contains(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await test_handover.HandoverTest.begin_with_copies(self, stage)
-            asked: list[Order] = []
+            runners, calls, backed_up = await test_handover.HandoverTest.start_runs_with_copies(
+                self, stage
+            )
+            received_orders: list[Order] = []
 
-            async def take(order: Order, responder: http_server.Responder) -> bool:
-                asked.append(order)
+            async def handle_order(order: Order, responder: http_server.Responder) -> bool:
+                received_orders.append(order)
                 head = http_head.ResponseHead(404, [(b"Content-Type", b"text/plain")])
                 await responder.send_response(head, b"no such run")
                 return True
 
-            intercept(runners[0], take)
+            intercept(runners[0], handle_order)
             runners[0].reset_connections()
-            answers = {name: await call for name, call in calls.items()}
+            responses = {name: await call for name, call in calls.items()}
             await asyncio.sleep(2.0)
-            self.assertEqual([answers[name].is_whole for name in backed], [True] * len(backed))
-            self.assertLessEqual(len(asked), 2 * len(calls))
+            self.assertEqual(
+                [responses[name].is_whole for name in backed_up], [True] * len(backed_up)
+            )
+            self.assertLessEqual(len(received_orders), 2 * len(calls))
 
         self.play(scene)
 
-    def test_order_ends_at_an_address_that_a_plain_service_has_now(self) -> None:
+    def test_order_ends_at_an_address_reused_by_another_service(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await test_handover.HandoverTest.begin_with_copies(self, stage)
+            runners, calls, backed_up = await test_handover.HandoverTest.start_runs_with_copies(
+                self, stage
+            )
             runners[0].is_cut_off = True
             await asyncio.sleep(2.0)
-            asked: list[Order] = []
+            received_orders: list[Order] = []
 
-            async def take(order: Order, responder: http_server.Responder) -> bool:
-                """A request without an id, at a service that knows no such order."""
-                asked.append(order)
+            async def handle_order(order: Order, responder: http_server.Responder) -> bool:
+                """Answer as a service that does not support such orders."""
+                received_orders.append(order)
                 await responder.send_response(
                     http_head.ResponseHead(400, [(b"Not-Run", b"1")]), b""
                 )
                 return True
 
-            intercept(runners[0], take)
+            intercept(runners[0], handle_order)
             runners[0].is_cut_off = False
             await asyncio.sleep(3.0)
-            self.assertLessEqual(len(asked), 2 * len(backed))
+            self.assertLessEqual(len(received_orders), 2 * len(backed_up))
             for call in calls.values():
                 call.cancel()
 
         self.play(scene)
 
-    def test_runner_that_takes_no_more_connections_may_go_on_with_what_it_has(self) -> None:
+    def test_runner_that_accepts_no_connections_may_still_work_on_its_runs(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            first, call = await self.begin(stage)
+            first, call = await self.start_run(stage)
             second = await stage.add_runner("t2", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
             copy = first._move
 
-            async def take(order: Order, responder: http_server.Responder) -> bool:
+            async def handle_order(order: Order, responder: http_server.Responder) -> bool:
                 await copy(order, responder)
                 first._server.stop_accepting()
                 return True
 
-            intercept(first, take)
+            intercept(first, handle_order)
             stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
             await asyncio.sleep(1.0)
             self.assertEqual(first.copied, ["r1"])
--- a/tillerlane/gateway/tests/test_resuming.py
+++ b/tillerlane/gateway/tests/test_resuming.py
@@ -1,7 +1,7 @@
-"""A run that goes on, or that its caller asks for again: never at work at two runners.
+"""A run that is resumed, or requested again by its caller, is never active on two runners.
 
-The table of the ways is ``docs/design/at-most-once.md``; those by which a request begins are played
-in `test_at_most_once`.
+``docs/design/at-most-once.md`` lists the cases; those in which a request starts are tested in
+`test_at_most_once`.
 """
 
 import asyncio
@@ -15,10 +15,10 @@
 
 
 class ResumptionTest(gateway_scenes.OnceCase):
-    """A caller comes back with the id of the last event that it has."""
+    """A caller reconnects with the id of its last event."""
 
     def test_run_has_ended_before_its_caller_resumes_it_at_another_entry(self) -> None:
-        """A stream that may be resumed; the caller's new attempt is a request of its own."""
+        """The caller's new attempt on a resumable route is a request of its own."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_two(stage, "llm", length=LENGTH)
@@ -52,7 +52,7 @@
 
         self.play(scene)
 
-    def test_headers_of_copies_are_not_the_callers_to_set(self) -> None:
+    def test_callers_can_not_set_copy_headers(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_two(stage, "llm", length=5)
             given = {"Kv_From": "10.0.9.9:9000/h1", "Kv_Backup": "10.0.9.9:9000"}
@@ -65,9 +65,9 @@
 
 
 class MoveTest(gateway_scenes.OnceCase):
-    """A run moves more than once, or finds a copy of an earlier start of its own."""
+    """A run moves more than once, or finds an outdated copy of itself."""
 
-    def test_run_that_moves_twice_is_at_one_runner_at_a_time(self) -> None:
+    def test_run_that_moves_twice_is_on_one_runner_at_a_time(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
@@ -78,8 +78,8 @@
                 await asyncio.sleep(0.2)
                 stage.beat(former, "llm", phase=directories.Phase.DRAINING)
                 await asyncio.sleep(0.6)
-            answer = await call
-            self.assertEqual(answer.body, gateway_scenes.build_stream("r1", LENGTH))
+            response = await call
+            self.assertEqual(response.body, gateway_scenes.build_stream("r1", LENGTH))
             runs = sorted(gateway_scenes.list_runs(stage, "r1"), key=lambda run: run.began)
             self.assertEqual(len(runs), 3)
             for former, present in itertools.pairwise(runs):
@@ -87,12 +87,12 @@
 
         self.play(scene)
 
-    async def begin_with_copies(
+    async def start_runs_with_copies(
         self, stage: gateway_lab.GatewayLab
     ) -> tuple[list[platform_runner.PlatformRunner], dict[str, asyncio.Task], list[str]]:
-        """Runs at two runners; those at the first that have a copy at the other one."""
+        """Start runs on two runners; also returns those of the first that have backup copies."""
         document = gateway_lab.build_document(2)
-        document["routes"][0].update(max_attempts=4)  # which nothing may use
+        document["routes"][0].update(max_attempts=4)  # must not be used
         await stage.publish("keeper-1", document)
         await asyncio.sleep(1.0)
         runners = await self.add_two(stage, "llm", length=LENGTH)
@@ -103,20 +103,20 @@
             for number in range(6)
         }
         await asyncio.sleep(0.6)
-        backed = [run.request_id for run in runners[0].ran if "kv-backup" in run.headers]
-        self.assertTrue(backed)
-        return runners, calls, backed
+        backed_up = [run.request_id for run in runners[0].ran if "kv-backup" in run.headers]
+        self.assertTrue(backed_up)
+        return runners, calls, backed_up
 
-    def test_copy_that_is_behind_the_callers_last_event_repeats_none(self) -> None:
-        """What a former runner of the run left there is old; the run goes on all the same."""
+    def test_outdated_copy_repeats_no_event(self) -> None:
+        """An outdated copy from a former runner; the run is resumed nevertheless."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await self.begin_with_copies(stage)
-            for request_id in backed:
+            runners, calls, backed_up = await self.start_runs_with_copies(stage)
+            for request_id in backed_up:
                 runners[1].copies[request_id].events = 1
             runners[0].crash()
             await asyncio.gather(*calls.values())
-            for request_id in backed:
+            for request_id in backed_up:
                 body = calls[request_id].result().body
                 self.assertEqual(body, gateway_scenes.build_stream(request_id, LENGTH))
                 former, present = sorted(
@@ -126,15 +126,15 @@
 
         self.play(scene)
 
-    def play_gap(self, *, works_on: bool) -> None:
-        """Have a runner leave out an event of runs that have a copy, and check who works on."""
+    def check_skipped_event(self, *, works_on: bool) -> None:
+        """Have a runner skip an event of runs with a copy, and check which runner works on them."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await self.begin_with_copies(stage)
+            runners, calls, backed_up = await self.start_runs_with_copies(stage)
             runners[0].works_on = works_on
             runners[0].skips_event = 30
             await asyncio.gather(*calls.values())
-            for request_id in backed:
+            for request_id in backed_up:
                 body = calls[request_id].result().body
                 self.assertEqual(body, gateway_scenes.build_stream(request_id, LENGTH))
                 runs = gateway_scenes.list_runs(stage, request_id)
@@ -143,37 +143,37 @@
 
         self.play(scene)
 
-    def test_runner_that_left_out_an_event_is_left_for_the_copy(self) -> None:
-        self.play_gap(works_on=False)
+    def test_run_with_a_skipped_event_is_resumed_from_its_copy(self) -> None:
+        self.check_skipped_event(works_on=False)
 
-    def test_runner_that_left_out_an_event_is_stopped_before_the_copy_goes_on(self) -> None:
-        self.play_gap(works_on=True)
+    def test_runner_that_skipped_an_event_is_stopped_before_the_run_is_resumed(self) -> None:
+        self.check_skipped_event(works_on=True)
 
-    def test_copy_that_is_gone_begins_no_other_run(self) -> None:
-        """Its runner says "not run"; a run that may not be repeated ends there."""
+    def test_missing_copy_starts_no_other_run(self) -> None:
+        """The copy's runner answers "not run"; a run that may not be repeated ends there."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await self.begin_with_copies(stage)
+            runners, calls, backed_up = await self.start_runs_with_copies(stage)
             runners[1].loses_copies = True
             runners[0].crash()
             await asyncio.gather(*calls.values())
-            for request_id in backed:
+            for request_id in backed_up:
                 self.assertFalse(calls[request_id].result().is_whole)
                 self.assertEqual(len(gateway_scenes.list_runs(stage, request_id)), 1)
 
         self.play(scene)
 
-    def test_copy_whose_taking_up_is_lost_is_taken_up_nowhere_else(self) -> None:
-        """The runner that was asked may work on it, so that nobody else is asked."""
+    def test_run_with_a_lost_response_to_its_resumption_is_resumed_nowhere_else(self) -> None:
+        """The runner that was sent the request may work on it, so no other runner gets it."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners, calls, backed = await self.begin_with_copies(stage)
+            runners, calls, backed_up = await self.start_runs_with_copies(stage)
             await stage.add_runner("t3", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
             runners[1].loses_answer = True
             runners[0].crash()
             await asyncio.gather(*calls.values())
-            for request_id in backed:
+            for request_id in backed_up:
                 self.assertFalse(calls[request_id].result().is_whole)
                 self.assertEqual(len(gateway_scenes.list_runs(stage, request_id)), 2)
                 self.assertEqual(len([r for r in runners[1].ran if r.request_id == request_id]), 1)
