--- a/tillerlane/gateway/tests/test_at_most_once.py
+++ b/tillerlane/gateway/tests/test_at_most_once.py
@@ -1,6 +1,6 @@
-"""A request that may run once, on each way by which a target may begin it or go on with it.
+"""A request that may run once, in each case in which a target may start or resume it.
 
-The table of these ways is ``docs/design/at-most-once.md``.
+``docs/design/at-most-once.md`` lists these cases.
 """
 
 import asyncio
@@ -12,26 +12,26 @@
 
 LENGTH = 90
 SURPLUS = b"HTTP/1.1 503 Full\r\nNot-Run: 1\r\nRequest-Id: r2\r\nContent-Length: 0\r\n\r\n"
-"""An answer to a request that nobody has sent yet."""
+"""Response to a request that has not been sent yet."""
 
 
-class WordOfTargetTest(gateway_scenes.OnceCase):
-    """A target's "not run" is believed only if it speaks of this request and of no other."""
+class NotRunReportTest(gateway_scenes.OnceCase):
+    """A target's "not run" counts only if it names this request."""
 
-    def play_denials(self, route: str, pool: str, status: int, **more: Any) -> None:
-        """Targets that run a request and then deny it without a word of which one."""
+    def check_denials(self, route: str, pool: str, status: int, **more: Any) -> None:
+        """Targets that run a request and then deny it without naming it."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for runner in await self.add_two(stage, pool, **more):
                 runner.denies_status = status
                 runner.names_no_request = True
-            answer = await stage.call("entry-1", route, "r1", **gateway_scenes.LONG)
-            self.check_once(stage, "r1", answer.status)
+            response = await stage.call("entry-1", route, "r1", **gateway_scenes.LONG)
+            self.check_once(stage, "r1", response.status)
 
         self.play(scene)
 
-    def test_order_that_ran_and_is_denied_without_a_name(self) -> None:
-        self.play_denials("order", "app", 503)
+    def test_order_that_ran_and_is_denied_without_a_request_id(self) -> None:
+        self.check_denials("order", "app", 503)
 
     def test_order_that_ran_and_may_go_to_two_targets(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -42,33 +42,33 @@
             document["routes"][2]["max_attempts"] = 2
             await stage.publish("keeper-1", document)
             await asyncio.sleep(1.0)
-            answer = await stage.call("entry-1", "order", "r1")
-            self.check_once(stage, "r1", answer.status)
+            response = await stage.call("entry-1", "order", "r1")
+            self.check_once(stage, "r1", response.status)
 
         self.play(scene)
 
-    def test_order_that_ran_and_is_said_to_be_for_another_target(self) -> None:
-        self.play_denials("order", "app", 421)
+    def test_order_that_ran_and_is_answered_as_for_another_target(self) -> None:
+        self.check_denials("order", "app", 421)
 
-    def test_order_that_ran_and_is_said_to_be_too_many(self) -> None:
-        self.play_denials("order", "app", 429)
+    def test_order_that_ran_and_is_answered_as_too_many(self) -> None:
+        self.check_denials("order", "app", 429)
 
-    def test_stream_that_ran_and_is_denied_without_a_name(self) -> None:
-        self.play_denials("record", "llm", 503, length=LENGTH)
+    def test_stream_that_ran_and_is_denied_without_a_request_id(self) -> None:
+        self.check_denials("record", "llm", 503, length=LENGTH)
 
-    def test_denial_of_another_request_says_nothing_of_this_one(self) -> None:
+    def test_denial_of_another_request_proves_nothing(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for runner in await self.add_two(stage):
                 runner.denies_status = 503
                 runner.answers_for = "r0"
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual(answer.status, 502)
-            self.check_once(stage, "r1", answer.status)
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual(response.status, 502)
+            self.check_once(stage, "r1", response.status)
 
         self.play(scene)
 
-    def test_denial_with_a_status_that_counts_as_run(self) -> None:
-        """An answer that says both speaks for neither."""
+    def test_denial_with_a_status_that_means_run(self) -> None:
+        """A contradictory response proves neither."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = await self.add_two(stage)
@@ -76,12 +76,12 @@
                 for runner in runners:
                     runner.denies_status = status
                 request_id = f"r{status}"
-                answer = await stage.call("entry-1", "order", request_id)
-                self.check_once(stage, request_id, answer.status)
+                response = await stage.call("entry-1", "order", request_id)
+                self.check_once(stage, request_id, response.status)
 
         self.play(scene)
 
-    def test_refusal_that_names_the_request_lets_another_target_run_it(self) -> None:
+    def test_rejection_with_the_request_id_lets_another_target_run_it(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = await self.add_two(stage)
             for runner in runners:
@@ -90,8 +90,8 @@
             document["routes"][2]["max_attempts"] = 2
             await stage.publish("keeper-1", document)
             await asyncio.sleep(1.0)
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual(answer.status, 503)
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual(response.status, 503)
             self.assertEqual(gateway_scenes.list_runs(stage, "r1"), [])
             self.assertEqual(sorted(len(item.turned_away) for item in runners), [1, 1])
 
@@ -101,23 +101,23 @@
 class UnsentTest(gateway_scenes.OnceCase):
     """Nothing of the request was written to a target."""
 
-    def test_target_where_nobody_listens_costs_no_attempt(self) -> None:
+    def test_refused_connection_costs_no_attempt(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = await self.add_two(stage)
             runners[0].crash()
             for number in range(4):
-                answer = await stage.call("entry-1", "order", f"r{number}")
-                self.assertEqual(answer.status, 200)
+                response = await stage.call("entry-1", "order", f"r{number}")
+                self.assertEqual(response.status, 200)
                 self.assertEqual(len(gateway_scenes.list_runs(stage, f"r{number}")), 1)
 
         self.play(scene)
 
-    def test_time_that_ends_while_nobody_can_be_reached_is_a_true_refusal(self) -> None:
+    def test_deadline_without_a_reachable_target_becomes_a_refusal(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for runner in await self.add_two(stage):
                 runner.is_cut_off = True
-            answer = await stage.call("entry-1", "order", "r1", wait_ms=200)
-            self.assertEqual(answer.status, 503)
+            response = await stage.call("entry-1", "order", "r1", wait_ms=200)
+            self.assertEqual(response.status, 503)
             for runner in stage.runners.values():
                 runner.is_cut_off = False
             await asyncio.sleep(2.0)
@@ -127,32 +127,32 @@
 
 
 class ConnectionTest(gateway_scenes.OnceCase):
-    """What stands on a connection before, behind and beside a request."""
+    """Bytes on a connection before, after and beside a request."""
 
-    def test_bytes_behind_a_whole_answer_belong_to_no_request(self) -> None:
+    def test_bytes_after_a_complete_response_are_discarded(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for runner in await self.add_two(stage):
                 runner.surplus = SURPLUS
             for number in range(1, 7):
-                answer = await stage.call("entry-1", "order", f"r{number}")
-                self.assertEqual(answer.status, 200)
-                self.assertEqual(answer.body, f"answer to r{number}".encode())
+                response = await stage.call("entry-1", "order", f"r{number}")
+                self.assertEqual(response.status, 200)
+                self.assertEqual(response.body, f"answer to r{number}".encode())
                 self.assertEqual(len(gateway_scenes.list_runs(stage, f"r{number}")), 1)
 
         self.play(scene)
 
-    def test_bytes_behind_an_interim_answer_are_none_of_its_body(self) -> None:
+    def test_bytes_after_an_interim_response_are_not_its_body(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for runner in await self.add_two(stage):
                 runner.preface = b"HTTP/1.1 102 Processing\r\n\r\n"
-            answer = await stage.call("entry-1", "order", "r1")
-            self.assertEqual((answer.status, answer.body), (200, b"answer to r1"))
-            self.check_once(stage, "r1", answer.status)
+            response = await stage.call("entry-1", "order", "r1")
+            self.assertEqual((response.status, response.body), (200, b"answer to r1"))
+            self.check_once(stage, "r1", response.status)
 
         self.play(scene)
 
-    def test_requests_one_behind_another_on_one_connection(self) -> None:
-        """The answer of the first is lost; the second is not told what the first one should be."""
+    def test_pipelined_requests_with_lost_responses(self) -> None:
+        """The first response is lost; the second request must not get the first one's response."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = await self.add_two(stage)
@@ -166,7 +166,7 @@
 
         self.play(scene)
 
-    def test_good_requests_one_behind_another_run_once_each(self) -> None:
+    def test_pipelined_requests_run_once_each(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_two(stage)
             statuses, bodies = await self.send_on_one_connection(stage, ["r1", "r2", "r3"])
@@ -180,7 +180,7 @@
     async def send_on_one_connection(
         self, stage: gateway_lab.GatewayLab, request_ids: list[str]
     ) -> tuple[list[int], list[bytes]]:
-        """Send orders without waiting for answers; the statuses and bodies that came."""
+        """Send orders without waiting for responses; returns their statuses and bodies."""
         host = stage.get_address("entry-1").partition(":")[0]
         reader, writer = await asyncio.open_connection(host, 8000)
         for request_id in request_ids:
@@ -209,39 +209,39 @@
 
 
 class IncarnationTest(gateway_scenes.OnceCase):
-    """A target starts again under its address while a request is at its former start."""
+    """A target restarts on its address while its former incarnation handles a request."""
 
-    def test_order_at_a_target_that_starts_again_at_its_address(self) -> None:
+    def test_order_at_a_target_that_restarts_on_its_address(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "app", pace=1.0)
             await asyncio.sleep(0.2)
             call = asyncio.create_task(stage.call("entry-1", "order", "r1"))
             await asyncio.sleep(0.4)
             self.assertEqual(len(first.ran), 1)
-            await self.start_again(stage, first)
-            answer = await call
-            self.check_once(stage, "r1", answer.status)
-            self.assertEqual(answer.status, 502)
+            await self.restart(stage, first)
+            response = await call
+            self.check_once(stage, "r1", response.status)
+            self.assertEqual(response.status, 502)
 
         self.play(scene)
 
-    def test_stream_at_a_runner_that_starts_again_at_its_address(self) -> None:
+    def test_stream_at_a_runner_that_restarts_on_its_address(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             first = await stage.add_runner("t1", "llm", length=LENGTH)
             await asyncio.sleep(0.2)
             call = asyncio.create_task(stage.call("entry-1", "record", "r1", **gateway_scenes.LONG))
             await asyncio.sleep(0.6)
-            await self.start_again(stage, first)
-            answer = await call
-            self.assertFalse(answer.is_whole)
+            await self.restart(stage, first)
+            response = await call
+            self.assertFalse(response.is_whole)
             self.assertEqual(len(gateway_scenes.list_runs(stage, "r1")), 1)
 
         self.play(scene)
 
-    async def start_again(
+    async def restart(
         self, stage: gateway_lab.GatewayLab, former: platform_runner.PlatformRunner
     ) -> None:
-        """Have another incarnation take a target's address, and tell of itself."""
+        """Start another incarnation of a target on the same address, and report its heartbeat."""
         former.crash()
         pool = "llm" if former.length else "app"
         present = platform_runner.PlatformRunner(
@@ -257,7 +257,7 @@
     """The kind of a route changes while a request waits or runs."""
 
     def build_document(self, version: int, kind: str) -> dict[str, Any]:
-        """The route of orders with another kind, and more attempts than there are targets."""
+        """Document with another kind of the order route, and more attempts than targets."""
         document = gateway_lab.build_document(version)
         document["routes"][2].update(kind=kind, max_attempts=4)
         return document
@@ -272,14 +272,14 @@
             call = asyncio.create_task(stage.call("entry-1", "order", "r1"))
             await asyncio.sleep(0.3)
             await stage.publish("keeper-1", self.build_document(3, "idempotent"))
-            answer = await call
-            self.check_once(stage, "r1", answer.status)
-            self.assertEqual(answer.status, 502)
+            response = await call
+            self.check_once(stage, "r1", response.status)
+            self.assertEqual(response.status, 502)
 
         self.play(scene)
 
     def test_order_that_waits_for_a_target_while_its_route_becomes_repeatable(self) -> None:
-        """It was taken as one that may run once, and stays one."""
+        """The request was admitted as one that may run once, and remains so."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t0", "app", pace=0.5)
@@ -295,9 +295,9 @@
             for runner in stage.runners.values():
                 runner.refuses = False
             await stage.publish("keeper-1", self.build_document(3, "idempotent"))
-            answer = await call
-            self.check_once(stage, "r1", answer.status)
-            self.assertEqual(answer.status, 502)
+            response = await call
+            self.check_once(stage, "r1", response.status)
+            self.assertEqual(response.status, 502)
 
         self.play(scene)
 
@@ -316,14 +316,14 @@
             await stage.publish("keeper-1", document)
             await asyncio.sleep(1.0)
             first.crash()
-            answer = await call
-            self.assertFalse(answer.is_whole)
+            response = await call
+            self.assertFalse(response.is_whole)
             self.assertEqual(len(gateway_scenes.list_runs(stage, "r1")), 1)
 
         self.play(scene)
 
     def test_price_whose_route_becomes_one_that_runs_once(self) -> None:
-        """A retry that the table in force at its arrival allowed goes by that table."""
+        """The table in force at the request's arrival decides on retries."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = await self.add_two(stage, pace=1.5)
@@ -334,28 +334,28 @@
             document = gateway_lab.build_document(2)
             document["routes"][3].update(kind="non_idempotent", max_attempts=1)
             await stage.publish("keeper-1", document)
-            answer = await call
-            self.assertEqual(answer.status, 502)
+            response = await call
+            self.assertEqual(response.status, 502)
             self.assertLessEqual(len(gateway_scenes.list_runs(stage, "r1")), 2)
 
         self.play(scene)
 
 
 class EntryTest(gateway_scenes.OnceCase):
-    """The entry goes away while a request that may run once is at a target."""
+    """The entry exits while a target handles a request that may run once."""
 
-    def test_order_at_an_entry_that_ends_runs_nowhere_else(self) -> None:
+    def test_order_at_an_entry_that_exits_runs_nowhere_else(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_two(stage, pace=12.0)
             call = asyncio.create_task(stage.call("entry-1", "order", "r1", wait_ms=20_000))
             await asyncio.sleep(0.3)
             await stage.entries.pop("entry-1").stop()
-            answer = await call
-            self.assertEqual(answer.status, 0)
+            response = await call
+            self.assertEqual(response.status, 0)
             stage.add_entry("entry-2")
             await stage.start_entry("entry-2")
             await asyncio.sleep(15.0)
-            self.check_once(stage, "r1", answer.status)
+            self.check_once(stage, "r1", response.status)
             self.assertEqual(len(gateway_scenes.list_runs(stage, "r1")), 1)
 
         self.play(scene)
--- a/tillerlane/gateway/tests/test_exit_detection.py
+++ b/tillerlane/gateway/tests/test_exit_detection.py
@@ -1,4 +1,4 @@
-"""What an entry finds out about targets that break off answers, and which attempts are the same."""
+"""Detection of targets that exit, and fingerprints of requests."""
 
 import asyncio
 import unittest
@@ -17,9 +17,9 @@
 
 
 class FingerprintTest(unittest.TestCase):
-    """Attempts of the same request have one fingerprint, others have another."""
+    """Attempts of the same request share a fingerprint; other requests do not."""
 
-    def test_attempts_id_deadline_and_spelling_of_the_host_make_no_difference(self) -> None:
+    def test_attempt_id_deadline_and_case_of_the_host_make_no_difference(self) -> None:
         again = http_head.RequestHead(
             b"POST",
             b"/verdict/x?q=1",
@@ -28,7 +28,7 @@
         first = fingerprints.compute(build_head(), b"body", "workspace-a")
         self.assertEqual(fingerprints.compute(again, b"body", "workspace-a"), first)
 
-    def test_each_other_part_makes_a_difference(self) -> None:
+    def test_every_other_part_makes_a_difference(self) -> None:
         found = {
             fingerprints.compute(build_head(), b"body", "a"),
             fingerprints.compute(build_head(), b"other", "a"),
@@ -48,16 +48,16 @@
         self.assertEqual(len({first, second, third}), 3)
 
 
-class ReachTest(gateway_scenes.GatewayCase):
-    """What a new connection finds after an answer was broken off."""
+class ProbeTest(gateway_scenes.GatewayCase):
+    """Result of the probe after a response broke off."""
 
     async def call_broken(self, stage: gateway_lab.GatewayLab, route: str) -> list[str]:
-        """Send a request whose answer breaks off; what was found each time."""
+        """Send a request whose response breaks off; returns the result of each probe."""
         await stage.call("entry-1", route, "r1")
         lines = stage.entries["entry-1"].timeline.read()
         return [line.fields["reach"] for line in lines if line.name == "target.broke_off"]
 
-    def test_target_that_ended(self) -> None:
+    def test_target_that_exited(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "llm", length=20)
             await asyncio.sleep(0.2)
@@ -66,7 +66,7 @@
 
         self.play(scene)
 
-    def test_target_that_ended_before_the_head_of_its_answer(self) -> None:
+    def test_target_that_exited_before_the_head_of_its_response(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app", pace=0.3)
             await asyncio.sleep(0.2)
@@ -75,7 +75,7 @@
 
         self.play(scene)
 
-    def test_sound_target_that_loses_an_answer(self) -> None:
+    def test_healthy_target_that_loses_a_response(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             await asyncio.sleep(0.2)
@@ -84,8 +84,8 @@
 
         self.play(scene)
 
-    def test_target_that_answers_no_probe_delays_the_next_send_little(self) -> None:
-        """Callers of plain requests have a tenth of a second; a refusal needs a round trip."""
+    def test_unanswered_probe_delays_the_retry_little(self) -> None:
+        """Callers of plain requests have a tenth of a second; a refusal takes one round trip."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runners = [await stage.add_runner(f"t{n}", "app", pace=0.0) for n in (1, 2)]
@@ -95,19 +95,19 @@
             async def connect_again(address: str, seconds: float) -> http_client.Exchange:
                 if any(runner.ran and runner.address == address for runner in runners):
                     await asyncio.sleep(seconds)
-                    raise http_client.ExchangeError("no answer", sent=False)
+                    raise http_client.ExchangeError("probe timed out", sent=False)
                 return await connect(address, seconds)
 
             for runner in runners:
                 runner.loses_answer = True
             with unittest.mock.patch.object(http_client, "connect", connect_again):
-                answer = await stage.call("entry-1", "price", "r1")
+                response = await stage.call("entry-1", "price", "r1")
             self.assertEqual(sum(len(runner.ran) for runner in runners), 2)
-            self.assertLess(answer.seconds, 0.15)
+            self.assertLess(response.seconds, 0.15)
 
         self.play(scene)
 
-    def test_target_that_leaves_is_not_asked_after(self) -> None:
+    def test_leaving_target_is_not_probed(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "llm", length=60)
             await asyncio.sleep(0.2)
--- a/tillerlane/gateway/tests/test_http.py
+++ b/tillerlane/gateway/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP border on loopback connections in virtual time: bounds, framing, early ends."""
+"""HTTP server and client on loopback in virtual time: limits, framing, truncated messages."""
 
 import asyncio
 import unittest
@@ -15,21 +15,21 @@
 
 
 async def echo(request: http_server.Request, responder: http_server.Responder) -> None:
-    """Answer with the target and the body."""
+    """Answer with the target and the body of the request."""
     head = http_head.ResponseHead(200, [(b"X", request.head.target)])
     await responder.send_response(head, request.body)
 
 
-async def talk(
+async def communicate(
     data: bytes,
     serve: http_server.Handler = echo,
     wait: float = 0.5,
     later: tuple[bytes, ...] = (),
     pause: float = 0.0,
 ) -> bytes:
-    """Send bytes to a server and give all that it answers until it closes or time is up.
+    """Send bytes to a server; returns what it sends until it closes or the wait is over.
 
-    `later` are further bytes, each sent after a pause in seconds.
+    `later` are further parts, each sent after a pause in seconds.
     """
     server = http_server.Server(serve, LIMITS, lambda error: None)
     await server.listen(ADDRESS)
@@ -39,93 +39,95 @@
     for part in later:
         await asyncio.sleep(pause)
         writer.write(part)
-    got = b""
+    received = b""
     try:
         async with asyncio.timeout(wait):
             while part := await reader.read(4096):
-                got += part
+                received += part
     except (TimeoutError, ConnectionError):
         pass
     writer.close()
     server.stop_accepting()
-    return got
+    return received
 
 
 class ServerTest(unittest.TestCase):
-    """What callers may send."""
+    """Requests from callers."""
 
-    def talk(self, data: bytes, **more: object) -> bytes:
-        """Play one connection in virtual time."""
-        return lab.run_virtual(talk(data, **more))  # type: ignore[arg-type]
+    def communicate(self, data: bytes, **more: object) -> bytes:
+        """Run one connection in virtual time."""
+        return lab.run_virtual(communicate(data, **more))  # type: ignore[arg-type]
 
-    def test_chunked_and_counted_bodies_are_the_same(self) -> None:
+    def test_chunked_body_equals_body_with_a_length(self) -> None:
         chunked = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
         counted = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello"
-        first = self.talk(chunked + b"2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n")
-        self.assertEqual(first, self.talk(counted))
+        first = self.communicate(chunked + b"2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n")
+        self.assertEqual(first, self.communicate(counted))
         self.assertTrue(first.endswith(b"hello"))
 
     def test_several_requests_on_one_connection_are_answered_in_order(self) -> None:
         one = b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n"
-        got = self.talk(b"".join(one % number for number in range(5)))
-        places = [got.index(b"X: /%d" % number) for number in range(5)]
-        self.assertEqual(places, sorted(places))
+        received = self.communicate(b"".join(one % number for number in range(5)))
+        positions = [received.index(b"X: /%d" % number) for number in range(5)]
+        self.assertEqual(positions, sorted(positions))
 
-    def test_bounds(self) -> None:
+    def test_limits(self) -> None:
         large_head = b"GET / HTTP/1.1\r\nX: " + b"x" * 2_000 + b"\r\n\r\n"
-        self.assertIn(b" 431 ", self.talk(large_head))
+        self.assertIn(b" 431 ", self.communicate(large_head))
         large_body = b"POST / HTTP/1.1\r\nContent-Length: 3000\r\n\r\n" + b"x" * 3_000
-        self.assertIn(b" 413 ", self.talk(large_body))
-        self.assertIn(b" 408 ", self.talk(b"GET / HTTP/1.1\r\nX:", wait=2.0))
-        self.assertEqual(self.talk(b"", wait=4.0), b"")
+        self.assertIn(b" 413 ", self.communicate(large_body))
+        self.assertIn(b" 408 ", self.communicate(b"GET / HTTP/1.1\r\nX:", wait=2.0))
+        self.assertEqual(self.communicate(b"", wait=4.0), b"")
 
-    def test_body_that_stops_ends_with_408_and_a_slow_one_is_read(self) -> None:
+    def test_stalled_body_gets_408_and_a_slow_one_is_read(self) -> None:
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\n"
-        served = []
+        handled_requests = []
 
         async def serve(request: http_server.Request, responder: http_server.Responder) -> None:
-            served.append(request)
+            handled_requests.append(request)
             await echo(request, responder)
 
-        got = self.talk(head + b"x", serve=serve, wait=4.0)
-        self.assertIn(b" 408 ", got)
-        self.assertEqual(served, [])
-        slow = self.talk(head, serve=serve, wait=1.0, later=(b"x", b"y", b"z"), pause=2.0)
+        received = self.communicate(head + b"x", serve=serve, wait=4.0)
+        self.assertIn(b" 408 ", received)
+        self.assertEqual(handled_requests, [])
+        slow = self.communicate(head, serve=serve, wait=1.0, later=(b"x", b"y", b"z"), pause=2.0)
         self.assertTrue(slow.endswith(b"xyz"))
 
-    def test_request_within_a_request_is_refused(self) -> None:
+    def test_request_smuggled_in_a_body_is_rejected(self) -> None:
         smuggled = (
             b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"0\r\n\r\nGET /inner HTTP/1.1\r\nHost: h\r\n\r\n"
         )
-        got = self.talk(smuggled)
-        self.assertIn(b" 400 ", got)
-        self.assertNotIn(b"/inner", got)
-
-    def test_aborted_stream_does_not_look_whole(self) -> None:
-        async def break_off(request: http_server.Request, responder: http_server.Responder) -> None:
+        received = self.communicate(smuggled)
+        self.assertIn(b" 400 ", received)
+        self.assertNotIn(b"/inner", received)
+
+    def test_aborted_stream_does_not_look_complete(self) -> None:
+        async def abort_midway(
+            request: http_server.Request, responder: http_server.Responder
+        ) -> None:
             await responder.start_response(http_head.ResponseHead(200, []))
             await responder.write(b"part")
             await asyncio.sleep(0.1)
             raise RuntimeError("fails")
 
-        got = self.talk(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", serve=break_off)
-        self.assertIn(b"part", got)
-        self.assertFalse(got.endswith(b"0\r\n\r\n"))
+        received = self.communicate(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", serve=abort_midway)
+        self.assertIn(b"part", received)
+        self.assertFalse(received.endswith(b"0\r\n\r\n"))
 
     @profiles.choose(60)
     @given(strategies.binary(max_size=300))
-    def test_any_bytes_are_answered_or_closed(self, data: bytes) -> None:
-        got = self.talk(data, wait=5.0)
-        self.assertTrue(got == b"" or got.startswith(b"HTTP/1.1 "))
+    def test_arbitrary_bytes_are_answered_or_the_connection_is_closed(self, data: bytes) -> None:
+        received = self.communicate(data, wait=5.0)
+        self.assertTrue(received == b"" or received.startswith(b"HTTP/1.1 "))
 
 
-async def ask(answer: bytes, end: str) -> tuple[int, bytes, str]:
-    """Ask a server that writes fixed bytes; gives status, body, and why it is not whole."""
+async def fetch(response: bytes, end: str) -> tuple[int, bytes, str]:
+    """Request to a server that writes fixed bytes; returns status, body and error."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(answer)
+        writer.write(response)
         await asyncio.sleep(0.1)
         if end == "close":
             writer.close()
@@ -152,26 +154,26 @@
 
 
 class ClientTest(unittest.TestCase):
-    """What targets may answer."""
+    """Responses from targets."""
 
-    def ask(self, answer: bytes, end: str = "close") -> tuple[int, bytes, str]:
-        """Play one exchange in virtual time."""
-        return lab.run_virtual(ask(answer, end))
+    def fetch(self, response: bytes, end: str = "close") -> tuple[int, bytes, str]:
+        """Run one exchange in virtual time."""
+        return lab.run_virtual(fetch(response, end))
 
-    def test_whole_answers(self) -> None:
+    def test_complete_responses(self) -> None:
         counted = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n"
         by_close = b"HTTP/1.1 200 OK\r\n\r\nab"
         interim = b"HTTP/1.1 100 Continue\r\n\r\n" + counted
-        for answer in (counted, chunked, by_close, interim):
-            self.assertEqual(self.ask(answer), (200, b"ab", ""), answer)
-        self.assertEqual(self.ask(counted, "hang"), (200, b"ab", ""))
+        for response in (counted, chunked, by_close, interim):
+            self.assertEqual(self.fetch(response), (200, b"ab", ""), response)
+        self.assertEqual(self.fetch(counted, "hang"), (200, b"ab", ""))
 
-    def test_surplus_behind_an_answer_belongs_to_nobody(self) -> None:
+    def test_surplus_after_a_response_is_discarded(self) -> None:
         counted = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"
-        self.assertEqual(self.ask(counted * 2), (200, b"ab", ""))
+        self.assertEqual(self.fetch(counted * 2), (200, b"ab", ""))
 
-    def test_broken_answers_are_seen(self) -> None:
+    def test_truncated_and_invalid_responses_are_detected(self) -> None:
         broken = {
             b"": 0,
             b"no answer at all\r\n\r\n": 0,
@@ -179,12 +181,12 @@
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab": 200,
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n": 200,
         }
-        for answer, status in broken.items():
-            got = self.ask(answer)
-            self.assertEqual(got[0], status, answer)
-            self.assertTrue(got[2], answer)
+        for response, status in broken.items():
+            received = self.fetch(response)
+            self.assertEqual(received[0], status, response)
+            self.assertTrue(received[2], response)
 
-    def test_nothing_was_sent_where_nobody_listens(self) -> None:
+    def test_nothing_is_sent_after_a_refused_connection(self) -> None:
         async def connect() -> None:
             await http_client.connect("10.0.0.9:1", 1.0)
 
