--- a/tillerlane/gateway/routes.py
+++ b/tillerlane/gateway/routes.py
@@ -152,8 +152,8 @@
         by_host: dict[str, list[Route]] = {}
         for route in self.routes:
             by_host.setdefault(route.host, []).append(route)
-        for found in by_host.values():
-            found.sort(key=lambda route: len(route.path_prefix), reverse=True)
+        for host_routes in by_host.values():
+            host_routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
         by_key = {key: item for item in self.workspaces for key in item.keys}
         object.__setattr__(self, "_by_host", by_host)
         object.__setattr__(self, "_by_key", by_key)
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -373,8 +373,8 @@
         for stop_order in stream.former_stop_orders:
             stop_order.is_cancelled |= stop_order.run.target.target_id == target.target_id
         outcome = await self._sender.send(stream.admission, target, plan, run.tokens)
-        taken = isinstance(outcome, sending.Stream)
-        self._meters.continuations.labels(str(taken).lower()).inc()
+        is_resumed = isinstance(outcome, sending.Stream)
+        self._meters.continuations.labels(str(is_resumed).lower()).inc()
         self._timeline.record(
             "run.go_on",
             request_id=stream.admission.facts.request_id,
@@ -385,7 +385,7 @@
             copy=plan.copy.handle if plan.copy is not None else "",
             backup=plan.backup_address,
             last_event=stream.last_event_id,
-            taken=taken,
+            taken=is_resumed,
             reason=getattr(outcome, "reason", ""),
         )
         if not isinstance(outcome, sending.Stream):
--- a/tillerlane/gateway/tests/test_at_most_once.py
+++ b/tillerlane/gateway/tests/test_at_most_once.py
@@ -158,8 +158,8 @@
             runners = await self.add_two(stage)
             for runner in runners:
                 runner.loses_answer = True
-            statuses, heard = await self.send_on_one_connection(stage, ["r1", "r2", "r3"])
-            self.assertEqual(len(heard), len(statuses))
+            statuses, bodies = await self.send_on_one_connection(stage, ["r1", "r2", "r3"])
+            self.assertEqual(len(bodies), len(statuses))
             for request_id in ("r1", "r2", "r3"):
                 self.assertLessEqual(len(gateway_scenes.list_runs(stage, request_id)), 1)
             self.assertTrue(all(status == 502 for status in statuses), statuses)
@@ -244,11 +244,11 @@
         """Start another incarnation of a target on the same address, and report its heartbeat."""
         former.crash()
         pool = "llm" if former.length else "app"
-        present = platform_runner.PlatformRunner(
+        current = platform_runner.PlatformRunner(
             "t1-again", former.address, former.others, length=former.length, pace=former.pace
         )
-        stage.runners["t1-again"] = present
-        await present.start()
+        stage.runners["t1-again"] = current
+        await current.start()
         stage.beat("t1-again", pool)
         await asyncio.sleep(0.2)
 
--- a/tillerlane/gateway/tests/test_exit_detection.py
+++ b/tillerlane/gateway/tests/test_exit_detection.py
@@ -29,7 +29,7 @@
         self.assertEqual(fingerprints.compute(again, b"body", "workspace-a"), first)
 
     def test_every_other_part_makes_a_difference(self) -> None:
-        found = {
+        distinct = {
             fingerprints.compute(build_head(), b"body", "a"),
             fingerprints.compute(build_head(), b"other", "a"),
             fingerprints.compute(build_head(), b"body", "b"),
@@ -39,7 +39,7 @@
             fingerprints.compute(build_head(method=b"PUT"), b"body", "a"),
             fingerprints.compute(build_head(host=b"till.example"), b"body", "a"),
         }
-        self.assertEqual(len(found), 8)
+        self.assertEqual(len(distinct), 8)
 
     def test_parts_do_not_run_into_each_other(self) -> None:
         first = fingerprints.compute(build_head(b"/x"), b"", "ab")
--- a/tillerlane/gateway/tests/test_handover.py
+++ b/tillerlane/gateway/tests/test_handover.py
@@ -25,9 +25,11 @@
     """Longest time in seconds for which a former runner worked on a request beside the next one."""
     now = asyncio.get_running_loop().time()
     runs = [run for runner in stage.runners.values() for run in runner.ran]
-    found = sorted((run for run in runs if run.request_id == request_id), key=lambda run: run.began)
-    ends = [run.ended_at or now for run in found]
-    pairs = itertools.pairwise(zip(found, ends, strict=True))
+    request_runs = sorted(
+        (run for run in runs if run.request_id == request_id), key=lambda run: run.began
+    )
+    end_times = [run.ended_at or now for run in request_runs]
+    pairs = itertools.pairwise(zip(request_runs, end_times, strict=True))
     return max((end - later.began for (_, end), (later, _) in pairs), default=0.0)
 
 
@@ -133,8 +135,8 @@
             runners, calls, backed_up = await self.start_runs_with_copies(stage)
             runners[0].is_cut_off = True
             await asyncio.sleep(2.0)
-            taken = [run.request_id for run in runners[1].ran if "kv-from" in run.headers]
-            self.assertEqual(sorted(taken), sorted(backed_up))
+            resumed = [run.request_id for run in runners[1].ran if "kv-from" in run.headers]
+            self.assertEqual(sorted(resumed), sorted(backed_up))
             runners[0].is_cut_off = False
             healed_at = asyncio.get_running_loop().time()
             await asyncio.sleep(1.0)
--- a/tillerlane/gateway/tests/test_handover_evidence.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -128,7 +128,7 @@
             await asyncio.sleep(0.8)
             stage.beat("t2", "llm")
             second.loses_copies = True
-            lost = test_handover_orders.drop_first_stop_order(first)
+            lost_orders = test_handover_orders.drop_first_stop_order(first)
             pass_on = stream_relay.StreamRelay._forward
 
             async def pass_on_slowly(stream: stream_relay.StreamRelay, data: bytes) -> bool:
@@ -143,7 +143,7 @@
                     await asyncio.sleep(0.005)
                 first._server.stop_accepting()
                 response = await call
-            self.assertEqual((len(lost), first.ran[0].ended), (1, "whole"))
+            self.assertEqual((len(lost_orders), first.ran[0].ended), (1, "whole"))
             self.assertTrue(response.is_whole)
 
         self.play(scene)
@@ -198,8 +198,8 @@
             await asyncio.sleep(3.0)
             self.assertTrue(checked_at)
             # Each run every 50 ms, and with each of the 32 events per second.
-            most = max(collections.Counter(int(at - began) for at in checked_at).values())
-            self.assertLessEqual(most, len(calls) * (20 + 32))
+            highest_rate = max(collections.Counter(int(at - began) for at in checked_at).values())
+            self.assertLessEqual(highest_rate, len(calls) * (20 + 32))
             for call in calls:
                 call.cancel()
 
@@ -224,8 +224,8 @@
             runners[0].reset_connections()
             await asyncio.sleep(2.6)
             self.assertTrue(received_orders)
-            taken = [run.request_id for run in runners[1].ran if "kv-from" in run.headers]
-            self.assertEqual(taken, [])
+            resumed = [run.request_id for run in runners[1].ran if "kv-from" in run.headers]
+            self.assertEqual(resumed, [])
             for request_id in backed_up:
                 self.assertTrue(calls[request_id].done(), "the caller is told that its run is lost")
             for call in calls.values():
@@ -259,9 +259,9 @@
         return lab.run_virtual(run())
 
     def test_busy_answer_proves_a_stop_only_after_an_unanswered_order(self) -> None:
-        lost, busy = dialect.CopyOutcome.LOST, dialect.CopyOutcome.BUSY
-        self.assertEqual(self.derive_evidence(lost, busy, may_be_copying=False), "stopped")
-        self.assertEqual(self.derive_evidence(lost, busy, may_be_copying=True), "none")
+        lost_orders, busy = dialect.CopyOutcome.LOST, dialect.CopyOutcome.BUSY
+        self.assertEqual(self.derive_evidence(lost_orders, busy, may_be_copying=False), "stopped")
+        self.assertEqual(self.derive_evidence(lost_orders, busy, may_be_copying=True), "none")
         self.assertEqual(self.derive_evidence(busy, may_be_copying=False), "none")
 
     def test_answered_order_is_not_in_progress(self) -> None:
@@ -339,8 +339,8 @@
             runners[0].copy_seconds = 0.5
             runners[0].reset_connections()
             await asyncio.sleep(2.0)
-            taken = [run.request_id for run in runners[1].ran if "kv-from" in run.headers]
-            self.assertEqual(sorted(taken), sorted(backed_up))
+            resumed = [run.request_id for run in runners[1].ran if "kv-from" in run.headers]
+            self.assertEqual(sorted(resumed), sorted(backed_up))
             left = [handle for runner in runners for handle in runner.copies if handle[0] == "h"]
             self.assertEqual(left, [])
             for call in calls.values():
--- a/tillerlane/gateway/tests/test_relay.py
+++ b/tillerlane/gateway/tests/test_relay.py
@@ -171,7 +171,7 @@
             fast = await stage.add_runner("t1", "llm", length=5, reading_seconds=0.15)
             slow = await stage.add_runner("t2", "llm", length=5, reading_seconds=0.60)
             await asyncio.sleep(0.3)
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             calls = []
             for number in range(3):
                 call = stage.call("entry-1", "record", f"r{number}", **gateway_scenes.LONG)
@@ -180,7 +180,7 @@
             for response in await asyncio.gather(*calls):
                 self.assertTrue(response.is_whole)
             self.assertEqual((len(fast.ran), len(slow.ran)), (2, 1))
-            waited = fast.ran[1].began - began
+            waited = fast.ran[1].began - started_at
             self.assertGreater(waited, 0.15)
             self.assertLess(waited, 0.25)
 
@@ -238,7 +238,9 @@
     that it answered.  Such a response proves nothing about any request.
     """
 
-    def check_second_send(self, route: str, pool: str, length: int, *, gone: bool) -> None:
+    def check_second_send(
+        self, route: str, pool: str, length: int, *, is_unreachable: bool
+    ) -> None:
         """Have a target lose its response, and the others be unreachable or reject the request."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -251,7 +253,7 @@
                 await asyncio.sleep(0)
             for runner in [item for item in runners if not item.ran]:
                 runner.refuses = True
-                if gone:
+                if is_unreachable:
                     runner.crash()
             response = await call
             self.assertEqual(response.status, 502)
@@ -261,7 +263,7 @@
     def test_other_targets_are_unreachable(self) -> None:
         for route, pool, length in (("price", "app", 0), ("verdict", "llm", 4)):
             with self.subTest(route):
-                self.check_second_send(route, pool, length, gone=True)
+                self.check_second_send(route, pool, length, is_unreachable=True)
 
     def test_rejection_without_a_request_id_proves_nothing(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -277,7 +279,7 @@
     def test_other_targets_reject_the_request(self) -> None:
         for route, pool, length in (("price", "app", 0), ("verdict", "llm", 4)):
             with self.subTest(route):
-                self.check_second_send(route, pool, length, gone=False)
+                self.check_second_send(route, pool, length, is_unreachable=False)
 
 
 if __name__ == "__main__":
--- a/tillerlane/gateway/tests/test_resuming.py
+++ b/tillerlane/gateway/tests/test_resuming.py
@@ -32,9 +32,9 @@
             again = await stage.call("entry-2", "verdict", "r2", Last_Event_Id=str(last))
             self.assertEqual(again.body, gateway_scenes.build_stream("r2", LENGTH, last + 1))
             (former,) = gateway_scenes.list_runs(stage, "r1")
-            (present,) = gateway_scenes.list_runs(stage, "r2")
+            (current,) = gateway_scenes.list_runs(stage, "r2")
             self.assertEqual(former.ended, "gone")
-            self.assertLessEqual(former.ended_at - present.began, 0.4)
+            self.assertLessEqual(former.ended_at - current.began, 0.4)
 
         self.play(scene)
 
@@ -73,8 +73,8 @@
             await asyncio.sleep(0.2)
             call = asyncio.create_task(stage.call("entry-1", "record", "r1", **gateway_scenes.LONG))
             await asyncio.sleep(0.4)
-            for former, present in (("t1", "t2"), ("t2", "t3")):
-                await stage.add_runner(present, "llm", length=LENGTH)
+            for former, current in (("t1", "t2"), ("t2", "t3")):
+                await stage.add_runner(current, "llm", length=LENGTH)
                 await asyncio.sleep(0.2)
                 stage.beat(former, "llm", phase=directories.Phase.DRAINING)
                 await asyncio.sleep(0.6)
@@ -82,8 +82,8 @@
             self.assertEqual(response.body, gateway_scenes.build_stream("r1", LENGTH))
             runs = sorted(gateway_scenes.list_runs(stage, "r1"), key=lambda run: run.began)
             self.assertEqual(len(runs), 3)
-            for former, present in itertools.pairwise(runs):
-                self.assertLessEqual(former.ended_at - present.began, 0.4)
+            for former, current in itertools.pairwise(runs):
+                self.assertLessEqual(former.ended_at - current.began, 0.4)
 
         self.play(scene)
 
@@ -119,10 +119,10 @@
             for request_id in backed_up:
                 body = calls[request_id].result().body
                 self.assertEqual(body, gateway_scenes.build_stream(request_id, LENGTH))
-                former, present = sorted(
+                former, current = sorted(
                     gateway_scenes.list_runs(stage, request_id), key=lambda run: run.began
                 )
-                self.assertEqual((former.ended, present.first_event > 2), ("crashed", True))
+                self.assertEqual((former.ended, current.first_event > 2), ("crashed", True))
 
         self.play(scene)
 
@@ -138,8 +138,8 @@
                 body = calls[request_id].result().body
                 self.assertEqual(body, gateway_scenes.build_stream(request_id, LENGTH))
                 runs = gateway_scenes.list_runs(stage, request_id)
-                former, present = sorted(runs, key=lambda run: run.began)
-                self.assertLessEqual(former.ended_at - present.began, 0.4)
+                former, current = sorted(runs, key=lambda run: run.began)
+                self.assertLessEqual(former.ended_at - current.began, 0.4)
 
         self.play(scene)
 
