--- a/tillerlane/gateway/tests/test_handover_evidence.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -259,9 +259,9 @@
         return lab.run_virtual(run())
 
     def test_busy_answer_proves_a_stop_only_after_an_unanswered_order(self) -> None:
-        lost_orders, busy = dialect.CopyOutcome.LOST, dialect.CopyOutcome.BUSY
-        self.assertEqual(self.derive_evidence(lost_orders, busy, may_be_copying=False), "stopped")
-        self.assertEqual(self.derive_evidence(lost_orders, busy, may_be_copying=True), "none")
+        lost, busy = dialect.CopyOutcome.LOST, dialect.CopyOutcome.BUSY
+        self.assertEqual(self.derive_evidence(lost, busy, may_be_copying=False), "stopped")
+        self.assertEqual(self.derive_evidence(lost, busy, may_be_copying=True), "none")
         self.assertEqual(self.derive_evidence(busy, may_be_copying=False), "none")
 
     def test_answered_order_is_not_in_progress(self) -> None:
