--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -19,8 +19,8 @@
 from tillerlane.faults import kinds
 from tillerlane.keeper import client as clients
 from tillerlane.keeper import disk as disks
-from tillerlane.keeper import machine as machines
 from tillerlane.keeper import replica, server
+from tillerlane.keeper import state_machine as state_machines
 from tillerlane.keeper import storage as storages
 from tillerlane.members import exchange, platform
 from tillerlane.members import view as views
@@ -139,7 +139,7 @@
         self.callers: api.Callers | None = None
         if settings.Role.ENTRY in own.roles:
             self._build_entry()
-        self.store.listen(self._note_configuration)
+        self.store.add_listener(self._note_configuration)
 
     # Building
 
@@ -177,7 +177,7 @@
         own = self.settings
         assert own.data_folder is not None
         storage = storages.Storage(self._around.open_disk(own.data_folder), own.daemon)
-        state = machines.Machine()
+        state = state_machines.StateMachine()
         self.store = state.store
         part = replica.Replica(
             own.daemon,
@@ -189,12 +189,12 @@
             self._around.run_blocking,
             self._around.rng,
         )
-        part.on_standing = self._note_standing
+        part.on_role_change = self._note_standing
         self.keeper = server.Keeper(
             part, self._get_keeper_link, self._get_subscribers, self._read_ms
         )
         self.placement = leader.PlacementLeader(
-            part, self.members.read_live, self.ask, self.timeline, self._read_ms
+            part, self.members.list_live, self.ask, self.timeline, self._read_ms
         )
         self.exchange = exchange.KeeperExchange(
             self.members, self._get_keeper_links, self._get_subscribers
@@ -240,15 +240,15 @@
             for name, address in self.settings.keepers.items():
                 if name != self.settings.daemon:
                     self.node.dial(address)
-            self.keeper.begin()
-            self.placement.begin()
-            self.exchange.begin()
-        self.client.begin()
+            self.keeper.start()
+            self.placement.start()
+            self.exchange.start()
+        self.client.start()
         if self.agent is not None:
             self.agent.begin()
         self._tasks.append(asyncio.create_task(self._refresh()))
         if self.settings.platform_list is not None:
-            following = platform.follow_list(
+            following = platform.poll_list(
                 self.settings.platform_list, self.members, self._note_platform_list
             )
             self._tasks.append(asyncio.create_task(following))
@@ -339,17 +339,17 @@
         ]
 
     def _is_entry(self, daemon_id: str) -> bool:
-        member = self.members.read(daemon_id)
+        member = self.members.find(daemon_id)
         return member is None or settings.Role.ENTRY.value in member.roles
 
     def _take_home(self, link: links.Link) -> None:
-        self.announcer.tell_anew(link)
+        self.announcer.reannounce(link)
         self.timeline.record("keeper.home", keeper=link.peer_id)
 
     def _note_down(self, link: links.Link) -> None:
         self._pulled_at.pop(link, None)
         if self.exchange is not None:
-            self.exchange.note_down(link)
+            self.exchange.handle_link_down(link)
 
     # Configuration
 
@@ -441,7 +441,7 @@
     def _take_members(self, link: links.Link, body: messages.Members, now: float) -> None:
         others = [item for item in body.members if item.daemon_id != self.settings.daemon]
         if self.exchange is not None:
-            self.exchange.take(link, dataclasses.replace(body, members=others))
+            self.exchange.handle_members(link, dataclasses.replace(body, members=others))
         else:
             self.members.merge(others, now)
 
@@ -456,10 +456,10 @@
                 self._note_standing()
             keepers = {
                 member.daemon_id: member.address
-                for member in self.members.read_live()
+                for member in self.members.list_live()
                 if settings.Role.KEEPER.value in member.roles
             }
-            self.client.learn(keepers)
+            self.client.update_keepers(keepers)
             if self.agent is not None:
                 leaving = sorted(self.agent.read_leaving())
                 self.announcer.update(leaving_targets=leaving)
@@ -469,7 +469,7 @@
         """Live entries, this one included."""
         entries = [
             member
-            for member in self.members.read_live()
+            for member in self.members.list_live()
             if settings.Role.ENTRY.value in member.roles and not member.leaving
         ]
         return max(1, len(entries))
@@ -485,7 +485,7 @@
             return False
         if self.settings.stale_action is settings.StaleAction.SERVE:
             return True
-        age = asyncio.get_running_loop().time() - self.client.heard_at
+        age = asyncio.get_running_loop().time() - self.client.last_contact_at
         return age < self.settings.stale_seconds
 
     def note_internal(self, error: Exception) -> faults.Fault:
--- a/tillerlane/gateway/exchanges.py
+++ b/tillerlane/gateway/exchanges.py
@@ -27,7 +27,7 @@
 
     def __init__(self, directory: directories.Directory) -> None:
         self._open: dict[str, set[http_client.Exchange]] = collections.defaultdict(set)
-        directory.listen(self._handle_phase)
+        directory.add_listener(self._handle_phase)
 
     def add(self, target: directories.Target, exchange: http_client.Exchange) -> None:
         """Register an exchange until its connection ends."""
@@ -44,7 +44,7 @@
             del self._open[target_id]
 
     def _handle_phase(self, target: directories.Target, former: directories.Phase | None) -> None:
-        if not target.is_over:
+        if not target.is_superseded:
             return
         # The former incarnation was alive at its last heartbeat, so connections from before then
         # were made to it.  A later connection may belong to the current incarnation, which may have
--- a/tillerlane/gateway/exit_detection.py
+++ b/tillerlane/gateway/exit_detection.py
@@ -12,7 +12,7 @@
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway import http_client, quarantine
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
@@ -35,7 +35,7 @@
         Records requests during which targets exited.
     timeline : timelines.Timeline
         Log of results.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts results.
     """
 
@@ -44,12 +44,12 @@
         usage: usages.Usage,
         quarantined: quarantine.Quarantine,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._usage = usage
         self._quarantine = quarantined
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
         self._probes: dict[str, asyncio.Task[http_client.ProbeResult]] = {}
         """Probes in progress by target; responses that break off at one target share a probe."""
@@ -78,7 +78,7 @@
             return
         now = self._loop.time()
         reach = await self._probe(target)
-        self._meters.broken_answers.labels(reach.value).inc()
+        self._metrics.broken_answers.labels(reach.value).inc()
         self._timeline.record(
             "target.broke_off",
             request_id=admission.facts.request_id,
@@ -88,13 +88,13 @@
             reach=reach.value,
             ran_ms=int((now - sent_at) * 1000),
             events=events,
-            requests_there=self._usage.read(target.address).requests,
+            requests_there=self._usage.get(target.address).requests,
         )
         if reach is http_client.ProbeResult.REFUSED:
-            self._quarantine.note_end(admission.fingerprint, target)
+            self._quarantine.record_exit(admission.fingerprint, target)
 
     async def _probe(self, target: directories.Target) -> http_client.ProbeResult:
-        if target.is_over:
+        if target.is_superseded:
             # It has restarted, so the former process has exited.
             return http_client.ProbeResult.REFUSED
         task = self._probes.get(target.target_id)
--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -7,7 +7,7 @@
 from tillerlane.decisions import handover
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import http_client, runs
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.timeline import core as timelines
 
 __all__ = ["StopOrder", "StopOrders"]
@@ -26,11 +26,11 @@
 at a time, has transferred the run's memory: 0.02 to 0.8 s on a day with many moves."""
 
 _STOP_OUTCOMES = {
-    dialects.CopyOutcome.COPIED: handover.Word.STOPPED,
-    dialects.CopyOutcome.NO_RUN: handover.Word.NO_RUN,
-    dialects.CopyOutcome.BUSY: handover.Word.ORDER_UNDER_WAY,
-    dialects.CopyOutcome.REFUSED: handover.Word.REFUSED,
-    dialects.CopyOutcome.UNREACHABLE: handover.Word.UNREACHABLE,
+    dialects.CopyOutcome.COPIED: handover.StopOutcome.STOPPED,
+    dialects.CopyOutcome.NO_RUN: handover.StopOutcome.NO_RUN,
+    dialects.CopyOutcome.BUSY: handover.StopOutcome.ORDER_IN_PROGRESS,
+    dialects.CopyOutcome.REFUSED: handover.StopOutcome.REFUSED,
+    dialects.CopyOutcome.UNREACHABLE: handover.StopOutcome.UNREACHABLE,
 }
 
 _NOT_CARRIED_OUT = frozenset(
@@ -46,11 +46,11 @@
 """Outcomes of an order that the runner does not carry out, if no copy is named."""
 
 
-def _get_stop_outcome(result: dialects.CopyResult) -> handover.Word:
+def _get_stop_outcome(result: dialects.CopyResult) -> handover.StopOutcome:
     """Outcome of an order; a runner without room for a copy names the memory that it keeps."""
     if result.outcome is dialects.CopyOutcome.NO_ROOM and result.handle:
-        return handover.Word.STOPPED
-    return _STOP_OUTCOMES.get(result.outcome, handover.Word.NOTHING)
+        return handover.StopOutcome.STOPPED
+    return _STOP_OUTCOMES.get(result.outcome, handover.StopOutcome.UNCLEAR)
 
 
 class StopOrder:
@@ -106,7 +106,7 @@
     @property
     def is_released(self) -> bool:
         """Whether the runner certainly no longer works on the run."""
-        return handover.has_let_go(self.evidence)
+        return handover.is_released(self.evidence)
 
     def record_evidence(self, evidence: handover.Evidence) -> None:
         """Update the evidence; that a runner was unreachable holds until it is reached."""
@@ -122,7 +122,7 @@
 
     def record_answer(self, number: int, evidence: handover.Evidence) -> None:
         """Update the evidence from an answer; unless it proves a release it may be out of date."""
-        if number >= self._latest_answered or handover.has_let_go(evidence):
+        if number >= self._latest_answered or handover.is_released(evidence):
             self._latest_answered = max(number, self._latest_answered)
             self.record_evidence(evidence)
 
@@ -158,7 +158,7 @@
         Sends an order.
     timeline : timelines.Timeline
         Log of decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     """
 
@@ -166,11 +166,11 @@
         self,
         dialect: dialects.Dialect,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._dialect = dialect
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
         self._probes: dict[str, asyncio.Task[None]] = {}
@@ -239,7 +239,7 @@
             stop_order.is_at_destination = result.outcome is dialects.CopyOutcome.COPIED
             if not stop_order.is_needed:
                 self._drop_copy(stop_order)
-        evidence = handover.judge(
+        evidence = handover.derive_evidence(
             _get_stop_outcome(result), is_stream_open=is_stream_open, may_be_copying=may_be_copying
         )
         stop_order.record_answer(number, evidence)
@@ -259,7 +259,7 @@
             )
             if stop_order.is_released:
                 break
-            if stop_order.evidence is handover.Evidence.OUT_OF_REACH:
+            if stop_order.evidence is handover.Evidence.UNREACHABLE:
                 await self._wait_until_reachable(stop_order)
                 stop_order.record_evidence(handover.Evidence.NONE)
                 continue
@@ -268,7 +268,7 @@
         self._record_result(stop_order, started_at)
 
     def _record_result(self, stop_order: StopOrder, started_at: float) -> None:
-        self._meters.stops.labels(stop_order.evidence.value).inc()
+        self._metrics.stops.labels(stop_order.evidence.value).inc()
         self._timeline.record(
             "run.stop",
             request_id=stop_order.run.request_id,
--- a/tillerlane/gateway/relay.py
+++ b/tillerlane/gateway/relay.py
@@ -10,7 +10,7 @@
 from tillerlane.gateway import budget as budgets
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import http_head, http_server, quarantine, refusals, sending
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import startup as startups
 from tillerlane.gateway import streams as stream_relays
 from tillerlane.timeline import core as timelines
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    gate : admissions.Gate
+    admission_control : admissions.AdmissionControl
         Decides which requests may run.
     sender : sending.Sender
         Sends requests to targets.
@@ -35,7 +35,7 @@
         Builds refusals.
     timeline : timelines.Timeline
         Log of decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     startup : startups.Startup
         Holds early requests until the configuration is known.
@@ -45,37 +45,37 @@
 
     def __init__(
         self,
-        gate: admissions.Gate,
+        admission_control: admissions.AdmissionControl,
         sender: sending.Sender,
         streams: stream_relays.Streams,
         budget: budgets.RetryBudget,
         dialect: dialects.Dialect,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         startup: startups.Startup,
         quarantined: quarantine.Quarantine,
     ) -> None:
         self._quarantine = quarantined
         self._startup = startup
-        self._gate = gate
+        self._admission_control = admission_control
         self._sender = sender
         self._streams = streams
         self._budget = budget
         self._dialect = dialect
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
     async def serve(self, request: http_server.Request, responder: http_server.Responder) -> None:
         """Handle one request."""
         if self._startup.ready_at is None:
             await self._wait_ready(request)
-        admission = self._gate.admit(request)
+        admission = self._admission_control.admit(request)
         if isinstance(admission, admissions.Refusal):
             facts = self._dialect.decode_request(request.head)
             await self._refuse(facts.request_id, "", responder, admission)
             return
-        self._budget.note_request(admission.pool.name, self._loop.time())
+        self._budget.record_request(admission.pool.name, self._loop.time())
         try:
             result = await self._sender.send_with_retries(admission)
         except asyncio.CancelledError:
@@ -104,7 +104,7 @@
         responder: http_server.Responder,
         refusal: admissions.Refusal,
     ) -> None:
-        self._meters.requests.labels(route, str(refusal.status)).inc()
+        self._metrics.requests.labels(route, str(refusal.status)).inc()
         self._timeline.record(
             "request.refuse",
             request_id=request_id,
@@ -140,7 +140,7 @@
 
     def _record_disconnect(self, admission: admissions.Admission) -> None:
         """Record a caller that disconnected before it got anything."""
-        self._meters.requests.labels(admission.route.name, "left").inc()
+        self._metrics.requests.labels(admission.route.name, "left").inc()
         self._timeline.record(
             "request.leave",
             request_id=admission.facts.request_id,
@@ -155,10 +155,10 @@
     ) -> None:
         """Record a complete response of a target."""
         if status < 400:
-            self._quarantine.note_good(admission.fingerprint)
+            self._quarantine.record_success(admission.fingerprint)
         seconds = self._loop.time() - admission.request.arrived
-        self._meters.requests.labels(admission.route.name, str(status)).inc()
-        self._meters.seconds.labels(admission.route.name).observe(seconds)
+        self._metrics.requests.labels(admission.route.name, str(status)).inc()
+        self._metrics.seconds.labels(admission.route.name).observe(seconds)
         self._timeline.record(
             "request.end",
             request_id=admission.facts.request_id,
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -15,7 +15,7 @@
 from tillerlane.decisions import placing
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import routes, selection
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
@@ -119,7 +119,7 @@
         Notifies of targets that leave.
     timeline : timelines.Timeline
         Log of decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts orders.
     """
 
@@ -130,19 +130,19 @@
         usage: usages.Usage,
         directory: directories.Directory,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._dialect = dialect
         self._selector = selector
         self._usage = usage
         self._directory = directory
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._runs: dict[str, set[Run]] = collections.defaultdict(set)
         self._copying_tokens: dict[str, int] = {}
         """Tokens of the copies in progress from each source, by its id; no entry without one."""
         self._drop_tasks: set[asyncio.Task[None]] = set()
-        directory.listen(self._handle_phase)
+        directory.add_listener(self._handle_phase)
 
     def add(self, run: Run) -> None:
         """Register a run that starts on a target."""
@@ -184,7 +184,7 @@
         self._discard_backups(lambda backup: backup.target_id == target.target_id)
         runs = sorted(self._runs.get(target.target_id, ()), key=lambda run: run.tokens)
         for run in runs:
-            if target.is_over:
+            if target.is_superseded:
                 self._cancel_copy(run)
             else:
                 self._start_move(run)
@@ -213,7 +213,7 @@
         engine = run.pool.engine
         if engine is None or not engine.can_move or run.moving is not None:
             return
-        if run.backup is not None and self._directory.takes_work(run.backup):
+        if run.backup is not None and self._directory.accepts_requests(run.backup):
             # The run may still end here, and is resumed from the backup copy at once if it does
             # not.  An order would copy all of its memory again and delay runs without a copy.
             return
@@ -264,9 +264,10 @@
             return True
         waited = asyncio.get_running_loop().time() - run.leaving_since
         left = max(0.0, MIN_NOTICE_SECONDS - waited)
-        share = self._selector.read_own_share(run.target)
+        share = self._selector.compute_own_share(run.target)
         return (
-            self._selector.read_copy_seconds(run.pool, copying_tokens + run.tokens) <= left * share
+            self._selector.estimate_copy_seconds(run.pool, copying_tokens + run.tokens)
+            <= left * share
         )
 
     async def _copy(self, run: Run, destination: directories.Target) -> dialects.CopyResult:
@@ -329,7 +330,7 @@
             run.target.address, run.request_id, destination.address, COPY_TIMEOUT_SECONDS
         )
         run.may_be_copying = result.outcome.is_unanswered
-        self._meters.moves.labels(result.outcome.value).inc()
+        self._metrics.moves.labels(result.outcome.value).inc()
         self._timeline.record(
             "run.move",
             request_id=run.request_id,
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -11,7 +11,6 @@
 from tillerlane.decisions import placing, queueing
 from tillerlane.gateway import admission as admissions
 from tillerlane.gateway import (
-    advice,
     availability,
     exchanges,
     exit_detection,
@@ -25,7 +24,8 @@
 from tillerlane.gateway import budget as budgets
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import feedback as feedbacks
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import startup as startups
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
@@ -147,7 +147,7 @@
         Chooses targets.
     available : availability.Availability
         Knows which targets are blocked, and why.
-    taken : advice.Advice
+    feedback : feedbacks.TargetFeedback
         Processes what responses report about their targets.
     usage : usages.Usage
         Counts requests and tokens at targets.
@@ -155,7 +155,7 @@
         Bounds retries.
     timeline : timelines.Timeline
         Log of decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     startup : startups.Startup
         Knows whether targets may still be undiscovered.
@@ -172,11 +172,11 @@
         dialect: dialects.Dialect,
         selector: selection.Selector,
         available: availability.Availability,
-        taken: advice.Advice,
+        feedback: feedbacks.TargetFeedback,
         usage: usages.Usage,
         budget: budgets.RetryBudget,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         startup: startups.Startup,
         directory: directories.Directory,
         exit_detector: exit_detection.ExitDetector,
@@ -188,12 +188,12 @@
         self._dialect = dialect
         self._selector = selector
         self._available = available
-        self._advice = taken
+        self._feedback = feedback
         self._usage = usage
-        self._refusals = refusals.Refusals(available, usage)
+        self._refusals = refusals.RefusalBuilder(available, usage)
         self._budget = budget
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._exchanges = exchanges.Exchanges(directory)
         self._loop = asyncio.get_running_loop()
 
@@ -214,13 +214,13 @@
         if refusal is not None:
             return refusal
         started_at = self._loop.time()
-        until = admission.ends_at - RESPONSE_MARGIN_SECONDS if until is None else until
+        until = admission.deadline - RESPONSE_MARGIN_SECONDS if until is None else until
         address = target.address
         unread = admission.facts.prompt_tokens if tokens is None else 0
         tokens = admission.tokens if tokens is None else tokens
         unsaved = tokens if admission.is_long and not plan.backup_address else 0
         self._usage.add(address, requests=1, tokens=tokens, unread=unread, unsaved=unsaved)
-        self._usage.note_request(admission.pool.name, started_at)
+        self._usage.record_request(admission.pool.name, started_at)
         exchange: http_client.Exchange | None = None
         keep = False
         try:
@@ -230,12 +230,12 @@
                 refusal = self.refuse_quarantined(admission)
                 if refusal is not None:
                     return refusal
-                obstacle = self._available.take(
+                obstacle = self._available.acquire(
                     admission.pool, target, is_resumed=plan.copy is not None
                 )
                 if obstacle is not None:
                     reason = f"{address} is blocked for this entry: {obstacle.cause.value}"
-                    return refusals.NotRun(reason, sent=False, is_held_up=True)
+                    return refusals.NotRun(reason, sent=False, is_blocked=True)
                 head = self._dialect.build_forward(admission.request.head, plan)
                 exchange.send(head, admission.request.body)
                 outcome = await self._read_response(admission, target, exchange)
@@ -247,10 +247,10 @@
             if not sent:
                 return refusals.NotRun(f"{address}: out of time before it was sent", sent=False)
             if self._loop.time() - started_at > SLOW_RESPONSE_SECONDS:
-                self._selector.caution.note_failure(target.target_id, self._loop.time())
+                self._selector.failures.record_failure(target.target_id, self._loop.time())
             return Unknown(f"{address}: no answer in time", is_late=True)
         except http_client.ExchangeError as error:
-            self._selector.caution.note_failure(target.target_id, self._loop.time())
+            self._selector.failures.record_failure(target.target_id, self._loop.time())
             if not error.sent:
                 return refusals.NotRun(str(error), sent=False)
             assert exchange is not None
@@ -286,7 +286,9 @@
         facts = self._dialect.decode_response(head)
         is_of_request = facts.request_id == admission.facts.request_id
         if is_of_request and not facts.is_other_target:
-            self._advice.take(admission.facts.request_id, target, facts, exchange.sent_at)
+            self._feedback.handle_response(
+                admission.facts.request_id, target, facts, exchange.sent_at
+            )
         if not is_of_request:
             # Targets name the request in every response; any other response proves nothing.
             named = facts.request_id or "none"
@@ -311,11 +313,11 @@
         A target without a copy of the run that is resumed may still have room for other requests.
         """
         if not isinstance(outcome, refusals.NotRun):
-            self._selector.caution.note_success(target.target_id)
+            self._selector.failures.record_success(target.target_id)
         elif outcome.is_other_target:
-            self._selector.caution.note_failure(target.target_id, self._loop.time())
+            self._selector.failures.record_failure(target.target_id, self._loop.time())
         elif outcome.sent and not is_resumed:
-            self._selector.caution.note_turned_away(target.target_id, self._loop.time())
+            self._selector.failures.record_rejection(target.target_id, self._loop.time())
 
     def build_plan(
         self,
@@ -327,7 +329,7 @@
         backup: directories.Target | None = None,
     ) -> dialects.ForwardPlan:
         return dialects.ForwardPlan(
-            wait_seconds=max(0.001, admission.ends_at - self._loop.time()),
+            wait_seconds=max(0.001, admission.deadline - self._loop.time()),
             target_id=target.target_id,
             workspace=admission.workspace.name if admission.workspace is not None else "",
             priority=admission.runner_rank,
@@ -343,7 +345,10 @@
         engine = admission.pool.engine
         if engine is None or not engine.can_back_up or not admission.is_long:
             return None
-        if self._selector.read_evacuation(admission.pool, target) < MAX_EVACUATION_SECONDS:
+        if (
+            self._selector.estimate_evacuation_seconds(admission.pool, target)
+            < MAX_EVACUATION_SECONDS
+        ):
             return None
         backup = self._selector.choose(
             admission.pool, placing.Work(admission.tokens), {target.target_id}, is_sent_now=False
@@ -365,13 +370,13 @@
             refusal = self.refuse_quarantined(admission)
             if refusal is not None:
                 return result if result.sends else SendResult(refusal)
-            may_ask = permit_requests < MAX_PERMIT_REQUESTS
+            can_request_permit = permit_requests < MAX_PERMIT_REQUESTS
             target = self._selector.choose(
-                admission.pool, admission.work, excluded, may_ask=may_ask
+                admission.pool, admission.work, excluded, can_request_permit=can_request_permit
             )
-            if target is not None and may_ask and self._available.needs_permit(target):
+            if target is not None and can_request_permit and self._available.needs_permit(target):
                 permit_requests += 1
-                if not await self._available.ask_permit(target, PERMIT_TIMEOUT_SECONDS):
+                if not await self._available.request_permit(target, PERMIT_TIMEOUT_SECONDS):
                     continue
             if target is None and not excluded and self._should_wait_for_targets(admission):
                 await asyncio.sleep(MEMORY_CHECK_INTERVAL_SECONDS)
@@ -379,7 +384,7 @@
             if target is None and self._should_wait_for_capacity(admission, excluded):
                 await self._available.wait_for_permits(MEMORY_CHECK_INTERVAL_SECONDS)
                 continue
-            if target is None or self._loop.time() + MIN_SEND_SECONDS > admission.ends_at:
+            if target is None or self._loop.time() + MIN_SEND_SECONDS > admission.deadline:
                 return self._finish(admission, result)
             if not self._has_room(admission, target):
                 if self._loop.time() < self._compute_wait_deadline(admission):
@@ -395,7 +400,7 @@
             latest = await self._send_attempt(admission, target, result)
             result = _merge_results(result, latest)
             if isinstance(latest.outcome, refusals.NotRun) and not latest.outcome.sent:
-                unsent_attempts += not latest.outcome.is_held_up
+                unsent_attempts += not latest.outcome.is_blocked
             elif not self._can_retry(admission, latest):
                 break
         return self._finish(admission, result)
@@ -405,7 +410,7 @@
         if result.target is None:
             return SendResult(self._refusals.build_no_target(admission))
         if isinstance(result.outcome, refusals.NotRun):
-            outcome = self._refusals.set_return(admission, result.outcome)
+            outcome = self._refusals.adjust_retry_after(admission, result.outcome)
             return dataclasses.replace(result, outcome=outcome)
         return result
 
@@ -435,11 +440,11 @@
         if runs + 1 >= admission.route.max_attempts:
             return None
         now = self._loop.time()
-        return now + (admission.ends_at - now) * FIRST_ATTEMPT_SHARE
+        return now + (admission.deadline - now) * FIRST_ATTEMPT_SHARE
 
     def _should_wait_for_targets(self, admission: admissions.Admission) -> bool:
         arrived = admission.request.arrived
-        return self._startup.may_wait_for_targets(arrived, admission.ends_at - arrived)
+        return self._startup.should_wait_for_targets(arrived, admission.deadline - arrived)
 
     def _should_wait_for_capacity(
         self, admission: admissions.Admission, excluded: set[str]
@@ -448,7 +453,7 @@
         wait_deadline = self._compute_wait_deadline(admission)
         if self._loop.time() >= wait_deadline:
             return False
-        return self._available.read_opening(admission.pool, excluded) <= wait_deadline
+        return self._available.find_next_opening(admission.pool, excluded) <= wait_deadline
 
     def _compute_wait_deadline(self, admission: admissions.Admission) -> float:
         """Time until which a request waits for memory before it is refused."""
@@ -462,15 +467,15 @@
         objective_seconds = admission.route.objective_seconds
         if waited > objective_seconds * PREFILL_WAIT_SHARE:
             return True
-        unread = self._usage.read(target.address).unread
+        unread = self._usage.get(target.address).unread
         prompt_tokens = admission.facts.prompt_tokens
-        return queueing.may_begin(
+        return queueing.can_start(
             unread, prompt_tokens, objective_seconds, is_long=admission.is_long
         )
 
     def _has_room(self, admission: admissions.Admission, target: directories.Target) -> bool:
         """Whether a runner has memory for a request; short requests end before memory runs out."""
-        is_short = admission.facts.output_tokens < admissions.LONG_TOKENS
+        is_short = admission.facts.output_tokens < admissions.LONG_RUN_TOKENS
         share = 1.0 if is_short or admission.priority == 0 else RUN_MEMORY_SHARE
         return self._selector.has_room(admission.pool, target, admission.tokens, share)
 
@@ -485,7 +490,7 @@
         # The target failed or did not answer; another one may succeed.
         if not isinstance(outcome, refusals.NotRun) and not admission.route.is_repeatable:
             return False
-        return self._budget.take(admission.pool.name, self._loop.time())
+        return self._budget.try_acquire(admission.pool.name, self._loop.time())
 
     def _record_send(
         self,
@@ -496,13 +501,13 @@
         waited: float,
     ) -> None:
         kind = _OUTCOME_LABELS[type(outcome)]
-        self._meters.sends.labels(admission.pool.name, kind).inc()
+        self._metrics.sends.labels(admission.pool.name, kind).inc()
         if isinstance(outcome, Response) and outcome.head.status < 500:
             return
-        use = self._usage.read(target.address)
+        use = self._usage.get(target.address)
         reason = getattr(outcome, "reason", "")
         status = outcome.head.status if isinstance(outcome, Response | Stream) else 0
-        limit = self._available.read_limit(target)
+        limit = self._available.find_limit(target)
         self._timeline.record(
             "request.send",
             request_id=admission.facts.request_id,
--- a/tillerlane/gateway/stream_relay.py
+++ b/tillerlane/gateway/stream_relay.py
@@ -177,8 +177,8 @@
             return
         written = self.events * engine.event_tokens
         tokens = self.admission.facts.prompt_tokens + written
-        self.run.remaining_events = self.admission.count_events_left(self.events)
-        self.on_growth(self.run, tokens + self.admission.count_growth(written))
+        self.run.remaining_events = self.admission.count_remaining_events(self.events)
+        self.on_growth(self.run, tokens + self.admission.compute_growth_reserve(written))
 
     def _record_times(self, previous_event_id: str, event_count: int) -> None:
         now = asyncio.get_running_loop().time()
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -27,7 +27,7 @@
 from tillerlane.gateway import budget as budgets
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
@@ -66,7 +66,7 @@
         Moves runs off runners that leave.
     timeline : timelines.Timeline
         Log of decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts outcomes.
     exit_detector : exit_detection.ExitDetector
         Checks runners that broke off a stream.
@@ -85,7 +85,7 @@
         budget: budgets.RetryBudget,
         mover: runs.Mover,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
         exit_detector: exit_detection.ExitDetector,
         quarantined: quarantine.Quarantine,
         orders: handovers.StopOrders,
@@ -100,7 +100,7 @@
         self._budget = budget
         self._mover = mover
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
     async def serve(
@@ -116,7 +116,7 @@
             admission.facts.request_id, admission.pool, target, admission.tokens, result.backup
         )
         run.is_long = admission.is_long
-        run.remaining_events = admission.count_events_left(0)
+        run.remaining_events = admission.count_remaining_events(0)
         stream = stream_relay.StreamRelay(admission, responder, run, outcome.exchange)
         stream.runs_started = result.runs
         stream.on_growth = self._record_growth
@@ -125,7 +125,7 @@
         try:
             headers = http_head.list_end_to_end(outcome.head.headers)
             await responder.start_response(http_head.ResponseHead(outcome.head.status, headers))
-            async with asyncio.timeout_at(admission.ends_at):
+            async with asyncio.timeout_at(admission.deadline):
                 await self._relay_runs(stream)
         except TimeoutError:
             self._record_break(stream, "out of time")
@@ -150,7 +150,7 @@
 
     def _record_events(self, run: runs.Run, events_now: int, seconds: float) -> None:
         """Record the rate at which a runner's events arrive."""
-        self._usage.note_events(run.target.address, events_now, seconds, self._loop.time())
+        self._usage.record_events(run.target.address, events_now, seconds, self._loop.time())
 
     def _record_growth(self, run: runs.Run, tokens: int) -> None:
         """Update the memory that a run and its backup copy are counted with."""
@@ -226,7 +226,7 @@
             self._mover.cancel_move(run)  # no runner would resume it; it may still end here
         elif self._available.is_evacuated(target) or not run.can_move_to(target):
             self._mover.retry_move(run)
-        elif not self._available.is_held_up(run.pool, target):  # otherwise at the next event
+        elif not self._available.is_blocked(run.pool, target):  # otherwise at the next event
             stream.stop_order = self._order_stop(stream, target)
 
     def _order_stop(
@@ -239,7 +239,7 @@
         stop_order = self._stop_orders.stop(
             stream.run,
             destination.address,
-            stream.admission.ends_at,
+            stream.admission.deadline,
             is_stream_open=is_stream_open,
         )
         if stream.exchange is not None:
@@ -253,7 +253,7 @@
         if resume_point is None:
             return False
         evidence = await self._find_evidence(stream, resume_point.target)
-        if not handover.may_go_on(evidence, stream.last_event_id):
+        if not handover.can_resume(evidence, stream.last_event_id):
             stream.problem += f"; run is not resumed: {evidence.value}"
             return False
         stop_order = stream.stop_order
@@ -278,7 +278,7 @@
             stream.stop_order = self._order_stop(stream, destination, is_stream_open=False)
         self._stop_orders.record_stream_end(stream.stop_order)
         if stream.is_unreachable and not stream.stop_order.is_released:
-            return handover.Evidence.OUT_OF_REACH
+            return handover.Evidence.UNREACHABLE
         return await stream.stop_order.wait_for_evidence(STOP_TIMEOUT_SECONDS)
 
     async def _return_to_source(
@@ -304,7 +304,7 @@
             return False
         if not admission.route.is_resumable or stream.runs_started >= admission.route.max_attempts:
             return False
-        if not self._budget.take(admission.pool.name, self._loop.time()):
+        if not self._budget.try_acquire(admission.pool.name, self._loop.time()):
             return False
         former = stream.run
         self._unregister(stream)
@@ -334,8 +334,8 @@
                 return refusals.NotRun(f"{target.target_id} is leaving too", sent=False)
             outcome = await self._send_copy(stream, resume_point)
             is_unsent = isinstance(outcome, refusals.NotRun) and not outcome.sent
-            is_held_up = self._available.is_held_up(stream.run.pool, target)
-            if not is_unsent or not is_held_up or self._loop.time() >= until:
+            is_blocked = self._available.is_blocked(stream.run.pool, target)
+            if not is_unsent or not is_blocked or self._loop.time() >= until:
                 return outcome
 
     async def _send_copy(
@@ -350,14 +350,14 @@
             copy=resume_point.copy,
             backup=backup,
         )
-        self._budget.note_repeat(admission.pool.name, self._loop.time())
+        self._budget.record_retry(admission.pool.name, self._loop.time())
         return await self._continue_on(stream, target, plan, backup)
 
     async def _wait_for_capacity(
         self, pool: routes.Pool, target: directories.Target, until: float
     ) -> None:
         """Wait while a target is blocked for this entry: cold, rate-limited or in back-off."""
-        while self._available.is_held_up(pool, target) and self._loop.time() < until:
+        while self._available.is_blocked(pool, target) and self._loop.time() < until:
             await asyncio.sleep(CAPACITY_CHECK_INTERVAL_SECONDS)
 
     async def _continue_on(
@@ -374,7 +374,7 @@
             stop_order.is_cancelled |= stop_order.run.target.target_id == target.target_id
         outcome = await self._sender.send(stream.admission, target, plan, run.tokens)
         is_resumed = isinstance(outcome, sending.Stream)
-        self._meters.continuations.labels(str(is_resumed).lower()).inc()
+        self._metrics.continuations.labels(str(is_resumed).lower()).inc()
         self._timeline.record(
             "run.go_on",
             request_id=stream.admission.facts.request_id,
@@ -402,11 +402,11 @@
 
     def _record_end(self, stream: stream_relay.StreamRelay) -> None:
         admission = stream.admission
-        self._quarantine.note_good(admission.fingerprint)
-        self._meters.requests.labels(admission.route.name, "200").inc()
+        self._quarantine.record_success(admission.fingerprint)
+        self._metrics.requests.labels(admission.route.name, "200").inc()
         first_seconds = stream.first_event_at - admission.request.arrived
-        self._meters.seconds.labels(admission.route.name).observe(first_seconds)
-        self._meters.pauses.labels(admission.route.name).observe(stream.longest_pause)
+        self._metrics.seconds.labels(admission.route.name).observe(first_seconds)
+        self._metrics.pauses.labels(admission.route.name).observe(stream.longest_pause)
         self._timeline.record(
             "stream.end",
             request_id=stream.admission.facts.request_id,
@@ -420,7 +420,7 @@
         )
 
     def _record_break(self, stream: stream_relay.StreamRelay, reason: str) -> None:
-        self._meters.requests.labels(stream.admission.route.name, "broken").inc()
+        self._metrics.requests.labels(stream.admission.route.name, "broken").inc()
         self._timeline.record(
             "stream.break",
             request_id=stream.admission.facts.request_id,
--- a/tillerlane/gateway/tests/test_relay.py
+++ b/tillerlane/gateway/tests/test_relay.py
@@ -44,7 +44,7 @@
     def test_refusal_without_a_target_has_a_retry_time(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             # Just after its start, an entry waits for targets that have not been reported yet.
-            await asyncio.sleep(startup.TARGETS_SECONDS)
+            await asyncio.sleep(startup.TARGET_DISCOVERY_SECONDS)
             response = await stage.call("entry-1", "order", "r1")
             self.assertEqual(response.status, 503)
             self.assertGreater(float(response.headers["retry-after"]), 0)
@@ -65,7 +65,7 @@
                 9,
                 asyncio.get_running_loop().time(),
             )
-            stage.keepers["keeper-1"].take_heartbeat(late)
+            stage.keepers["keeper-1"].handle_heartbeat(late)
             await asyncio.sleep(0.5)
             statuses = []
             for number in range(10):
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -88,25 +88,25 @@
                 break
             for part in parts:
                 if is_first:
-                    part.note_request("pool", now)
+                    part.record_request("pool", now)
                     firsts += 1
                 else:
-                    repeats += part.take("pool", now)
+                    repeats += part.try_acquire("pool", now)
         self.assertLessEqual(repeats, bounds.ratio * firsts + bounds.allowance)
 
     def test_entries_that_start_at_once_exceed_the_allowance_together(self) -> None:
         bounds = budgets.RetryBounds(0.2, 10.0, 50.0)
         parts = [budgets.RetryBudget(bounds, entries=0) for _ in range(20)]
-        taken = sum(part.take("pool", 0.0) for part in parts for _ in range(30))
+        taken = sum(part.try_acquire("pool", 0.0) for part in parts for _ in range(30))
         self.assertLessEqual(taken, bounds.allowance)
         self.assertEqual(parts[0].entries, 0)
         parts[0].entries = 1
-        self.assertTrue(parts[0].take("pool", 0.0))
+        self.assertTrue(parts[0].try_acquire("pool", 0.0))
 
     def test_window_slides(self) -> None:
         budget = budgets.RetryBudget(budgets.RetryBounds(0.0, 10.0, 10.0))
-        self.assertEqual(sum(budget.take("pool", 0.0) for _ in range(20)), 7)
-        self.assertTrue(budget.take("pool", 10.1))
+        self.assertEqual(sum(budget.try_acquire("pool", 0.0) for _ in range(20)), 7)
+        self.assertTrue(budget.try_acquire("pool", 10.1))
 
 
 class SelectionTest(unittest.TestCase):
@@ -121,7 +121,7 @@
             target = directories.Target(
                 f"t{number}", "pool", f"a{number}", "hall-a", 48, directories.Phase.READY, 1, 10.0
             )
-            self.directory.take(target)
+            self.directory.merge(target)
 
     def choose(self) -> str:
         """Id of the target chosen for a run of 3,000 tokens."""
@@ -130,18 +130,18 @@
 
     def test_others_load_counts_until_it_is_old(self) -> None:
         self.usage.add("a1", requests=1, tokens=9_000)
-        ledger = loads.Ledger("keeper-1", 1)
+        ledger = loads.LoadAggregator("keeper-1", 1)
         word = messages.EntryLoads("entry-1", 1, [messages.TargetUse("a2", 3, 20_000)])
-        ledger.take_word(word, 9.0)
-        ledger.write_changes()
-        self.usage.take(ledger.write_whole(), 9.0)
+        ledger.handle_report(word, 9.0)
+        ledger.build_delta_digest()
+        self.usage.handle_digest(ledger.build_full_digest(), 9.0)
         self.assertEqual(self.choose(), "t3")
         self.usage.add("a3", requests=1, tokens=12_000)
         self.assertEqual(self.choose(), "t1")
-        self.assertFalse(self.usage.forget_others(9.5))
-        self.assertEqual(self.usage.read("a2").tokens, 20_000)
-        self.assertTrue(self.usage.forget_others(20.0))
-        self.assertEqual(self.usage.read("a2").tokens, 0)
+        self.assertFalse(self.usage.expire_others(9.5))
+        self.assertEqual(self.usage.get("a2").tokens, 20_000)
+        self.assertTrue(self.usage.expire_others(20.0))
+        self.assertEqual(self.usage.get("a2").tokens, 0)
 
     def test_unread_prompts_weigh_more_than_free_memory(self) -> None:
         self.usage.add("a1", requests=1, tokens=3_000, unread=3_000)
@@ -151,7 +151,7 @@
 
     def test_full_avoided_and_silent_come_last(self) -> None:
         self.usage.add("a1", tokens=33_000)
-        self.selector.caution.note_failure("t2", 10.0)
+        self.selector.failures.record_failure("t2", 10.0)
         self.assertEqual(self.choose(), "t3")
         self.directory.targets["t3"].phase = directories.Phase.SILENT
         self.assertEqual(self.choose(), "t1")
@@ -160,13 +160,15 @@
 
     def test_runs_without_a_copy_are_counted_over_all_entries(self) -> None:
         told = [messages.TargetUse("a1", 1, 3_625, 0, 3_625)]
-        ledger = loads.Ledger("keeper-1", 1)
+        ledger = loads.LoadAggregator("keeper-1", 1)
         for entry in ("entry-1", "entry-3"):
-            ledger.take_word(messages.EntryLoads(entry, 1, told), 10.0)
-        ledger.write_changes()
-        self.usage.take(ledger.write_whole(), 10.0)
+            ledger.handle_report(messages.EntryLoads(entry, 1, told), 10.0)
+        ledger.build_delta_digest()
+        self.usage.handle_digest(ledger.build_full_digest(), 10.0)
         target = self.directory.targets["t1"]
-        self.assertAlmostEqual(self.selector.read_evacuation(POOL, target), 0.8, places=2)
+        self.assertAlmostEqual(
+            self.selector.estimate_evacuation_seconds(POOL, target), 0.8, places=2
+        )
 
 
 class SplitterTest(unittest.TestCase):
--- a/tillerlane/gateway/tests/test_spread.py
+++ b/tillerlane/gateway/tests/test_spread.py
@@ -31,7 +31,7 @@
 
 def count_requests(stage: gateway_lab.GatewayLab, name: str) -> int:
     """Requests at the runner, as an entry knows them."""
-    return stage.entries[name].usage.read(stage.runners["t1"].address).requests
+    return stage.entries[name].usage.get(stage.runners["t1"].address).requests
 
 
 def read_primary(stage: gateway_lab.GatewayLab, name: str) -> str:
@@ -53,20 +53,20 @@
     return seen
 
 
-@mock.patch.object(homes, "FEW_ENTRIES", 0)
+@mock.patch.object(homes, "SMALL_FLEET_ENTRIES", 0)
 class SpreadTest(gateway_scenes.GatewayCase):
     """Five keepers, of which each of six entries knows two."""
 
     keepers = 5
     entries = 6
-    wished_voters = 5
+    desired_voters = 5
 
     def test_all_entries_count_a_run_once(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             task = await begin_run(stage)
             self.assertEqual({count_requests(stage, name) for name in stage.entry_names}, {1})
             await asyncio.sleep(1.0)
-            use = stage.entries["entry-6"].usage.read(stage.runners["t1"].address)
+            use = stage.entries["entry-6"].usage.get(stage.runners["t1"].address)
             self.assertGreater(use.tokens, PROMPT_TOKENS)
             self.assertGreater(use.events, 0)
             task.cancel()
@@ -98,7 +98,7 @@
             self.assertEqual([item for item in seen if item[0] > 3.6 and item[1] != 0], [])
             cut_off = stage.entries["entry-1"].usage
             self.assertEqual(count_requests(stage, "entry-1"), 1)
-            self.assertIsNone(cut_off.read_age(asyncio.get_running_loop().time()))
+            self.assertIsNone(cut_off.compute_age(asyncio.get_running_loop().time()))
             stage.network.heal()
             await asyncio.sleep(2)
             self.assertEqual({count_requests(stage, name) for name in stage.entry_names}, {1})
@@ -114,7 +114,7 @@
             await asyncio.sleep(SETTLE_SECONDS)
             told: list[str] = []
             for daemon in [*stage.entries.values(), *stage.keepers.values()]:
-                daemon.directory.listen(lambda target, former: told.append(target.target_id))
+                daemon.directory.add_listener(lambda target, former: told.append(target.target_id))
             for keeper in stage.keeper_names * 3:
                 stage.beat("t1", "llm", keeper=keeper)
                 await asyncio.sleep(0.2)
@@ -136,8 +136,8 @@
                 await asyncio.sleep(0.06)
                 known = {count_requests(stage, name) for name in stage.entry_names}
                 self.assertEqual(known, {number + 1})
-            ages = [entry.usage.read_word_seconds() for entry in stage.entries.values()]
-            self.assertLess(min(ages), usages.WORD_SECONDS)
+            ages = [entry.usage.get_report_age() for entry in stage.entries.values()]
+            self.assertLess(min(ages), usages.INITIAL_REPORT_AGE_SECONDS)
             for task in tasks:
                 task.cancel()
 
@@ -147,12 +147,14 @@
     def test_digest_that_was_missed_is_asked_for(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             entry = stage.entries["entry-6"]
-            take = entry.usage.take
-            with mock.patch.object(entry.usage, "take", return_value=usages.Taken.GOOD):
+            take = entry.usage.handle_digest
+            with mock.patch.object(
+                entry.usage, "handle_digest", return_value=usages.DigestResult.APPLIED
+            ):
                 task = await begin_run(stage)
-            self.assertEqual(entry.usage.take, take)
+            self.assertEqual(entry.usage.handle_digest, take)
             # The next digest, which shows the gap, comes within this time at the latest.
-            await asyncio.sleep(control.QUIET_LOADS_SECONDS + 0.1)
+            await asyncio.sleep(control.MAX_LOADS_INTERVAL_SECONDS + 0.1)
             self.assertEqual(count_requests(stage, "entry-6"), 1)
             task.cancel()
 
@@ -164,13 +166,13 @@
 
     keepers = 5
     entries = 68
-    wished_voters = 5
+    desired_voters = 5
 
     def play(self, scene: Callable[[gateway_lab.GatewayLab], Awaitable[None]]) -> None:
         """Start keepers, and only then, all at once, entries."""
 
         async def run() -> None:
-            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.wished_voters)
+            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.desired_voters)
             for name in stage.keeper_names:
                 await stage.start_keeper(name, is_first=True)
             await asyncio.sleep(6)
@@ -190,7 +192,7 @@
                 self.assertIsNotNone(link)
                 self.assertEqual(entry.published.version, 1)
                 self.assertIn("t1", entry.directory.targets)
-                self.assertIsNotNone(entry.usage.read_age(0.0))
+                self.assertIsNotNone(entry.usage.compute_age(0.0))
             await asyncio.sleep(1.5)
             self.assertEqual({entry.usage.entries for entry in stage.entries.values()}, {68})
 
@@ -262,7 +264,7 @@
                 1,
                 now,
             )
-            keepers[number % len(keepers)].take_heartbeat(target)
+            keepers[number % len(keepers)].handle_heartbeat(target)
         await asyncio.sleep(0.3)
 
     def test_target_that_turns_cold_is_told_to_all(self) -> None:
@@ -276,7 +278,7 @@
             told = dataclasses.replace(
                 known, sequence=known.sequence + 1, heard_at=now, warm_at=now + 2.0
             )
-            keeper.take_heartbeat(told)
+            keeper.handle_heartbeat(told)
             await asyncio.sleep(0.3)
             for entry in stage.entries.values():
                 self.assertAlmostEqual(entry.directory.targets["t1"].warm_at, now + 2.0, delta=0.1)
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -4,55 +4,55 @@
 and says whom it knows.  Seeds are where it begins to ask, never the only ones that it speaks to:
 whoever leads must hear of a newcomer, wherever that one came in.  On the very first start one of
 them, the lowest seed address, founds the log as soon as it knows enough fresh keepers; which they
-are then stands in the log, and the leader turns votes over (`keeper.turnover`).
+are then stands in the log, and the leader turns votes over (`keeper.reconfiguration`).
 """
 
 import asyncio
 import dataclasses
 
-from tillerlane.keeper import contacts, quorum, turnover
+from tillerlane.keeper import known_keepers, quorum, reconfiguration
 from tillerlane.keeper import replica as replicas
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 from tillerlane.peers import node as nodes
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Formation", "Plan"]
+__all__ = ["Formation", "FormationSettings"]
 
-ANNOUNCE_SECONDS = 0.4
+ANNOUNCE_INTERVAL_SECONDS = 0.4
 """Pause between two announcements; they are small and only go between keepers."""
-GREET_SECONDS = 0.1
+FIRST_CONTACT_INTERVAL_SECONDS = 0.1
 """Pause between two announcements to a keeper that has not told of itself yet: three of them, by
 way of a keeper that both know, bring a newcomer and the leader together."""
-FOUNDING_PATIENCE_SECONDS = 5.0
+BOOTSTRAP_TIMEOUT_SECONDS = 5.0
 """How long the founder waits for the wished number before it begins with fewer."""
-LEAST_FOUNDERS = 3
-LEAVE_SECONDS = 1.0
+MIN_BOOTSTRAP_PEERS = 3
+LEAVE_TIMEOUT_SECONDS = 1.0
 """How long a planned stop waits for the vote to be turned over, which takes 0.02 to 0.12 s (40
 stops in virtual time, half of them of the leader).  Who is not done then is silent soon after."""
-LEAVE_CHECK_SECONDS = 0.02
+LEAVE_CHECK_INTERVAL_SECONDS = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Plan:
+class FormationSettings:
     """What a keeper is told of its fleet.
 
     Attributes
     ----------
     seeds : tuple of str
         Peer addresses to begin with; some may be down.
-    wished_voters : int
+    desired_voters : int
         Odd; one more than twice the disks that may be lost at once.
-    patience_seconds : float
+    voter_timeout_seconds : float
         Silence of a voter after which another keeper takes its vote.
-    may_found : bool
+    can_bootstrap : bool
         Whether this keeper founds the log if it is not founded yet.
     """
 
     seeds: tuple[str, ...]
-    wished_voters: int
-    patience_seconds: float
-    may_found: bool
+    desired_voters: int
+    voter_timeout_seconds: float
+    can_bootstrap: bool
 
 
 class Formation:
@@ -60,7 +60,7 @@
 
     Parameters
     ----------
-    plan : Plan
+    settings : FormationSettings
         From the settings.
     address : str
         This keeper's peer address.
@@ -71,29 +71,36 @@
     """
 
     def __init__(
-        self, plan: Plan, name: str, address: str, node: nodes.Node, timeline: timelines.Timeline
+        self,
+        settings: FormationSettings,
+        name: str,
+        address: str,
+        node: nodes.Node,
+        timeline: timelines.Timeline,
     ) -> None:
-        self._plan = plan
+        self._settings = settings
         self._name = name
         self._address = address
         self._node = node
         self._timeline = timeline
-        self._contacts = contacts.Contacts(name, self._now)
+        self._known_keepers = known_keepers.KnownKeepers(name, self._now)
         self._began_at = 0.0
         self._replica: replicas.Replica | None = None
         self._is_leaving = False
         self._is_due = asyncio.Event()
         """Set when all are to be spoken to before the next pause ends."""
-        self.quorum = quorum.QuorumLog(timeline, plan.wished_voters // 2, self._now)
+        self.quorum_monitor = quorum.QuorumMonitor(
+            timeline, settings.desired_voters // 2, self._now
+        )
 
     def attach(self, replica: replicas.Replica) -> None:
-        """Take the keeper's part in the log, which itself asks `list_founders`."""
+        """Take the keeper's part in the log, which itself asks `list_bootstrap_peers`."""
         self._replica = replica
-        self.turnover = turnover.Turnover(
+        self.reconfiguration = reconfiguration.Reconfiguration(
             replica,
-            self._contacts,
-            self._plan.wished_voters,
-            self._plan.patience_seconds,
+            self._known_keepers,
+            self._settings.desired_voters,
+            self._settings.voter_timeout_seconds,
             self._timeline,
             self._now,
             self._reads_as_leaving,
@@ -101,7 +108,7 @@
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Take other seeds; keepers known already stay known."""
-        self._plan = dataclasses.replace(self._plan, seeds=seeds)
+        self._settings = dataclasses.replace(self._settings, seeds=seeds)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -113,13 +120,13 @@
         know each other just so; when each waited for the other's word, the newcomer never got the
         vote of a keeper that was lost, and two more lost disks stopped the log.
         """
-        found = set(self._plan.seeds) | self._contacts.list_addresses()
+        found = set(self._settings.seeds) | self._known_keepers.list_addresses()
         if self._replica is not None:
             found.update(voter.address for voter in self._replica.voters.values())
         found.discard(self._address)
         return found
 
-    def list_worth_asking(self) -> list[str]:
+    def list_query_addresses(self) -> list[str]:
         """Peer addresses that an entry may turn to: the voters, or who is heard of without a log.
 
         A keeper that is new names others too.  An entry that starts knows its seeds only, and where
@@ -127,23 +134,23 @@
         """
         if self._replica is not None and self._replica.voters:
             return sorted(voter.address for voter in self._replica.voters.values())
-        return sorted(seen.address for seen in self._contacts.list_alive())
+        return sorted(seen.address for seen in self._known_keepers.list_alive())
 
-    def list_founders(self) -> dict[str, str]:
+    def list_bootstrap_peers(self) -> dict[str, str]:
         """First voters, name to address; empty while this keeper may not found the log."""
-        if not self._plan.may_found:
+        if not self._settings.can_bootstrap:
             return {}
-        alive = self._contacts.list_alive()[: self._plan.wished_voters - 1]
+        alive = self._known_keepers.list_alive()[: self._settings.desired_voters - 1]
         fresh = {seen.name: seen.address for seen in alive}
-        is_late = self._now() - self._began_at > FOUNDING_PATIENCE_SECONDS
-        wanted = min(LEAST_FOUNDERS, self._plan.wished_voters) if is_late else None
-        if len(fresh) + 1 < (wanted or self._plan.wished_voters):
+        is_late = self._now() - self._began_at > BOOTSTRAP_TIMEOUT_SECONDS
+        wanted = min(MIN_BOOTSTRAP_PEERS, self._settings.desired_voters) if is_late else None
+        if len(fresh) + 1 < (wanted or self._settings.desired_voters):
             return {}
         return {self._name: self._address, **fresh}
 
-    def take(self, link: links.Link, announced: messages.KeeperAnnounce) -> None:
+    def handle_announcement(self, link: links.Link, announced: messages.KeeperAnnounce) -> None:
         """Take a keeper's announcement."""
-        if self._contacts.take(announced):
+        if self._known_keepers.merge(announced):
             self._is_due.set()
         self.dial_all()
 
@@ -152,9 +159,9 @@
         for address in self.list_addresses():
             self._node.dial(address)
 
-    def _forget_gone(self) -> None:
+    def _expire(self) -> None:
         """Stop dialing who is neither seed nor voter and has not been told of for long."""
-        self._contacts.forget_gone()
+        self._known_keepers.expire()
         for address in self._node.get_dialed() - self.list_addresses():
             self._node.hang_up(address)
 
@@ -164,30 +171,32 @@
         own = messages.KeeperSeen(
             self._name, self._address, storage.disk_id, storage.is_fresh, self._is_leaving
         )
-        return messages.KeeperAnnounce([own, *self._contacts.list_alive()])
+        return messages.KeeperAnnounce([own, *self._known_keepers.list_alive()])
 
     async def run(self) -> None:
         """Announce this keeper, until cancelled."""
         self._began_at = self._now()
         announced_at = 0.0
         while True:
-            self._forget_gone()
+            self._expire()
             self.dial_all()
-            is_due = self._is_due.is_set() or self._now() - announced_at >= ANNOUNCE_SECONDS
+            is_due = (
+                self._is_due.is_set() or self._now() - announced_at >= ANNOUNCE_INTERVAL_SECONDS
+            )
             self._is_due.clear()
             if is_due:
                 announced_at = self._now()
-                self._note_quorum()
+                self._update_quorum()
             self._announce(self.list_addresses() if is_due else self._list_unheard())
             try:
-                async with asyncio.timeout(GREET_SECONDS):
+                async with asyncio.timeout(FIRST_CONTACT_INTERVAL_SECONDS):
                     await self._is_due.wait()
             except TimeoutError:
                 continue
 
     def _list_unheard(self) -> set[str]:
         """Addresses of those who have not told of themselves lately."""
-        return self.list_addresses() - {seen.address for seen in self._contacts.list_alive()}
+        return self.list_addresses() - {seen.address for seen in self._known_keepers.list_alive()}
 
     def _announce(self, addresses: set[str]) -> None:
         """Tell of this keeper, and of those that it hears, wherever there is a link."""
@@ -201,7 +210,7 @@
 
     def _reads_as_leaving(self, name: str) -> bool:
         """Whether a voter says that it stops."""
-        return self._is_leaving if name == self._name else self._contacts.is_leaving(name)
+        return self._is_leaving if name == self._name else self._known_keepers.is_leaving(name)
 
     async def leave(self) -> None:
         """Have this keeper's vote turned over to one that stands by; without one, do nothing.
@@ -211,22 +220,24 @@
         """
         own = self._replica
         assert own is not None
-        others = {seen.name for seen in self._contacts.list_alive()}
+        others = {seen.name for seen in self._known_keepers.list_alive()}
         if not own.is_voter or others <= set(own.voters):
             return
         self._is_leaving = True
         self._is_due.set()
         began = self._now()
-        while own.is_voter and self._now() - began < LEAVE_SECONDS:
-            await asyncio.sleep(LEAVE_CHECK_SECONDS)
+        while own.is_voter and self._now() - began < LEAVE_TIMEOUT_SECONDS:
+            await asyncio.sleep(LEAVE_CHECK_INTERVAL_SECONDS)
         self._timeline.record(
             "keeper.left_vote", done=not own.is_voter, took_s=round(self._now() - began, 3)
         )
 
-    def _note_quorum(self) -> None:
+    def _update_quorum(self) -> None:
         """Say whom this keeper counts and hears, when that changes."""
         own = self._replica
         assert own is not None
-        heard = {seen.name: seen.disk_id for seen in self._contacts.list_alive()}
+        heard = {seen.name: seen.disk_id for seen in self._known_keepers.list_alive()}
         disk_id = own.storage.disk_id
-        self.quorum.note(quorum.build_view(self._name, disk_id, own.leader, own.voters, heard))
+        self.quorum_monitor.update(
+            quorum.build_view(self._name, disk_id, own.leader, own.voters, heard)
+        )
--- a/tillerlane/keeper/tests/test_exchange.py
+++ b/tillerlane/keeper/tests/test_replacement.py
@@ -42,26 +42,28 @@
     await stage.start_keeper(NEWCOMER)
 
 
-class ExchangeCase(gateway_scenes.GatewayCase):
+class ReplacementCase(gateway_scenes.GatewayCase):
     """Five keepers, of which two may be lost at once; base of the tests."""
 
     keepers = 5
-    wished_voters = 5
+    desired_voters = 5
 
     async def check_serves_after_two_losses(
         self, stage: gateway_lab.GatewayLab, wiped: list[str]
     ) -> None:
         """Acknowledge a change, lose two disks and all power, and read the change back."""
-        version = max(item.replica.machine.published.version for item in stage.keepers.values())
+        version = max(
+            item.replica.state_machine.published.version for item in stage.keepers.values()
+        )
         await stage.publish(stage.find_leader(), gateway_lab.build_document(version + 1))
         await stage.lose_power(wiped)
         await asyncio.sleep(RECOVERY_SECONDS)
         leader = stage.find_leader()
         self.assertNotEqual(leader, "", f"nobody leads without the disks of {wiped}")
-        self.assertEqual(stage.keepers[leader].replica.machine.published.version, version + 1)
+        self.assertEqual(stage.keepers[leader].replica.state_machine.published.version, version + 1)
 
 
-class HearsayTest(ExchangeCase):
+class HearsayTest(ReplacementCase):
     """The seeds don't name the leader."""
 
     async def exchange_seeds(self, stage: gateway_lab.GatewayLab) -> None:
@@ -101,7 +103,7 @@
         self.play(scene)
 
 
-class TimeTest(ExchangeCase):
+class TimeTest(ReplacementCase):
     """Whoever is lost, the vote is the newcomer's when it counts as whole."""
 
     def check(self, lost: str) -> None:
@@ -121,7 +123,7 @@
                 self.check(lost)
 
 
-class PlannedTest(ExchangeCase):
+class PlannedTest(ReplacementCase):
     """The newcomer comes first, and counts as whole; then its predecessor stops for good."""
 
     def check(self, leads: bool) -> None:
@@ -170,7 +172,7 @@
         self.play(scene)
 
 
-class InterruptedTest(ExchangeCase):
+class InterruptedTest(ReplacementCase):
     """The leader is lost in the middle of an exchange, and comes back."""
 
     async def wait_for_a_step(self, stage: gateway_lab.GatewayLab) -> str:
@@ -178,7 +180,7 @@
         while True:
             await asyncio.sleep(0.001)
             leader = stage.find_leader()
-            if leader and len(stage.keepers[leader].replica.voters) != self.wished_voters:
+            if leader and len(stage.keepers[leader].replica.voters) != self.desired_voters:
                 return leader
 
     def test_two_disks_may_be_lost_once_the_leader_counts_as_whole_again(self) -> None:
@@ -195,7 +197,7 @@
         self.play(scene)
 
 
-class SeedsWithoutVotesTest(ExchangeCase):
+class SeedsWithoutVotesTest(ReplacementCase):
     """Seeds are exchanged for keepers that have no vote, and an entry knows nobody else."""
 
     async def add_spares(self, stage: gateway_lab.GatewayLab, count: int) -> list[str]:
@@ -235,7 +237,7 @@
         self.play(scene)
 
 
-class LaterTermTest(ExchangeCase):
+class LaterTermTest(ReplacementCase):
     """A keeper that once asked for votes in vain knows a later term, and lacks what came since."""
 
     def test_three_disks_on_record_elect_a_leader_whatever_terms_they_know(self) -> None:
@@ -256,7 +258,7 @@
                 await stage.start_keeper(name)
             await asyncio.sleep(RECOVERY_SECONDS)
             self.assertNotEqual(stage.find_leader(), "")
-            self.assertEqual(stage.keepers[behind].replica.machine.published.version, 2)
+            self.assertEqual(stage.keepers[behind].replica.state_machine.published.version, 2)
 
         self.play(scene)
 
--- a/tillerlane/platform/settings.py
+++ b/tillerlane/platform/settings.py
@@ -12,7 +12,7 @@
 from tillerlane.keeper import formation
 from tillerlane.peers import node as nodes
 
-__all__ = ["Settings", "build_control", "build_entry", "read_settings"]
+__all__ = ["Settings", "build_control_settings", "build_entry_settings", "read_settings"]
 
 METRICS_PORT = 9464
 """Where figures are served; `deploy/system.toml` names it too."""
@@ -121,7 +121,7 @@
         ) from error
 
 
-def build_entry(own: Settings) -> entry.EntrySettings:
+def build_entry_settings(own: Settings) -> entry.EntrySettings:
     """Settings of an entry."""
     bounds = own.bounds
     return entry.EntrySettings(
@@ -143,7 +143,7 @@
     )
 
 
-def build_control(own: Settings) -> control.ControlSettings:
+def build_control_settings(own: Settings) -> control.ControlSettings:
     """Settings of a keeper.
 
     The lowest seed founds the log, on the first start of all only: every daemon is given the same
@@ -157,12 +157,12 @@
         peer_listen_address=own.listen.peer or own.peer_address,
         metrics_address=f"{own.ip}:{METRICS_PORT}",
         data_folder=own.data_dir,
-        plan=formation.Plan(
+        plan=formation.FormationSettings(
             seeds=own.seed_peers,
-            wished_voters=2 * losses + 1,
-            patience_seconds=own.bounds.catch_up_s * PATIENCE_SHARE,
-            may_found=own.bootstrap and is_first_seed,
+            desired_voters=2 * losses + 1,
+            voter_timeout_seconds=own.bounds.catch_up_s * PATIENCE_SHARE,
+            can_bootstrap=own.bootstrap and is_first_seed,
         ),
-        silent_seconds=own.heartbeat_ms / 1000 * SILENT_HEARTBEATS,
-        read_seconds=own.bounds.config_ms / 1000 * READ_SHARE,
+        heartbeat_timeout_seconds=own.heartbeat_ms / 1000 * SILENT_HEARTBEATS,
+        max_read_lag_seconds=own.bounds.config_ms / 1000 * READ_SHARE,
     )
--- a/tillerlane/platform/tests/test_imports.py
+++ b/tillerlane/platform/tests/test_imports.py
@@ -25,9 +25,9 @@
 print("done")
 """
 KEEPER_WORK = """
-from tillerlane.keeper import machine
-state = machine.Machine()
-state.store.listen(lambda configuration: None)
+from tillerlane.keeper import state_machine
+state = state_machine.StateMachine()
+state.store.add_listener(lambda configuration: None)
 state.load(state.dump())
 """
 
--- a/tillerlane/platform/tests/test_wire.py
+++ b/tillerlane/platform/tests/test_wire.py
@@ -64,7 +64,7 @@
     @profiles.choose(200)
     @given(strategies.binary(max_size=200))
     def test_any_bytes_give_a_table_or_a_listed_error(self, data: bytes) -> None:
-        for function in (wire.check_document, wire.read_heartbeat):
+        for function in (wire.check_document, wire.decode_heartbeat):
             try:
                 function(data)
             except faults.FaultError:
@@ -141,14 +141,14 @@
         self.assertEqual(http_head.get_header(head.headers, b"last-event-id"), b"7")
 
     def test_only_the_targets_own_word_says_not_run(self) -> None:
-        def decode_response(status: int, **headers: str) -> bool:
+        def decode_did_run(status: int, **headers: str) -> bool:
             found = build_head(**headers).headers
             return wire.decode_response(http_head.ResponseHead(status, found)).did_run
 
-        self.assertTrue(decode_response(503))
-        self.assertFalse(decode_response(503, Not_Run="1"))
-        self.assertFalse(decode_response(421))
-        self.assertTrue(decode_response(429))
+        self.assertTrue(decode_did_run(503))
+        self.assertFalse(decode_did_run(503, Not_Run="1"))
+        self.assertFalse(decode_did_run(421))
+        self.assertTrue(decode_did_run(429))
 
     def read_limit(self, *values: bytes) -> tuple[float | None, str | None]:
         """Limit, and what could not be read, of an answer that names these values."""
@@ -170,7 +170,7 @@
                 limit, invalid = self.read_limit(value)
                 self.assertIsNone(limit)
                 self.assertIsNotNone(invalid)
-                self.assertLessEqual(len(invalid or ""), wire.MAX_NAME_LETTERS)
+                self.assertLessEqual(len(invalid or ""), wire.MAX_NAME_CHARACTERS)
         self.assertEqual(self.read_limit(b"1.9", b"2.5"), (None, "1.9, 2.5"))
 
     def test_target_leaves_by_its_own_plain_word_only(self) -> None:
--- a/tillerlane/platform/wire.py
+++ b/tillerlane/platform/wire.py
@@ -18,11 +18,11 @@
     "build_refusal",
     "check_document",
     "check_target_name",
+    "decode_heartbeat",
+    "decode_leave",
     "decode_request",
     "decode_response",
     "parse_table",
-    "read_heartbeat",
-    "read_leave",
 ]
 
 REQUEST_ID = b"Request-Id"
@@ -38,11 +38,11 @@
 RATE_LIMIT = b"server-limit"
 RETRY_AFTER = b"retry-after"
 LEAVING = b"server-leaving"
-LONGEST_WAIT_MS = 24 * 3600 * 1000
+MAX_WAIT_MS = 24 * 3600 * 1000
 """Bound on a number that a caller sends."""
-MAX_NAME_LETTERS = 200
+MAX_NAME_CHARACTERS = 200
 """Bound on names and addresses that targets tell; the longest met has 24."""
-MAX_NUMBER_LETTERS = 20
+MAX_NUMBER_CHARACTERS = 20
 """Bound on a number that a target tells."""
 MAX_COLD_MS = 3600 * 1000
 """Bound on how long a target says that it works slowly; the longest met is some seconds."""
@@ -75,7 +75,7 @@
     """A number in a header; None if there is none that can be read."""
     if value is None or not value.strip().isdigit():
         return None
-    return min(int(value), LONGEST_WAIT_MS)
+    return min(int(value), MAX_WAIT_MS)
 
 
 def decode_request(head: http_head.RequestHead) -> dialect.RequestFacts:
@@ -103,7 +103,7 @@
 def build_forward(head: http_head.RequestHead, plan: dialect.ForwardPlan) -> http_head.RequestHead:
     """The head of a request for one target."""
     headers = http_head.list_end_to_end(head.headers, _OURS)
-    headers.append((TARGET_ID, incarnations.split_id(plan.target_id).name.encode()))
+    headers.append((TARGET_ID, incarnations.parse_id(plan.target_id).name.encode()))
     headers.append((DEADLINE, str(max(1, int(plan.wait_seconds * 1000))).encode()))
     if plan.workspace:
         headers.append((WORKSPACE, plan.workspace.encode()))
@@ -148,7 +148,7 @@
 def _read_decimal(headers: http_head.Headers, name: bytes) -> float | str | None:
     """A header that holds one plain decimal number; its text if it does not, None without one."""
     text = _join_values(headers, name)
-    if text is None or len(text) > MAX_NUMBER_LETTERS or not _DECIMAL.fullmatch(text):
+    if text is None or len(text) > MAX_NUMBER_CHARACTERS or not _DECIMAL.fullmatch(text):
         return text
     return float(text)
 
@@ -156,7 +156,7 @@
 def _join_values(headers: http_head.Headers, name: bytes) -> str | None:
     """All different values of a header, which may stand more than once; None without one."""
     values = [value.strip().decode("latin-1") for known, value in headers if known.lower() == name]
-    return ", ".join(dict.fromkeys(values))[:MAX_NAME_LETTERS] if values else None
+    return ", ".join(dict.fromkeys(values))[:MAX_NAME_CHARACTERS] if values else None
 
 
 def build_refusal(status: int, retry_after: float | None) -> http_head.ResponseHead:
@@ -335,7 +335,7 @@
 # Targets
 
 
-_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LETTERS)]
+_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 """What fits a column of the messages between our daemons."""
 
@@ -377,13 +377,13 @@
     faults.FaultError
         Of kind ``bad_request``.
     """
-    if 0 < len(name) <= MAX_NAME_LETTERS and name.isascii() and name.isprintable():
+    if 0 < len(name) <= MAX_NAME_CHARACTERS and name.isascii() and name.isprintable():
         return name
-    message = f"got target id {name[:MAX_NAME_LETTERS]!r}, expected printable ASCII"
+    message = f"got target id {name[:MAX_NAME_CHARACTERS]!r}, expected printable ASCII"
     raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
 
 
-def read_heartbeat(data: bytes) -> Heartbeat:
+def decode_heartbeat(data: bytes) -> Heartbeat:
     """A target's heartbeat.
 
     Raises
@@ -405,10 +405,10 @@
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 2**16):
-        raise ValueError(f"got address {address[:MAX_NAME_LETTERS]!r}, expected IP:port")
+        raise ValueError(f"got address {address[:MAX_NAME_CHARACTERS]!r}, expected IP:port")
 
 
-def read_leave(data: bytes) -> Leave:
+def decode_leave(data: bytes) -> Leave:
     """A target's word that it goes now.
 
     Raises
--- a/tillerlane/testing/engine_play.py
+++ b/tillerlane/testing/engine_play.py
@@ -36,7 +36,7 @@
 TOKENS_A_SECOND = 14_000
 """Prompt tokens that are read in a second of reading."""
 EVENT_TOKENS = 4
-WORD_SECONDS = 0.2
+REPORT_AGE_SECONDS = 0.2
 """Age of what the chooser sees, unless a play says otherwise."""
 TICK_SECONDS = 0.05
 """Pause between two looks at the runners; with fresher word, as long as that is old."""
@@ -188,7 +188,7 @@
 
 
 Pool = list[RunnerSpec]
-Choose = Callable[[placing.Work, list[placing.Standing], float], int | None]
+Choose = Callable[[placing.Work, list[placing.CandidateLoad], float], int | None]
 
 
 def play(
@@ -197,7 +197,7 @@
     choose: Choose,
     *,
     knows_pace: bool = True,
-    word_seconds: float = WORD_SECONDS,
+    word_seconds: float = REPORT_AGE_SECONDS,
 ) -> list[Outcome]:
     """Play a load to its end.
 
@@ -262,15 +262,15 @@
     knows_pace: bool,
 ) -> int | None:
     paces = [(events, event_ms) if knows_pace else (0, 0) for *_, events, event_ms in seen]
-    pool_pace = placing.read_pool_pace(paces)
+    pool_pace = placing.compute_pool_event_seconds(paces)
     standings = [
-        placing.Standing(
+        placing.CandidateLoad(
             requests,
             spec.slots,
             tokens,
             spec.memory_tokens,
             unread,
-            placing.read_event_seconds(*pace, pool_pace),
+            placing.estimate_event_seconds(*pace, pool_pace),
         )
         for spec, (requests, tokens, unread, *_), pace in zip(pool, seen, paces, strict=True)
     ]
