--- a/tillerlane/gateway/handovers.py
+++ b/tillerlane/gateway/handovers.py
@@ -62,7 +62,7 @@
         The run, on the runner that is to stop it.
     destination : str
         Address of the runner that the run's memory is copied to.
-    ends_at : float
+    deadline : float
         Time of the event loop at which the run's time limit, as sent to the runner, expires.
     evidence : handover.Evidence
         What is known so far; proof that the run is released is final.
@@ -85,11 +85,11 @@
     """
 
     def __init__(
-        self, run: runs.Run, destination: str, ends_at: float, *, is_stream_open: bool
+        self, run: runs.Run, destination: str, deadline: float, *, is_stream_open: bool
     ) -> None:
         self.run = run
         self.destination = destination
-        self.ends_at = ends_at
+        self.deadline = deadline
         self.evidence = handover.Evidence.NONE
         self.copy: dialects.MemoryCopy | None = None
         self.is_at_destination = False
@@ -177,10 +177,10 @@
         """Attempts to connect to a runner, by address; all orders to that runner share them."""
 
     def stop(
-        self, run: runs.Run, destination: str, ends_at: float, *, is_stream_open: bool
+        self, run: runs.Run, destination: str, deadline: float, *, is_stream_open: bool
     ) -> StopOrder:
         """Order a run's runner to stop it, and repeat the order until the run is released."""
-        stop_order = StopOrder(run, destination, ends_at, is_stream_open=is_stream_open)
+        stop_order = StopOrder(run, destination, deadline, is_stream_open=is_stream_open)
         self._start_task(self._repeat_order(stop_order))
         return stop_order
 
@@ -251,7 +251,7 @@
         while (
             not stop_order.is_released and stop_order.is_supported and not stop_order.is_cancelled
         ):
-            if self._loop.time() >= stop_order.ends_at:
+            if self._loop.time() >= stop_order.deadline:
                 stop_order.record_evidence(handover.Evidence.EXPIRED)
                 break
             await asyncio.wait(
@@ -283,13 +283,13 @@
         address = stop_order.run.target.address
         task = self._probes.get(address)
         if task is None:
-            task = self._start_task(self._probe_until_reachable(address, stop_order.ends_at))
+            task = self._start_task(self._probe_until_reachable(address, stop_order.deadline))
             self._probes[address] = task
             task.add_done_callback(lambda _: self._probes.pop(address))
         await asyncio.shield(task)
 
-    async def _probe_until_reachable(self, address: str, ends_at: float) -> None:
-        while self._loop.time() < ends_at:
+    async def _probe_until_reachable(self, address: str, deadline: float) -> None:
+        while self._loop.time() < deadline:
             if await http_client.probe(address) is not http_client.ProbeResult.UNREACHABLE:
                 return
             await asyncio.sleep(RETRY_DELAY_SECONDS)
--- a/tillerlane/gateway/sending.py
+++ b/tillerlane/gateway/sending.py
@@ -240,7 +240,7 @@
                 exchange.send(head, admission.request.body)
                 outcome = await self._read_response(admission, target, exchange)
             keep = isinstance(outcome, Stream)
-            self._update_caution(target, outcome, is_resumed=plan.copy is not None)
+            self._record_outcome(target, outcome, is_resumed=plan.copy is not None)
             return outcome
         except TimeoutError:
             sent = exchange is not None and exchange.sent
@@ -305,12 +305,13 @@
             return Unknown(f"status {head.status} without a guarantee that nothing ran")
         return Response(head, body)
 
-    def _update_caution(
+    def _record_outcome(
         self, target: directories.Target, outcome: Outcome, *, is_resumed: bool
     ) -> None:
-        """Update how cautiously a target is used.
+        """Record whether a target failed, rejected the request or succeeded.
 
-        A target without a copy of the run that is resumed may still have room for other requests.
+        Rejecting a run that is resumed does not count: a target without the run's copy may still
+        have room for other requests.
         """
         if not isinstance(outcome, refusals.NotRun):
             self._selector.failures.record_success(target.target_id)
--- a/tillerlane/gateway/streams.py
+++ b/tillerlane/gateway/streams.py
@@ -148,9 +148,9 @@
         if run.backup is not None:
             self._usage.add(run.backup.address, tokens=run.tokens)
 
-    def _record_events(self, run: runs.Run, events_now: int, seconds: float) -> None:
+    def _record_events(self, run: runs.Run, event_count: int, seconds: float) -> None:
         """Record the rate at which a runner's events arrive."""
-        self._usage.record_events(run.target.address, events_now, seconds, self._loop.time())
+        self._usage.record_events(run.target.address, event_count, seconds, self._loop.time())
 
     def _record_growth(self, run: runs.Run, tokens: int) -> None:
         """Update the memory that a run and its backup copy are counted with."""
