--- a/tillerlane/gateway/http_server.py
+++ b/tillerlane/gateway/http_server.py
@@ -95,7 +95,7 @@
         self._writable.set()
         self._is_lost = False
         self.closing = False
-        self._has_begun = False
+        self._has_received_data = False
         """Whether any byte was received."""
 
     # Lifetime
@@ -157,7 +157,7 @@
         self.closing = True
         if not self.is_idle or self.transport is None:
             return
-        if self._has_begun:
+        if self._has_received_data:
             self.transport.close()
         else:
             self._set_timer(FIRST_REQUEST_TIMEOUT_SECONDS)
@@ -165,7 +165,7 @@
     @property
     def is_first_request_pending(self) -> bool:
         """Whether a connection that is being closed may still receive its first request."""
-        return self.closing and not self._has_begun
+        return self.closing and not self._has_received_data
 
     # Receiving
 
@@ -173,7 +173,7 @@
         """Parse received bytes."""
         if self._is_lost or (self.closing and self._task is not None):
             return
-        self._has_begun = True
+        self._has_received_data = True
         if self._incoming is not None and not self._incoming.arrived:
             self._incoming.head_bytes += len(data)
         try:
--- a/tillerlane/gateway/tests/test_relay.py
+++ b/tillerlane/gateway/tests/test_relay.py
@@ -165,7 +165,7 @@
         self.play(scene)
 
     def test_prompt_waits_in_the_entry_until_a_runner_has_finished_prefill(self) -> None:
-        """Guards against sending it at once to the least loaded runner, behind its prompt."""
+        """Guards against sending it at once to the least loaded runner, behind another prompt."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             fast = await stage.add_runner("t1", "llm", length=5, reading_seconds=0.15)
