--- a/tillerlane/gateway/batching.py
+++ b/tillerlane/gateway/batching.py
@@ -1,4 +1,4 @@
-"""Word of targets gathered into few messages, the first of them sent at once."""
+"""Updates about targets batched into few messages, of which the first is sent at once."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class _TargetUpdate(Protocol):
-    """What is told of one target."""
+    """An update about one target."""
 
     @property
     def target_id(self) -> str: ...
@@ -18,18 +18,18 @@
 
 
 class UpdateBatcher(Generic[Item]):
-    """What there is to tell of targets, the latest of each.
+    """Batches updates about targets, and keeps the latest one of each.
 
-    Guards against a fleet's common start: with 3,001 targets heard of within a second and 118
+    Guards against a common start of the fleet: with 3,001 targets reporting within a second and 118
     subscribers a keeper, a message for each target and subscriber took a keeper 5 s of a core, and
-    1.2 MB, 1.9 s of an entry's link.  Gathered, it is 20 messages a second at most.
+    1.2 MB, 1.9 s of an entry's link.  Batched, these are 20 messages a second at most.
 
     Parameters
     ----------
     interval : float
-        Least seconds between two messages, and longest that something waits.
+        Least seconds between two messages, and the longest time for which an update waits.
     send : callable
-        Tells of some items.
+        Sends a batch of updates.
     """
 
     def __init__(self, interval: float, send: Callable[[list[Item]], None]) -> None:
@@ -40,7 +40,7 @@
         self._sent_at = -interval
 
     def add(self, item: Item, *, is_urgent: bool = True) -> None:
-        """Tell of a target: if it is urgent as soon as the last message is a pause old."""
+        """Queue an update; an urgent one goes out as soon as the last message is `interval` old."""
         self._items[item.target_id] = item
         now = asyncio.get_running_loop().time()
         due = max(now, self._sent_at + self._interval) if is_urgent else now + self._interval
--- a/tillerlane/gateway/directory.py
+++ b/tillerlane/gateway/directory.py
@@ -1,8 +1,8 @@
-"""Targets as their own heartbeats tell of them: soft state, merged from many tellers.
+"""Targets as reported by their heartbeats: soft state, merged from many sources.
 
-Each start of a target is a new incarnation with an id of its own (`gateway.incarnations`), so a
-state that says ``gone`` is final for that id, and a later sequence number always wins, whoever
-tells it.  A later incarnation ends a former one of the same target, whose words are then too late.
+Each start of a target is a new incarnation with an id of its own (`gateway.incarnations`), so the
+phase ``gone`` is final for that id, and a higher sequence number always wins, whatever its source.
+A later incarnation ends an earlier one of the same target, whose reports are ignored from then on.
 """
 
 import asyncio
@@ -19,26 +19,27 @@
 __all__ = ["Directory", "Phase", "Target", "decode_states", "encode_states"]
 
 RETENTION_SECONDS = 60.0
-"""How long a target that is gone is remembered, so that late word does not bring it back."""
+"""How long a target that is gone is kept, so that a late report does not bring it back."""
 REOPENED_COLD_SECONDS = 3.0
-"""How long a target of a data hall that was taken back counts as cold at an entry, which is told
-that one turns cold and not that one is warm: heartbeats come each 1.2 s, at times seconds late."""
+"""How long targets count as cold at an entry after the evacuation of their data hall has ended.
+An entry is notified when a target turns cold but not when it is warm, and heartbeats come every
+1.2 s, at times seconds late."""
 MAX_AGE_MS = 2**31
 FULL_STATE_COMPRESSION_LEVEL = 1
-"""Compression of all targets at once: 3,001 of them take 512 kB as structs and 56 kB so, which an
-entry's link of 5 Mbit/s carries in 0.8 and 0.1 s."""
+"""Compression level of a full state: 3,001 targets take 512 kB as structs and 56 kB compressed,
+which an entry's link of 5 Mbit/s carries in 0.8 and 0.1 s."""
 MAX_TABLE_BYTES = 8 * 1024 * 1024
-"""Bound on all targets at once when they are unpacked."""
+"""Bound on the decompressed size of a full state."""
 MAX_TARGETS = 20_000
-"""Bound on memory; twenty times the users' target size."""
+"""Bound on memory; twenty times the size of fleet that is to be supported."""
 
 
 class Phase(enum.StrEnum):
-    """What a target may be given."""
+    """Which work a target may get."""
 
     READY = "ready"
     SILENT = "silent"
-    """Its heartbeats have stopped; used only where nothing else is left."""
+    """Its heartbeats have stopped; used only if no other target is left."""
     DRAINING = "draining"
     GONE = "gone"
 
@@ -50,19 +51,20 @@
     Attributes
     ----------
     target_id : str
-        Names this incarnation.
+        Id of this incarnation.
     pool : str
         Name of its pool.
     address : str
-        ``IP:port``; another target's later.
+        ``IP:port``; may belong to another target later.
     sequence : int
-        Rises with each of its own words.
+        Increases with each of its own reports.
     heard_at : float
-        Time of the event loop of its last own word, as far as is known here.
+        Event-loop time of its last own report, as far as known here.
     warm_at : float
-        Until then it works slowly after its start.
+        Event-loop time until which it works slowly after its start.
     is_superseded : bool
-        Whether it has started again, so that what ran there is lost; it is gone then.
+        Whether a later incarnation has replaced it, so that its runs are lost; its phase is
+        ``gone`` then.
     """
 
     target_id: str
@@ -76,16 +78,16 @@
     warm_at: float = 0.0
     is_superseded: bool = False
     leaving_at: float = 0.0
-    """Time of the event loop of its word that it leaves, as far as is known here; 0 before."""
+    """Event-loop time of its report that it leaves, as far as known here; 0 before."""
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it drains or is gone, so that what runs there has to go elsewhere."""
+        """Whether it drains or is gone, so that its runs have to move elsewhere."""
         return self.phase in (Phase.DRAINING, Phase.GONE)
 
     @property
     def is_winding_down(self) -> bool:
-        """Whether it leaves and what runs there still goes on: it has not started again."""
+        """Whether it leaves and its runs still continue: it has not been restarted."""
         return self.is_leaving and not self.is_superseded
 
 
@@ -102,27 +104,30 @@
     targets : dict
         Target id to `Target`.
     evacuated : frozenset of str
-        Data halls whose targets get nothing new; what runs there ends in peace.
+        Data halls whose targets get no new work; runs under way there finish.
     """
 
     def __init__(self) -> None:
         self.targets: dict[str, Target] = {}
         self.evacuated: frozenset[str] = frozenset()
         self._pools: dict[str, list[Target]] = {}
-        """Targets of each pool that take work, until one of them changes."""
+        """Cached targets of each pool that accept requests; cleared when a target changes."""
         self._latest: dict[str, str] = {}
-        """A target's own id to the id of its latest incarnation."""
+        """Target name to the id of its latest incarnation."""
         self._listeners: list[Listener] = []
 
     def add_listener(self, listener: Listener) -> None:
-        """Call `listener` with (target, former phase) when one is new, leaves, or turns cold."""
+        """Call `listener` with (target, former phase) for a new target and for changes.
+
+        Changes are another phase, and a target that turns cold.
+        """
         self._listeners.append(listener)
 
     def set_evacuated(self, halls: frozenset[str], now: float) -> None:
-        """Have targets of these data halls, and of no others, get nothing new.
+        """Give no new work to targets of these data halls, and allow it for all others.
 
-        Those of a hall that is taken back may have turned cold meanwhile, so they count as cold
-        for a while.
+        Targets of a hall whose evacuation ends may have turned cold meanwhile, so they count as
+        cold for a while.
         """
         for target in self.targets.values():
             if target.data_hall in self.evacuated - halls:
@@ -131,13 +136,13 @@
         self._pools.clear()
 
     def accepts_requests(self, target: Target) -> bool:
-        """Whether new requests may go to a target; every way to one asks this."""
+        """Whether new requests may go to a target; everything that picks a target checks this."""
         return not target.is_leaving and target.data_hall not in self.evacuated
 
     def list_pool(self, pool: str) -> list[Target]:
-        """Targets of a pool that may get work.
+        """Targets of a pool that accept requests.
 
-        Looking through 3,001 targets takes 1.4 ms, and each request asks: what is found is kept.
+        The list is cached: scanning 3,001 targets takes 1.4 ms, and each request needs it.
         """
         listed = self._pools.get(pool)
         if listed is None:
@@ -150,7 +155,7 @@
         return list(listed)
 
     def merge(self, report: Target) -> bool:
-        """Merge one word about a target; whether anything but its time changed."""
+        """Merge a report about a target; returns whether anything but its time changed."""
         known = self.targets.get(report.target_id)
         if known is None:
             if not self._add(report):
@@ -182,13 +187,13 @@
         return True
 
     def _add(self, report: Target) -> bool:
-        """Take an incarnation that was not known; False for one that is over already."""
+        """Add an unknown incarnation; False if a later one is known or the directory is full."""
         incarnation = incarnations.parse_id(report.target_id)
-        present = self._latest.get(incarnation.name)
-        if present is not None:
-            if incarnation.started_ms < incarnations.parse_id(present).started_ms:
+        latest = self._latest.get(incarnation.name)
+        if latest is not None:
+            if incarnation.started_ms < incarnations.parse_id(latest).started_ms:
                 return False
-            self._end_incarnation(present)
+            self._end_incarnation(latest)
         if len(self.targets) >= MAX_TARGETS:
             return False
         self._latest[incarnation.name] = report.target_id
@@ -197,7 +202,7 @@
         return True
 
     def _end_incarnation(self, target_id: str) -> None:
-        """End an incarnation whose target has started again."""
+        """Remove an incarnation whose target has restarted, and notify the listeners."""
         former = self.targets.pop(target_id, None)
         if former is None:
             return
@@ -205,19 +210,19 @@
         self._notify(former, phase)
 
     def find(self, name: str) -> Target | None:
-        """The latest incarnation of a target, by the target's own id."""
+        """The latest incarnation of a target, by the target's name."""
         target_id = self._latest.get(name)
         return self.targets.get(target_id) if target_id is not None else None
 
     def mark_gone(self, target_id: str) -> bool:
-        """Take note that a target has said that it leaves now; whether that is new."""
+        """Record that a target leaves now; returns whether that is new."""
         known = self.targets.get(target_id)
         if known is None or known.phase is Phase.GONE:
             return False
         return self.merge(dataclasses.replace(known, phase=Phase.GONE))
 
     def mark_leaving(self, target_id: str, now: float) -> Target | None:
-        """Take note that a target has said in an answer that it leaves; gives it if that is new."""
+        """Record a leaving that a target has reported in a response; returns it if that is new."""
         known = self.targets.get(target_id)
         if known is None or known.is_leaving:
             return None
@@ -225,23 +230,23 @@
         return known
 
     def list_leaving(self) -> list[Target]:
-        """Targets that leave and are not gone."""
+        """Targets that leave and are not gone yet."""
         return [item for item in self.targets.values() if item.phase is Phase.DRAINING]
 
     def mark_silent(self, older_than: float) -> list[Target]:
-        """Mark ready targets whose last word is older than a time of the loop; gives them."""
-        found = [
+        """Mark ready targets silent if their last report is older than a time; returns them."""
+        silent = [
             item
             for item in self.targets.values()
             if item.phase is Phase.READY and item.heard_at < older_than
         ]
-        for item in found:
+        for item in silent:
             item.phase = Phase.SILENT
             self._notify(item, Phase.READY)
-        return found
+        return silent
 
     def expire_old(self, now: float) -> None:
-        """Drop targets that have been gone or silent for long."""
+        """Drop targets that have been draining, gone or silent for long."""
         for target_id, item in list(self.targets.items()):
             if item.phase is not Phase.READY and now - item.heard_at > RETENTION_SECONDS:
                 del self.targets[target_id]
@@ -260,7 +265,7 @@
 
 
 def encode_states(targets: Iterable[Target], *, full: bool = False) -> messages.TargetStates:
-    """Targets as a message; ages are those of the moment of writing."""
+    """Targets as a message; ages are those at the time of encoding."""
     now = asyncio.get_running_loop().time()
     rows = list(targets)
     table = messages.StateTable(
@@ -286,7 +291,7 @@
     Raises
     ------
     faults.FaultError
-        Of kind ``bad_request`` if it can't be read.
+        Of kind ``bad_request`` if it cannot be decoded.
     """
     now = asyncio.get_running_loop().time()
     table = codec.read_table(_decompress(message), messages.StateTable)
@@ -302,7 +307,7 @@
         (now + cold / 1000 if cold else 0.0 for cold in table.cold_ms),
         strict=True,
     )
-    # A phase that a later version may tell names no target to use; the other rows hold.
+    # A row with a phase of a later version is skipped; the other rows count.
     return [Target(*row) for row in rows if row[5] is not None]
 
 
@@ -313,5 +318,5 @@
     try:
         return decompressor.decompress(message.table, MAX_TABLE_BYTES)
     except zlib.error as error:
-        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"no table of targets: {error}")
+        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"invalid target table: {error}")
         raise faults.FaultError(fault) from error
--- a/tillerlane/gateway/feedback.py
+++ b/tillerlane/gateway/feedback.py
@@ -1,4 +1,4 @@
-"""What a target's answer says of the target itself: taken here, and told to the keepers."""
+"""What a target's response reports about the target itself: recorded here, and sent to keepers."""
 
 from collections.abc import Callable
 
@@ -14,33 +14,33 @@
 
 
 class TargetFeedback:
-    """Takes what answers say of their targets, at one entry.
+    """Handles what responses report about their targets, at one entry.
 
     Parameters
     ----------
     directory : directories.Directory
-        Takes targets that leave.
+        Records targets that leave.
     named_limits : limits.Limits
-        Takes the limits that they name.
+        Records the limits that they name.
     in_backoff : backoffs.Backoffs
-        Takes the back-off that they ask for.
+        Records the back-off that they request.
     usage : usages.Usage
-        Counts what this entry has under way at each.
+        Counts this entry's requests under way at each.
     timeline : timelines.Timeline
-        Takes each word.
+        Logs each report.
     metrics : entry_metrics.EntryMetrics
-        Counts them.
+        Counts the reports.
     now : callable
-        Time of the event loop.
+        Gives the event-loop time.
 
     Attributes
     ----------
     notify_limit : callable
-        Tells the keepers of a limit that is news.
+        Sends a new or changed limit to the keepers.
     notify_leaving : callable
-        Tells them of a target that leaves, if that is news.
+        Reports to them that a target leaves, if that is new.
     notify_backoff : callable
-        Tells one of a target's back-off.
+        Reports a target's back-off to one of them.
     """
 
     def __init__(
@@ -60,9 +60,9 @@
         self._timeline = timeline
         self._metrics = metrics
         self._now = now
-        self.notify_limit: Callable[[limits.Word], None] = lambda word: None
+        self.notify_limit: Callable[[limits.Word], None] = lambda record: None
         self.notify_leaving: Callable[[directories.Target], None] = lambda target: None
-        self.notify_backoff: Callable[[backoffs.Word], None] = lambda word: None
+        self.notify_backoff: Callable[[backoffs.Word], None] = lambda record: None
 
     def handle_response(
         self,
@@ -71,9 +71,9 @@
         facts: dialects.AnswerFacts,
         sent_at: float,
     ) -> None:
-        """Take the answer to a request that went out `sent_at` (time of the event loop).
+        """Handle the response to a request that was sent at `sent_at` (event-loop time).
 
-        What can't be read changes nothing.
+        Headers that cannot be parsed change nothing.
         """
         for unread in facts.unread:
             self._metrics.target_reports.labels(unread.word, "unread").inc()
@@ -96,28 +96,30 @@
     def _handle_limit(
         self, request_id: str, target: directories.Target, limit: float | None
     ) -> None:
-        word = self._limits.note_answer(target.target_id, limit, self._now())
-        if word is None:
+        record = self._limits.note_answer(target.target_id, limit, self._now())
+        if record is None:
             return
-        is_named = word.unnamed_since is None
-        self.notify_limit(word)
+        is_named = record.unnamed_since is None
+        self.notify_limit(record)
         self._metrics.target_reports.labels("limit", "taken" if is_named else "ended").inc()
         self._timeline.record(
             "target.limit",
             request_id=request_id,
             target=target.target_id,
             address=target.address,
-            limit=word.limit,
-            version=word.version,
+            limit=record.limit,
+            version=record.version,
             is_named=is_named,
         )
 
     def _handle_leaving(self, request_id: str, target: directories.Target) -> None:
-        news = self._directory.mark_leaving(target.target_id, self._now())
-        self._metrics.target_reports.labels("leaving", "ignored" if news is None else "taken").inc()
-        if news is None:
+        leaving = self._directory.mark_leaving(target.target_id, self._now())
+        self._metrics.target_reports.labels(
+            "leaving", "ignored" if leaving is None else "taken"
+        ).inc()
+        if leaving is None:
             return
-        self.notify_leaving(news)
+        self.notify_leaving(leaving)
         self._timeline.record(
             "target.leaving",
             request_id=request_id,
@@ -126,33 +128,35 @@
         )
 
     def _handle_backoff(self, request_id: str, target: directories.Target, seconds: float) -> None:
-        # The request that was turned away is still counted.
+        # The rejected request is still counted.
         under_way = self._usage.count_own_at(target.address) - 1
         even_share = target.slots / max(1, self._usage.entries)
-        borne = max(under_way, even_share)
-        word = self._backoffs.note(target.target_id, seconds, request_id, borne)
-        self._metrics.target_reports.labels("backoff", "ignored" if word is None else "taken").inc()
-        if word is not None:
-            self.notify_backoff(word)
+        sustained = max(under_way, even_share)
+        record = self._backoffs.note(target.target_id, seconds, request_id, sustained)
+        self._metrics.target_reports.labels(
+            "backoff", "ignored" if record is None else "taken"
+        ).inc()
+        if record is not None:
+            self.notify_backoff(record)
         self._timeline.record(
             "target.backoff",
             request_id=request_id,
             target=target.target_id,
             address=target.address,
             seconds=seconds,
-            is_news=word is not None,
+            is_news=record is not None,
         )
 
     def _end_backoff(self, request_id: str, target: directories.Target, sent_at: float) -> None:
-        """End a target's back-off if it took a request that was sent after that."""
-        word = self._backoffs.note_taken(target.target_id, sent_at)
-        if word is None:
+        """End a target's back-off if it accepted a request that was sent after its start."""
+        record = self._backoffs.note_taken(target.target_id, sent_at)
+        if record is None:
             return
         self._metrics.target_reports.labels("backoff", "ended").inc()
         self._timeline.record(
             "target.backoff_over",
             request_id=request_id,
             target=target.target_id,
-            asked_by=word.request_id,
-            after_ms=int((self._now() - word.told_at) * 1000),
+            asked_by=record.request_id,
+            after_ms=int((self._now() - record.told_at) * 1000),
         )
--- a/tillerlane/gateway/homes.py
+++ b/tillerlane/gateway/homes.py
@@ -1,4 +1,4 @@
-"""An entry's links to keepers: a few at a time, replaced when they fall silent or know nothing."""
+"""An entry's links to keepers: a few at a time, replaced when unreachable or out of date."""
 
 import asyncio
 import dataclasses
@@ -14,29 +14,29 @@
 __all__ = ["DIALING", "Homes"]
 
 DIALING = nodes.Dialing(first_retry_seconds=0.05, last_retry_seconds=0.1, connect_seconds=0.25)
-"""Keepers are few and near (some ms), and without one an entry serves nothing: a keeper that is
-back is found within 0.35 s, also where the host was dark and answered no opening packet.  A keeper
-that is down gets three to ten opening packets a second from each entry that is subscribed to it."""
+"""Keepers are few and a few ms away, and without one an entry serves nothing: a keeper that is
+back is found within 0.35 s, even if its host was down and answered no SYN packet.  A keeper that
+is down gets three to ten SYN packets a second from each entry that is subscribed to it."""
 
 HOME_COUNT = 2
-"""Keepers that one entry of many is subscribed to: one may fail unnoticed for a second or two, and
-the other one still tells of a leaving target within the bound (2 s)."""
+"""Home keepers of an entry in a large fleet: one may fail unnoticed for a second or two, and the
+other one still reports a leaving target within the bound (2 s)."""
 SMALL_FLEET_HOME_COUNT = 5
 SMALL_FLEET_ENTRIES = 64
-"""Up to so many entries, each is subscribed to more keepers, and so hears what a keeper that is
-cut off from the others was told.  A subscriber costs a keeper 0.019% of a core (CAPACITY.md): 64
-cost it 1.2% of the 3.6% that it has."""
+"""In a fleet of up to this many entries, each subscribes to more keepers, and so also gets updates
+from a keeper that is cut off from the others.  A subscriber costs a keeper 0.019% of a core
+(CAPACITY.md): 64 cost it 1.2% of the 3.6% that it has."""
 CHECK_INTERVAL_SECONDS = 0.1
 QUERY_INTERVAL_SECONDS = 0.4
 HOME_TIMEOUT_SECONDS = 1.2
-"""How long a keeper may be without a link or a useful answer before another one is tried: an
-election takes about as long, and during one no keeper knows better."""
+"""How long a keeper may be without a link or an up-to-date reply before another one is tried: an
+election takes about as long, and during one no keeper is more up to date."""
 LINK_HEARTBEAT_SECONDS = 0.4
-"""Longest silence on these links; a cut is found after some 0.85 s."""
+"""Heartbeat interval of these links; a cut is detected after some 0.85 s."""
 
 
 NEVER = -1e9
-"""A time of the event loop before everything."""
+"""An event-loop time before all others."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -44,32 +44,32 @@
     address: str
     peer: nodes.Peer
     up_to_date_at: float
-    """When the keeper last gave a useful answer, or was chosen."""
+    """When the keeper last gave an up-to-date reply, or was chosen."""
     link: links.Link | None = None
     has_loads: bool | None = None
-    """What was last asked of it; None before it was asked."""
+    """Whether the last subscription included loads; None before the first one."""
     queried_at: float = NEVER
 
 
 class Homes:
-    """The keepers that an entry listens to.
+    """The keepers that an entry subscribes to, its home keepers.
 
     Parameters
     ----------
     entry : str
-        This entry's id; it decides which keepers come first, so that entries spread.
+        This entry's id; it determines the order in which keepers are tried, so that entries spread.
     seeds : iterable of str
-        Peer addresses to begin with.
+        Peer addresses of the first keepers.
     node : nodes.Node
         Dials them.
     clock : freshness.FreshnessClock
-        Takes their answers.
+        Receives their replies.
     get_version : callable
-        Version of the publication held, -1 without one.
+        Gives the version of the publication held, -1 without one.
     get_orders_version : callable
-        Version of the operators' orders held.
+        Gives the version of the operators' orders held.
     timeline : timelines.Timeline
-        Takes regained and lost keepers.
+        Logs home keepers that are connected, given up and left.
     """
 
     def __init__(
@@ -91,54 +91,54 @@
         self._known = set(seeds)
         self._homes: list[_Home] = []
         self._given_up_at: dict[str, float] = {}
-        """When each keeper was last given up."""
+        """Time at which each keeper was last given up."""
         self._queries: set[asyncio.Task[None]] = set()
         self._entry_count = 0
-        """Entries of the fleet; 0 until a keeper has told."""
+        """Number of entries in the fleet; 0 until a keeper has reported it."""
         self._primary = ""
-        """Address of the keeper that is told this entry's load and tells the sums of all."""
+        """Address of the keeper that gets this entry's load reports and sends the sums of all."""
         self.on_entry_count: Callable[[int], None] = lambda number: None
         self.on_fresh: Callable[[], None] = lambda: None
         self._wake = asyncio.Event()
 
     def get_primary(self) -> links.Link | None:
-        """Link that loads go over, both ways."""
+        """Link to the primary keeper, which carries loads both ways."""
         for home in self._homes:
             if home.address == self._primary:
                 return home.link
         return None
 
     def request_full_loads(self) -> None:
-        """Ask the primary keeper for all loads, since something it told is missing here."""
+        """Request all loads from the primary keeper, since one of its digests is missing here."""
         for home in self._homes:
             if home.address == self._primary:
                 home.has_loads = None
         self.check_soon()
 
     def list_links(self) -> list[links.Link]:
-        """Links to all keepers listened to that are up."""
+        """Links to all home keepers that are up."""
         return [home.link for home in self._homes if home.link is not None]
 
     def list_addresses(self) -> list[str]:
-        """Addresses of the keepers listened to at present."""
+        """Addresses of the present home keepers."""
         return [home.address for home in self._homes]
 
     def add_addresses(self, addresses: Iterable[str]) -> None:
-        """Take further keepers."""
+        """Add the addresses of further keepers."""
         self._known.update(addresses)
 
     def check_soon(self) -> None:
-        """Have new links and answers followed now rather than with the next look."""
+        """Check links and replies now rather than after the interval."""
         self._wake.set()
 
     def query_soon(self) -> None:
-        """Ask all keepers now, since a newer publication is held than when they answered."""
+        """Query all home keepers now, since their last reply was about an older publication."""
         for home in self._homes:
             home.queried_at = NEVER
         self.check_soon()
 
     async def run(self) -> None:
-        """Keep the homes, until cancelled."""
+        """Maintain the home keepers, until cancelled."""
         while True:
             self._wake.clear()
             now = asyncio.get_running_loop().time()
@@ -158,10 +158,10 @@
         return self._given_up_at.get(address, 0.0), digest
 
     def _choose_homes(self, now: float) -> None:
-        """Have as many homes as the fleet's size allows.
+        """Have as many home keepers as the fleet's size allows.
 
-        An entry that starts dials as many as one of few would, but subscribes to two until it knows
-        the fleet's size (`_can_subscribe`), and then leaves those beyond them.
+        An entry that starts dials as many keepers as in a small fleet, but subscribes to two until
+        it knows the fleet's size (`_can_subscribe`), and then drops the surplus ones.
         """
         desired = SMALL_FLEET_HOME_COUNT if self._entry_count <= SMALL_FLEET_ENTRIES else HOME_COUNT
         surplus = [home for home in self._homes if home.address != self._primary][::-1]
@@ -176,13 +176,13 @@
             self._homes.append(_Home(address, peer, now))
 
     def _choose_primary(self, now: float) -> None:
-        """Keep the primary keeper while it is useful, else take the one with the freshest word."""
-        linked = [home for home in self._homes if home.link is not None]
-        if not linked:
+        """Keep the primary keeper while it is up to date, else choose the most up-to-date one."""
+        connected = [home for home in self._homes if home.link is not None]
+        if not connected:
             return
-        best = max(linked, key=lambda home: home.up_to_date_at)
-        present = next((home for home in linked if home.address == self._primary), None)
-        if present is None or best.up_to_date_at - present.up_to_date_at > HOME_TIMEOUT_SECONDS:
+        best = max(connected, key=lambda home: home.up_to_date_at)
+        primary = next((home for home in connected if home.address == self._primary), None)
+        if primary is None or best.up_to_date_at - primary.up_to_date_at > HOME_TIMEOUT_SECONDS:
             self._primary = best.address
 
     def _drop_outdated(self, now: float) -> None:
@@ -201,12 +201,12 @@
             home.has_loads = None
             if link is not None:
                 self._timeline.record("keeper.home", keeper=home.address)
-        has_loads = home.address == self._primary
+        is_primary = home.address == self._primary
         can_subscribe = home.has_loads is not None or self._can_subscribe()
-        if link is not None and can_subscribe and home.has_loads is not has_loads:
-            home.has_loads = has_loads
+        if link is not None and can_subscribe and home.has_loads is not is_primary:
+            home.has_loads = is_primary
             have = max(0, self._get_version())
-            links.try_send(link, messages.Subscribe(have, self._entry, has_loads))
+            links.try_send(link, messages.Subscribe(have, self._entry, is_primary))
         if link is not None and now - home.queried_at >= QUERY_INTERVAL_SECONDS:
             home.queried_at = now
             task = asyncio.get_running_loop().create_task(self._query(home, link, now))
@@ -214,9 +214,9 @@
             task.add_done_callback(self._queries.discard)
 
     def _can_subscribe(self) -> bool:
-        """Whether one more keeper may be subscribed to, which tells all targets at once.
+        """Whether one more keeper may be subscribed to, which sends all targets at once.
 
-        Where 300 entries start together and each subscribed to five keepers, an entry was told
+        When 300 entries started together and each subscribed to five keepers, an entry received
         3,001 targets five times, 2.5 MB, which its link of 5 Mbit/s carries in 4 s.
         """
         subscribed = sum(home.has_loads is not None for home in self._homes)
@@ -234,7 +234,7 @@
             self.on_entry_count(reply.entries)
         if not reply.known:
             return
-        # A keeper that is cut off from the log answers too; only fresh word makes it useful.
+        # A keeper that is cut off from the log replies too; only a fresh reply counts.
         home.up_to_date_at = max(home.up_to_date_at, queried_at - reply.age_ms / 1000)
         held, held_orders = self._get_version(), self._get_orders_version()
         if not self._clock.observe(queried_at, reply, held, held_orders):
--- a/tillerlane/gateway/incarnations.py
+++ b/tillerlane/gateway/incarnations.py
@@ -1,12 +1,13 @@
-"""Ids of incarnations: a target's own id, and when it started.
-
-A target may start again under its id.  It then holds and knows nothing of before, and counts its
-words anew.  So each start is a target of its own here, under an id that says both; whatever is kept
-by a target's id is kept of one incarnation, and nothing of a former one can be taken for the
-present one's.  Weighed: a pair of start and count as the version of each word (a reset at each of
-the nine places that keep something by a target's id), and one ordered number of both (the same, and
-counts that overflow).  It costs 11 bytes a target in a message (of 3,001 targets 437 in place of
-403 kB, compressed 84 in place of 68 kB), and taking them all 5.1 in place of 4.0 ms (mean of 10).
+"""Ids of incarnations: a target's name, and when it started.
+
+A target may restart under its name.  It then has lost all state, and its sequence numbers start
+again.  So each start is a target of its own here, under an id that holds both; state that is kept
+by target id belongs to one incarnation, and that of an earlier one is never mistaken for the latest
+one's.  Alternatives were a pair of start and sequence number as the version of each report (with a
+reset at each of the nine places that keep state by target id), and one ordered number of both (the
+same, and numbers that overflow).  The ids cost 11 bytes a target in a message (437 in place of
+403 kB for 3,001 targets, compressed 84 in place of 68 kB), and merging all of these takes 5.1 in
+place of 4.0 ms (mean of 10).
 """
 
 import dataclasses
@@ -23,9 +24,9 @@
     Attributes
     ----------
     name : str
-        The target's own id, which its later starts may have too.
+        The target's own id, which its later starts may use as well.
     started_ms : int
-        Unix milliseconds of its start; 0 where it does not tell.
+        Unix milliseconds of its start; 0 if it does not report one.
     """
 
     name: str
@@ -33,12 +34,12 @@
 
 
 def build_id(name: str, started_ms: int) -> str:
-    """The id of an incarnation; the target's own one where it tells no start."""
+    """The id of an incarnation; the target's name if it reports no start."""
     return f"{name}{_MARK}{started_ms}" if started_ms or _MARK in name else name
 
 
 def parse_id(target_id: str) -> Incarnation:
-    """The incarnation that an id names."""
+    """The incarnation that an id stands for."""
     name, mark, started_ms = target_id.rpartition(_MARK)
     if not mark or not (started_ms.isascii() and started_ms.isdigit()):
         return Incarnation(target_id, 0)
--- a/tillerlane/gateway/metrics.py
+++ b/tillerlane/gateway/metrics.py
@@ -1,6 +1,6 @@
 """Counters and latency histograms of the gateway's daemons, served as text on request.
 
-Label values come from closed lists or from the configuration, so that their number is bounded.
+Label values come from closed lists or from the configuration, which bounds their number.
 """
 
 import dataclasses
@@ -12,18 +12,18 @@
 __all__ = ["ControlMetrics", "EntryMetrics", "build_server"]
 
 SECONDS_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 40.0)
-"""From the service time of a plain call to the longest deadline met (39 s)."""
+"""From the service time of a plain call to the longest deadline in use (39 s)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntryMetrics:
-    """What an entry counts."""
+    """Metrics of an entry."""
 
     registry: prometheus_client.CollectorRegistry
     requests: prometheus_client.Counter
     """Requests by route and outcome; a refusal's outcome is its status."""
     seconds: prometheus_client.Histogram
-    """Time to the whole answer, or to a stream's first event, by route."""
+    """Time to the complete response, or to a stream's first event, by route."""
     pauses: prometheus_client.Histogram
     """Longest pause of each stream, by route."""
     sends: prometheus_client.Counter
@@ -31,35 +31,35 @@
     moves: prometheus_client.Counter
     """Orders to copy a run, by outcome."""
     stops: prometheus_client.Counter
-    """Orders to stop a run, by what is known of its runner then."""
+    """Orders to stop a run, by what was known of its runner at that time."""
     continuations: prometheus_client.Counter
-    """Runs that went on at another runner, by whether it took them up."""
+    """Runs resumed at another runner, by whether that runner accepted them."""
     broken_answers: prometheus_client.Counter
-    """Answers that targets broke off, by what a new connection then found there."""
+    """Responses truncated by targets, by the result of a new connection to the target."""
     lease_age: prometheus_client.Gauge
     version: prometheus_client.Gauge
     loads_age: prometheus_client.Gauge
-    """Age of the keeper's word of other entries' loads; 0 without one that counts."""
+    """Age of the keeper's last digest of other entries' loads; 0 without a valid one."""
     busy: prometheus_client.Gauge
     evacuated: prometheus_client.Gauge
-    """Data halls whose targets get nothing new."""
+    """Data halls whose targets get no new work."""
     quarantined: prometheus_client.Gauge
-    """Requests that the log holds back, by what is in force here."""
+    """Requests that the log holds back, by the orders in force here."""
     suspects: prometheus_client.Gauge
-    """Requests under which a target has ended."""
+    """Requests that were running at a target when it exited."""
     limits: prometheus_client.Gauge
     """Targets whose named limits are in force here."""
     unused_permits: prometheus_client.Gauge
-    """Permits for such targets that ended unused, since the start."""
+    """Permits for targets with limits that expired unused, since the start."""
     target_reports: prometheus_client.Counter
-    """What answers say of their targets: by word, and whether it was taken, ended, ignored as no
-    news or unread."""
+    """Reports of targets in their responses: by kind, and whether each was taken, ended, ignored
+    as already known, or unread."""
     in_backoff: prometheus_client.Gauge
-    """Targets that get nothing of this entry since they asked for that."""
+    """Targets that this entry sends nothing to, since they requested back-off."""
 
 
 def build_entry_metrics() -> EntryMetrics:
-    """Fresh meters of one entry."""
+    """New metrics of one entry."""
     registry = prometheus_client.CollectorRegistry()
 
     def count(name: str, text: str, *labels: str) -> prometheus_client.Counter:
@@ -99,13 +99,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlMetrics:
-    """What a keeper counts."""
+    """Metrics of a keeper."""
 
     registry: prometheus_client.CollectorRegistry
     calls: prometheus_client.Counter
-    """Calls by name and status."""
+    """API calls by name and status."""
     seconds: prometheus_client.Histogram
-    """Time of a call, by its name."""
+    """Time of an API call, by its name."""
     is_leader: prometheus_client.Gauge
     term: prometheus_client.Gauge
     version: prometheus_client.Gauge
@@ -113,20 +113,20 @@
     entries: prometheus_client.Gauge
     targets: prometheus_client.Gauge
     evacuated: prometheus_client.Gauge
-    """Data halls whose targets get nothing new."""
+    """Data halls whose targets get no new work."""
     voters: prometheus_client.Gauge
     live_voters: prometheus_client.Gauge
-    """Voters heard of lately, with the disk that is on record."""
+    """Voters with recent contact and with the disk that is on record."""
     tolerable_losses: prometheus_client.Gauge
-    """Disks that may be lost next; below 0 the log stands still."""
+    """Further disks that may be lost; below 0 the log cannot commit."""
     degraded_seconds: prometheus_client.Gauge
-    """How long fewer losses than wished have been bearable."""
+    """How long fewer losses than desired have been tolerable."""
     voteless_seconds: prometheus_client.Gauge
     lost_elections: prometheus_client.Gauge
 
 
 def build_control_metrics() -> ControlMetrics:
-    """Fresh meters of one keeper."""
+    """New metrics of one keeper."""
     registry = prometheus_client.CollectorRegistry()
 
     def gauge(name: str, text: str) -> prometheus_client.Gauge:
@@ -161,7 +161,7 @@
 
 
 def build_server(registry: prometheus_client.CollectorRegistry) -> http_server.Server:
-    """A listener that answers every request with the figures."""
+    """A server that answers every request with the metrics."""
 
     async def serve(request: http_server.Request, responder: http_server.Responder) -> None:
         body = prometheus_client.generate_latest(registry)
