--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -1,4 +1,4 @@
-"""A keeper of the gateway: the log, the targets' heartbeats, and what entries subscribe to."""
+"""A keeper of the gateway: the log, the targets' heartbeats, and the updates to entries."""
 
 import asyncio
 import dataclasses
@@ -39,28 +39,28 @@
 RING_EVENTS = 2_000
 MAX_HALL_CHARACTERS = 100
 MAX_EVACUATED_HALLS = 100
-"""Bounds on what operators' orders take; the users' target has 16 data halls."""
+"""Bounds on operators' orders; the fleet that is to be supported has 16 data halls."""
 SWEEP_INTERVAL_SECONDS = 0.5
 ENTRY_TTL_SECONDS = 5.0
-"""How long an entry counts after its last word about its load; others tell of it."""
+"""How long an entry counts after its last load report, which other keepers may have passed on."""
 BATCH_INTERVAL_SECONDS = 0.05
-"""How long heartbeats wait for others to share their message to other keepers."""
+"""Batching interval of what is passed on to other keepers, and of limits and back-offs."""
 SUBSCRIBER_BATCH_INTERVAL_SECONDS = 0.05
-"""How long changes of targets wait to share their message to subscribers: a thirtieth of the
-shortest notice with which a runner leaves."""
+"""Batching interval of target changes sent to subscribers: a thirtieth of the shortest notice with
+which a runner leaves."""
 FULL_STATE_TTL_SECONDS = 0.3
-"""How long all targets, once written, are told to new subscribers, together with what changed
-since: after a common start 118 entries subscribe within a second, and writing 3,001 targets takes
-20 ms.  Ages told so are too low by as much, a fourth of a heartbeat's interval."""
+"""How long an encoded full state is reused for new subscribers, who also get what changed since:
+after a common start 118 entries subscribe within a second, and encoding 3,001 targets takes 20 ms.
+The ages in it are too low by up to this time, a fourth of the heartbeat interval."""
 URGENT_LOADS_INTERVAL_SECONDS = 0.02
-"""Least pause between two batches for other keepers, and two digests of large changes."""
+"""Least interval between two batches for other keepers, and two digests of large changes."""
 MAX_DIGESTS_PER_SECOND = 1_000
-"""Digests a second that a keeper sends at most: with more than 20 entries that it tells loads, the
-pause grows.  One costs it 35 us, so these are 3.5% of a core."""
+"""Load digests that a keeper sends at most: with more than 20 entries subscribed to loads, the
+interval grows.  A digest costs the keeper 35 us, so these are 3.5% of a core."""
 LOADS_INTERVAL_SECONDS = 0.12
-"""Least pause between two digests of smaller changes."""
+"""Least interval between two digests of smaller changes."""
 MAX_LOADS_INTERVAL_SECONDS = 1.0
-"""Longest pause between two digests, and until small changes are told: a third of the time for
+"""Longest interval between two digests, and until small changes are sent: a third of the time for
 which a digest counts."""
 
 
@@ -71,17 +71,17 @@
     Attributes
     ----------
     name, peer_address : str
-        Its daemon id, and where peers reach it (``IP:port``).
+        Its daemon id, and the address for its peers (``IP:port``).
     peer_listen_address, metrics_address : str
-        Where it listens to peers and to whoever collects figures.
+        Listen addresses for peers and for metrics.
     data_folder : str
-        Its folder on the disk.
+        Its folder on disk.
     plan : formation.Plan
-        How the keepers find each other.
+        How keepers find each other and form the log.
     heartbeat_timeout_seconds : float
-        A target whose last heartbeat is older gets work only where nothing else is left.
+        A target whose last heartbeat is older gets work only if no other target is left.
     max_read_lag_seconds : float
-        A read is answered only if all that was committed so long ago is surely held here.
+        Reads are answered only while everything committed this long ago is known to be held here.
     """
 
     name: str
@@ -96,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dependencies:
-    """What a keeper needs of the world; tests put stand-ins here."""
+    """External dependencies of a keeper, which tests replace."""
 
     open_disk: Callable[[str], disks.Disk] = disks.open_folder
     run_blocking: replica.Run = server.run_in_thread
@@ -113,7 +113,7 @@
     settings : ControlSettings
         Its settings.
     dependencies : Dependencies, optional
-        What it needs of the world.
+        Its external dependencies; the real ones unless given.
     """
 
     def __init__(self, settings: ControlSettings, dependencies: Dependencies | None = None) -> None:
@@ -126,7 +126,7 @@
         self.directory.add_listener(self._handle_target_change)
         self._subscribers: dict[links.Link, messages.Subscribe] = {}
         self._synchronized: set[links.Link] = set()
-        """Links of keepers that were told all targets."""
+        """Links of keepers that were sent the full state."""
         self._entries: dict[str, float] = {}
         self._loads = loads.Ledger(settings.name, int(self._dependencies.now() * 1000))
         self._keeper_updates = batching.UpdateBatcher(
@@ -190,7 +190,7 @@
             self.limits.table, self._get_leading_term, self._get_leader, self._loop.time
         )
         self._sent_orders_version = 0
-        """Version of the orders that subscribers were told."""
+        """Version of the orders that were sent to subscribers."""
         state.published.listen(self._handle_publication)
         state.store.listen(self._handle_orders)
         self.metrics = metrics.build_control_metrics()
@@ -221,7 +221,7 @@
         return self.replica.storage.term if is_leading else None
 
     def _get_leader(self) -> links.Link | None:
-        """Link to the keeper that leads; None without one, or if it is this one."""
+        """Link to the leader; None without one, or if it is this keeper."""
         leader = self.replica.voters.get(self.replica.leader)
         is_own = self.replica.leader == self._settings.name
         return self._get_link(leader.address) if leader is not None and not is_own else None
@@ -229,7 +229,7 @@
     # Life
 
     async def start(self) -> None:
-        """Listen to peers and begin."""
+        """Listen to peers and start all tasks."""
         await self.node.listen(self._settings.peer_listen_address)
         await self._metrics_server.listen(self._settings.metrics_address)
         self.replica.begin()
@@ -251,7 +251,7 @@
         )
 
     def _set_gauges(self) -> None:
-        """Have the gauges read what they show when they are asked."""
+        """Have the gauges compute their values when they are collected."""
         replica = self.replica
         self.metrics.is_leader.set_function(lambda: replica.is_leading)
         self.metrics.term.set_function(lambda: replica.storage.term)
@@ -263,7 +263,7 @@
         self._set_quorum_gauges()
 
     def _set_quorum_gauges(self) -> None:
-        """Have the gauges read what this keeper sees of the quorum."""
+        """Have the gauges show this keeper's view of the quorum."""
         seen = self.formation.quorum
         self.metrics.voters.set_function(lambda: len(seen.view.voters) if seen.view else 0)
         self.metrics.live_voters.set_function(lambda: len(seen.view.live) if seen.view else 0)
@@ -273,22 +273,22 @@
         self.metrics.lost_elections.set_function(lambda: self.replica.elections.lost)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take the seeds of changed settings."""
+        """Apply the seeds of changed settings."""
         self.formation.set_seeds(seeds)
         self.timeline.record("daemon.reload", seeds=list(seeds))
 
     @property
     def has_failed(self) -> bool:
-        """Whether the disk refused a write; what it holds must be read anew."""
+        """Whether a write to disk has failed, so that the state must be loaded from disk again."""
         return self.replica.failed is not None
 
     async def leave(self) -> None:
-        """Hand the vote over before a planned stop, if another keeper stands by for it."""
+        """Hand the vote over before a planned stop, if another keeper is ready to take it."""
         self.timeline.record("daemon.leaving")
         await self.formation.leave()
 
     async def stop(self) -> None:
-        """End; what was acknowledged is on disks."""
+        """Stop; everything acknowledged is on disk."""
         self.timeline.record("daemon.stop")
         for task in self._tasks:
             task.cancel()
@@ -297,7 +297,7 @@
         await self.node.close()
 
     async def _sweep(self) -> None:
-        """Look after targets that fell silent and entries that went."""
+        """Mark targets without heartbeats, and expire targets, limits and entries."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self._loop.time()
@@ -319,7 +319,7 @@
         elif isinstance(body, messages.PermitRequest):
             exchange.send(await self.grants.serve(body))
         elif not await self.keeper.serve(exchange, body):
-            message = f"keepers serve no {type(body).__name__}"
+            message = f"keepers do not serve {type(body).__name__}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
 
     def _handle_message(self, link: links.Link, body: messages.Body) -> None:
@@ -349,7 +349,7 @@
                 self._backoffs.take(body)
 
     def _synchronize(self, link: links.Link) -> None:
-        """Tell a keeper whose link is new all that is known; it may have been cut off."""
+        """Send all state to a keeper on a new link, since it may have been cut off."""
         if link not in self._synchronized:
             self._synchronized.add(link)
             self._send_full_state(link)
@@ -379,7 +379,7 @@
         self._send_full_state(link)
 
     def _send_full_state(self, link: links.Link) -> None:
-        """Tell all targets to a peer that is new."""
+        """Send all targets to a new peer."""
         now = self._loop.time()
         if self._full_state is None or now - self._full_state_at > FULL_STATE_TTL_SECONDS:
             self._full_state = directories.encode_states(self.directory.targets.values(), full=True)
@@ -395,17 +395,17 @@
             links.try_send(link, current)
 
     def _handle_publication(self, publication: messages.Publication) -> None:
-        """Push a committed publication; of several that are applied in a row only the last.
+        """Schedule a push of a committed publication; of several in a row only the last is sent.
 
         After a restart of all keepers the first commit applies every version since the last
-        snapshot, and each one that an entry puts in force costs it the reading of a table.
+        snapshot, and an entry decodes a routing table for each one that it puts in force.
         """
         self.timeline.record("config.committed", version=publication.version)
         if self._pending_push is None:
             self._pending_push = self._loop.call_soon(self._push_publication)
 
     def _push_publication(self) -> None:
-        """Send the publication in force to all subscribers, if that is still to be done."""
+        """Send the publication in force to all subscribers, if a push is pending."""
         if self._pending_push is None:
             return
         self._pending_push.cancel()
@@ -414,7 +414,7 @@
             self._send_publication(link)
 
     def _handle_orders(self, store: stores.Store) -> None:
-        """Push the orders that changed to all subscribers; who misses some asks for them."""
+        """Push changed orders to all subscribers; an entry that misses some requests them."""
         halls = sorted(store.list_names(stores.EVACUATIONS))
         held = len(store.list_names(stores.QUARANTINE))
         self.timeline.record("orders.committed", version=store.version, halls=halls, held=held)
@@ -431,7 +431,7 @@
             links.try_send(link, body)
 
     async def _send_loads(self) -> None:
-        """Pass on to other keepers what entries told here, and tell subscribers the sums."""
+        """Pass entries' load reports on to other keepers, and send the sums to subscribers."""
         whole_at = paced_at = 0.0
         while True:
             told = sum(asked.loads for asked in self._subscribers.values())
@@ -470,13 +470,13 @@
     # Targets
 
     def handle_heartbeat(self, target: directories.Target) -> None:
-        """Take a target's own word and spread it.
+        """Merge a target's own report and pass it on.
 
         Raises
         ------
         faults.FaultError
-            ``bad_request`` if a target of another pool has that id: then it is another writer's
-            word, which may not end what that target does.
+            ``bad_request`` if a target of another pool has that id: the report then comes from
+            another sender, and must not end that target's work.
         """
         name = incarnations.parse_id(target.target_id).name
         present = self.directory.find(name)
@@ -490,7 +490,7 @@
         self._keeper_updates.add(known, is_urgent=changed)
 
     def handle_leave(self, name: str, started_ms: int = 0) -> None:
-        """Take a target's word that it goes, of the start that it names or of the latest."""
+        """Handle a target's leaving: of the start that it names, or else of the latest one."""
         known = self.directory.find(name)
         if known is None or started_ms not in (
             0,
@@ -501,7 +501,7 @@
             self._keeper_updates.add(known)
 
     def _merge_states(self, link: links.Link, states: list[directories.Target]) -> None:
-        """Take word of targets; other keepers are told what an entry has learnt from answers."""
+        """Merge target states; those that an entry has from responses go on to other keepers."""
         is_of_entry = link in self._subscribers
         for target in states:
             if self.directory.merge(target) and is_of_entry:
@@ -510,7 +510,7 @@
     def _handle_target_change(
         self, target: directories.Target, former: directories.Phase | None
     ) -> None:
-        """Tell the entries of a change, whoever told it here."""
+        """Send a change to the entries, whatever its source."""
         self.timeline.record(
             "target.state",
             target=target.target_id,
@@ -524,8 +524,8 @@
         if target.phase is directories.Phase.GONE:
             self.limits.table.forget(target.target_id)
         if target.is_superseded and former is not None:
-            # Whoever hears of the present incarnation ends the former one, and first hears until
-            # when that one lived: entries are not told each heartbeat.
+            # An entry ends the former incarnation when it gets the latest one.  Before that it is
+            # sent the former one's last heartbeat time, since it does not get each heartbeat.
             self._changed_since_full_state.pop(target.target_id, None)
             self._subscriber_updates.add(
                 dataclasses.replace(target, phase=former, is_superseded=False)
@@ -558,19 +558,19 @@
         return answer
 
     def list_evacuated(self) -> frozenset[str]:
-        """Data halls whose targets get nothing new, by what is committed here."""
+        """Data halls whose targets get no new work, according to what is committed here."""
         return self.replica.machine.store.list_names(stores.EVACUATIONS)
 
     async def evacuate(self, data_hall: str, evacuated: bool) -> dict[str, Any]:
-        """Close a data hall to new work, or open it again; returns once that is committed.
+        """Start or end the evacuation of a data hall; returns once that is committed.
 
-        An order that another one has overtaken on its way is made anew while its caller waits, and
+        An order that a concurrent one has overtaken is proposed again while its caller waits, and
         only then: see `commands.Evacuate`.
 
         Raises
         ------
         faults.FaultError
-            ``bad_request`` if the name can't be one, ``no_quorum`` if the order may or may not be
+            ``bad_request`` if the name is invalid, ``no_quorum`` if the order may or may not be
             committed later.
         """
         self._check_hall(data_hall)
@@ -592,11 +592,11 @@
             against = answer["version"]
 
     def _check_hall(self, data_hall: str) -> None:
-        """Refuse what can't be a data hall; one without targets at present may get some later."""
+        """Reject an invalid name of a data hall; one without targets now may get some later."""
         is_name = 0 < len(data_hall) <= MAX_HALL_CHARACTERS and data_hall.isprintable()
         is_many = len(self.list_evacuated() - {data_hall}) >= MAX_EVACUATED_HALLS
         if not is_name or is_many:
-            message = f"got data hall {data_hall[:MAX_HALL_CHARACTERS]!r}, expected the name of one"
+            message = f"bad data hall {data_hall[:MAX_HALL_CHARACTERS]!r}, or too many evacuated"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
 
     def get_publication(self) -> bytes:
@@ -609,9 +609,9 @@
         """
         age = self.freshness.read_age()
         if age is None or age > self._settings.max_read_lag_seconds:
-            raise proposals.build_no_quorum(f"got word of age {age} s from the leader")
+            raise proposals.build_no_quorum(f"last contact with the leader was {age} s ago")
         current = self.replica.machine.published.current
         if current is None:
-            message = "nothing was published yet"
+            message = "no configuration has been published yet"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NOT_FOUND, message))
         return zlib.decompress(current.content)
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -1,4 +1,4 @@
-"""An entry: callers' requests on one side, targets on the other, keepers behind."""
+"""An entry: forwards callers' requests to targets, as configured by the keepers."""
 
 import asyncio
 import contextlib
@@ -46,16 +46,16 @@
 __all__ = ["Entry", "EntrySettings"]
 
 URGENT_LOADS_INTERVAL_SECONDS = 0.02
-"""Least pause between two words about this entry's load, if a prompt was sent or read meanwhile."""
+"""Least interval between two load reports if a prompt was sent or read meanwhile."""
 LOADS_INTERVAL_SECONDS = 0.15
-"""Least pause between words of smaller changes."""
+"""Least interval between reports of smaller changes."""
 MAX_LOADS_INTERVAL_SECONDS = 1.0
-"""Longest pause between them: a third of the time for which a word counts, and what keepers count
-entries by."""
+"""Longest interval between them: a third of the time for which a report counts.  Keepers count
+entries by these reports."""
 STOP_CHECK_INTERVAL_SECONDS = 0.05
 MAX_LOGGED_TARGETS = 60
-"""Changes of targets in one message that are logged one by one; keepers log each.  A line costs a
-thin entry 50 us, and after a common start it is told thousands."""
+"""Target changes in one message that are logged one by one; keepers log each.  A line costs an
+entry with little processor time 50 us, and after a common start it gets thousands of changes."""
 RING_EVENTS = 2_000
 
 
@@ -68,20 +68,20 @@
     name : str
         Its daemon id.
     peer_address : str
-        Where peers reach it (``IP:port``).
+        Its address for peers (``IP:port``).
     peer_listen_address, front_address, ready_address, metrics_address : str
-        Where it listens: to peers, to callers, to the balancer's checks and to whoever collects
-        figures.
+        Listen addresses for peers, for callers, for the load balancer's checks and for metrics.
     seeds : tuple of str
-        Keepers' peer addresses to begin with.
+        Peer addresses of the first keepers to contact.
     lease_seconds : float
-        How old the word that the configuration is the newest may be before keys are not trusted.
+        How long the configuration is trusted to be the newest after a keeper confirmed it; keys are
+        not trusted after that.
     accept_seconds, stop_seconds : float
-        After the signal to stop: how long callers' new requests are taken, and when it ends.
+        After the stop signal: how long new requests are accepted, and when the daemon ends.
     retries : budgets.RetryBounds
-        The fleet's bound on retries.
+        The fleet's bounds on retries.
     cold : colds.ColdBounds
-        How far above their rate cold targets bear requests.
+        How far above their rate cold targets may get requests.
     """
 
     name: str
@@ -107,11 +107,11 @@
     settings : EntrySettings
         Its settings.
     dialect : dialects.Dialect
-        How callers and targets speak.
+        Protocol of callers and targets.
     open_connection : callable, optional
         Opens a connection to a keeper.
     rng : random.Random, optional
-        Draws lots between targets that are as good as each other.
+        Chooses between targets with equal scores.
     listener : socket.socket, optional
         Socket that listens at the callers' address already.
     """
@@ -263,7 +263,7 @@
     # Life
 
     async def start(self) -> None:
-        """Listen and begin to follow the keepers."""
+        """Listen and start to follow the keepers."""
         await self._ready.listen(self._settings.ready_address)
         await self._front.listen(self._settings.front_address, self._listener)
         await self._metrics_server.listen(self._settings.metrics_address)
@@ -275,7 +275,7 @@
         self.timeline.record("daemon.start", role="entry", seeds=list(self._settings.seeds))
 
     async def stop(self) -> None:
-        """Planned stop: go unready, serve on for a while, finish what runs, end."""
+        """Planned stop: report unready, serve on for a while, finish open requests, end."""
         self._stopping = True
         began = self._loop.time()
         self.timeline.record("daemon.leaving", busy=self._front.count_busy())
@@ -291,7 +291,7 @@
         await self.node.close()
 
     def _set_gauges(self) -> None:
-        """Have the gauges read what they show when they are asked."""
+        """Have the gauges compute their values when they are collected."""
         self._metrics.version.set_function(lambda: self.published.version)
         self._metrics.lease_age.set_function(lambda: self._clock.read_age(self._loop.time()))
         self._metrics.loads_age.set_function(lambda: self.usage.read_age(self._loop.time()) or 0.0)
@@ -304,7 +304,7 @@
         self._metrics.evacuated.set_function(lambda: len(self.directory.evacuated))
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take the seeds of changed settings."""
+        """Apply the seeds of changed settings."""
         self.homes.add_addresses(seeds)
         self.timeline.record("daemon.reload", seeds=list(seeds))
 
@@ -314,7 +314,7 @@
         try:
             table = self._dialect.read_table(publication.content)
         except faults.FaultError as error:
-            # Keepers check a document before it is published; keep serving under the former one.
+            # Keepers check a document before it is published; keep serving with the previous one.
             self.timeline.record("config.unreadable", message=error.fault.message)
             return
         self._gate.table = table
@@ -329,7 +329,7 @@
             self._startup.mark_ready()
 
     def _apply_orders(self, orders: stores.Store) -> None:
-        """Put orders in force: which data halls and which requests get to no target."""
+        """Apply orders: which data halls get no new work, and which requests are held back."""
         self.quarantine.set_held(orders.list_names(stores.QUARANTINE))
         self.directory.set_evacuated(orders.list_names(stores.EVACUATIONS), self._loop.time())
         self._mover.note_evacuated()
@@ -358,14 +358,14 @@
         self.permits.entries = number
 
     def _handle_peer_version(self, link: links.Link, version: int) -> None:
-        """Pull the publication from a peer that is ahead."""
+        """Pull the publication from a peer with a newer one."""
         if version > max(0, self.published.version):
             links.try_send(link, messages.PublicationPull(max(0, self.published.version)))
 
     # Messages
 
     def _handle_link_up(self, link: links.Link) -> None:
-        """Follow a new link soon; a keeper that has started again knows nothing of targets."""
+        """Check a new link soon, and send what a restarted keeper has lost about targets."""
         self.homes.check_soon()
         ends = self.quarantine.suspects.list_all()
         if ends:
@@ -377,15 +377,15 @@
             links.try_send(link, limits.write_words(self.limits.list_all()))
 
     def _send_exits(self, ends: list[suspects.End]) -> None:
-        """Tell all keepers listened to, since any of them may be cut off."""
+        """Send target exits to all home keepers, since any of them may be cut off."""
         self._send_to_keepers(suspects.write_ends(ends))
 
     def _notify_limit(self, word: limits.Word) -> None:
-        """Tell all keepers listened to what a target has named."""
+        """Send the limit that a target has named to all home keepers."""
         self._send_to_keepers(limits.write_words([word]))
 
     def _notify_leaving(self, target: directories.Target) -> None:
-        """Tell all keepers listened to that a target has said that it leaves."""
+        """Report to all home keepers that a target leaves."""
         self._send_to_keepers(directories.encode_states([target]))
 
     def _send_to_keepers(self, message: messages.Body) -> None:
@@ -393,7 +393,7 @@
             links.try_send(link, message)
 
     def _notify_backoff(self, word: backoffs.Word) -> None:
-        """Tell one keeper that a target turned a request away; a hint may be lost."""
+        """Report to one keeper that a target requested back-off; a hint may be lost."""
         link = self.homes.get_primary()
         if link is not None:
             links.try_send(link, backoffs.write_hints([(word.target_id, word.until)]))
@@ -404,16 +404,16 @@
     async def _request_permits(
         self, wishes: list[messages.PermitWish]
     ) -> list[messages.PermitGrant]:
-        """Ask for permits through the keeper that is told this entry's load.
+        """Request permits through the primary keeper.
 
         Raises
         ------
         links.LinkLost, faults.FaultError
-            Without an answer.
+            Without a reply.
         """
         link = self.homes.get_primary()
         if link is None:
-            raise links.LinkLost("no keeper to ask for permits")
+            raise links.LinkLost("no keeper to request permits from")
         reply = await link.call(messages.PermitRequest(wishes), permits.ANSWER_SECONDS)
         assert isinstance(reply, messages.PermitReply)
         return reply.grants
@@ -439,7 +439,7 @@
                 self.backoffs.take_hints(backoffs.read_hints(body))
 
     def _merge_states(self, states: messages.TargetStates) -> None:
-        """Take word of targets, and log what changed; of very many only how many they are."""
+        """Merge target states, and log what changed; of many changes only their number."""
         changed = [item for item in directories.decode_states(states) if self.directory.merge(item)]
         if len(changed) > MAX_LOGGED_TARGETS:
             self.timeline.record("target.states", changed=len(changed), whole=states.whole)
@@ -458,7 +458,7 @@
             )
 
     def _merge_limits(self, words: list[limits.Word]) -> None:
-        """Take what keepers tell of limits that targets have named."""
+        """Merge the limits that targets have named, as passed on by keepers."""
         for word in self.limits.take(words):
             self.timeline.record(
                 "target.limit",
@@ -472,7 +472,7 @@
     def _handle_target_change(
         self, target: directories.Target, former: directories.Phase | None
     ) -> None:
-        """Forget what was learned of a target that has ended or started again."""
+        """Discard what is held about a target that is gone or has restarted."""
         if target.phase is directories.Phase.GONE:
             self.limits.forget(target.target_id)
             self.permits.forget(target.target_id)
@@ -489,9 +489,9 @@
         )
 
     def _merge_digest(self, link: links.Link, digest: messages.LoadDigest) -> None:
-        """Take a keeper's sums, if it is the one that is told this entry's load."""
+        """Merge a load digest, if it comes from the primary keeper."""
         if link is not self.homes.get_primary():
-            return  # on its way when another keeper was chosen; only one of the two is in sequence
+            return  # sent before the primary changed; sequences of two keepers do not match
         taken = self.usage.take(digest, self._loop.time())
         if taken is usages.Taken.GAP:
             self.timeline.record("loads.gap", keeper=digest.keeper, sequence=digest.sequence)
@@ -500,8 +500,8 @@
             self.timeline.record("loads.whole", keeper=digest.keeper, sequence=digest.sequence)
 
     async def _send_loads(self) -> None:
-        """Tell a keeper what is under way here: on change, now and then, and when it is new."""
-        told_at, told_to = 0.0, None
+        """Report load to the primary keeper: on change, regularly, and when that keeper is new."""
+        reported_at, reported_to = 0.0, None
         while True:
             await self._wait_for_loads()
             now = self._loop.time()
@@ -510,14 +510,14 @@
             if self.usage.forget_others(now):
                 self.timeline.record("loads.lost", after_s=usages.OTHERS_SECONDS)
             link = self.homes.get_primary()
-            is_due = link is not told_to or now - told_at > MAX_LOADS_INTERVAL_SECONDS
+            is_due = link is not reported_to or now - reported_at > MAX_LOADS_INTERVAL_SECONDS
             if link is None or not (self.usage.changed or is_due):
                 continue
-            told_at, told_to = now, link
+            reported_at, reported_to = now, link
             links.try_send(link, self.usage.write(self._started_ms, now))
 
     async def _wait_for_loads(self) -> None:
-        """Wait until another word about this entry's load may go out."""
+        """Wait until the next load report may be sent."""
         await asyncio.sleep(URGENT_LOADS_INTERVAL_SECONDS)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LOADS_INTERVAL_SECONDS - URGENT_LOADS_INTERVAL_SECONDS):
