--- a/tillerlane/platform/__init__.py
+++ b/tillerlane/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls, and nothing that decides."""
+"""Adapter to the users' platform: its names, formats and calls, without any decisions."""
--- a/tillerlane/platform/adapter.py
+++ b/tillerlane/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The platform's dialect, put together from the functions of this folder."""
+"""The platform's dialect, assembled from the functions of this folder."""
 
 from tillerlane.gateway import dialect
 from tillerlane.platform import calls, wire
@@ -7,7 +7,7 @@
 
 
 def build_dialect() -> dialect.Dialect:
-    """How callers and targets of the platform speak."""
+    """The protocol of the platform's callers and targets."""
     return dialect.Dialect(
         read_request=wire.decode_request,
         write_forward=wire.build_forward,
--- a/tillerlane/platform/calls.py
+++ b/tillerlane/platform/calls.py
@@ -1,4 +1,4 @@
-"""Calls that the system makes of the platform's runners."""
+"""Calls of the system to the platform's runners."""
 
 import asyncio
 import contextlib
@@ -9,12 +9,12 @@
 
 __all__ = ["copy_run", "drop_copy", "stop_run"]
 
-CONNECT_SECONDS = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 MAX_ANSWER_BYTES = 64 * 1024
-DROP_SECONDS = 1.0
+DROP_TIMEOUT_SECONDS = 1.0
 
 
-class _Moved(msgspec.Struct):
+class _MoveReply(msgspec.Struct):
     """``made`` counts the events written so far."""
 
     handle: str = ""
@@ -28,14 +28,14 @@
     503: dialect.MoveOutcome.NO_ROOM,
 }
 
-_LATER = frozenset({408, 425, 429})
-"""Statuses that say nothing of the order itself."""
+_RETRYABLE_STATUSES = frozenset({408, 425, 429})
+"""Statuses that are no verdict on the order itself."""
 
 
 async def _call(
     address: str, method: bytes, path: bytes, body: bytes, seconds: float
 ) -> tuple[int, bytes]:
-    """One call of a runner.
+    """Send one call to a runner.
 
     Raises
     ------
@@ -45,7 +45,7 @@
     exchange = None
     try:
         async with asyncio.timeout(seconds):
-            exchange = await http_client.connect(address, CONNECT_SECONDS)
+            exchange = await http_client.connect(address, CONNECT_TIMEOUT_SECONDS)
             headers = [
                 (b"Host", address.encode()),
                 (b"Content-Type", b"application/json"),
@@ -55,7 +55,7 @@
             head = await exchange.read_head()
             return head.status, await exchange.read_body(MAX_ANSWER_BYTES)
     except TimeoutError as error:
-        message = f"no answer of {address} within {seconds} s"
+        message = f"no answer from {address} within {seconds} s"
         raise http_client.AnswerBroken(message, sent=True) from error
     finally:
         if exchange is not None:
@@ -76,14 +76,14 @@
 async def copy_run(
     source: str, request_id: str, destination: str, seconds: float
 ) -> dialect.MoveResult:
-    """Copy a run's memory from one runner to another while the run goes on."""
+    """Copy a run's memory from one runner to another while the run continues."""
     return await _order_move(source, _MoveOrder(request_id, destination), seconds)
 
 
 async def stop_run(
     source: str, request_id: str, destination: str, seconds: float
 ) -> dialect.MoveResult:
-    """Have a runner stop a run, and copy its memory to another one."""
+    """Have a runner stop a run and copy its memory to another one."""
     return await _order_move(source, _MoveOrder(request_id, destination, last=True), seconds)
 
 
@@ -93,26 +93,26 @@
             source, b"POST", b"/kv-move", msgspec.json.encode(order), seconds
         )
     except http_client.AnswerBroken as error:
-        return dialect.MoveResult(_judge_broken(error))
-    outcome = _judge_status(status)
+        return dialect.MoveResult(_classify_failure(error))
+    outcome = _classify_status(status)
     if outcome not in (dialect.MoveOutcome.COPIED, dialect.MoveOutcome.NO_ROOM):
         return dialect.MoveResult(outcome)
     try:
-        moved = msgspec.json.decode(body, type=_Moved) if body else _Moved()
+        moved = msgspec.json.decode(body, type=_MoveReply) if body else _MoveReply()
     except msgspec.DecodeError:
         return dialect.MoveResult(dialect.MoveOutcome.LOST)
     return dialect.MoveResult(outcome, moved.handle, moved.made)
 
 
-def _judge_status(status: int) -> dialect.MoveOutcome:
+def _classify_status(status: int) -> dialect.MoveOutcome:
     if status in _OUTCOMES:
         return _OUTCOMES[status]
-    is_refusal = 400 <= status < 500 and status not in _LATER
-    return dialect.MoveOutcome.NOT_UNDERSTOOD if is_refusal else dialect.MoveOutcome.LOST
+    is_rejection = 400 <= status < 500 and status not in _RETRYABLE_STATUSES
+    return dialect.MoveOutcome.NOT_UNDERSTOOD if is_rejection else dialect.MoveOutcome.LOST
 
 
-def _judge_broken(error: http_client.AnswerBroken) -> dialect.MoveOutcome:
-    """What it says of a runner that it gave no answer."""
+def _classify_failure(error: http_client.AnswerBroken) -> dialect.MoveOutcome:
+    """The outcome of a call without a response."""
     if error.sent:
         return dialect.MoveOutcome.LOST
     if isinstance(error.__cause__, ConnectionRefusedError):
@@ -121,8 +121,12 @@
 
 
 async def drop_copy(copy: dialect.MemoryCopy) -> None:
-    """Free a copy at a runner; it expires by itself if the call is lost."""
+    """Free a copy at a runner; if the call is lost, the copy expires by itself."""
     with contextlib.suppress(http_client.AnswerBroken):
         await _call(
-            copy.address, b"DELETE", b"/kv-handle/" + copy.handle.encode(), b"", DROP_SECONDS
+            copy.address,
+            b"DELETE",
+            b"/kv-handle/" + copy.handle.encode(),
+            b"",
+            DROP_TIMEOUT_SECONDS,
         )
--- a/tillerlane/platform/control_api.py
+++ b/tillerlane/platform/control_api.py
@@ -10,19 +10,19 @@
 
 __all__ = ["build_server"]
 
-COMMIT_SECONDS = 0.9
-"""Callers ask elsewhere after a second without an answer."""
+COMMIT_TIMEOUT_SECONDS = 0.9
+"""Callers try another keeper after a second without an answer."""
 MAX_BODY_BYTES = 32 * 1024 * 1024
-IDLE_SECONDS = 30.0
+IDLE_TIMEOUT_SECONDS = 30.0
 _PHASES = {"ready": directories.Phase.READY, "draining": directories.Phase.DRAINING}
 _JSON = [(b"Content-Type", b"application/json")]
 
 
 def build_server(keeper: control.Control) -> http_server.Server:
-    """The listener for heartbeats and operators."""
+    """The server for heartbeats and operators."""
 
     async def serve(request: http_server.Request, responder: http_server.Responder) -> None:
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         try:
             status, body = await _answer(keeper, request)
         except faults.FaultError as error:
@@ -36,18 +36,18 @@
             )
         call = request.head.path.decode("latin-1").split("/")[1][:40]
         if status != 404:
-            seconds = asyncio.get_running_loop().time() - began
+            seconds = asyncio.get_running_loop().time() - started_at
             keeper.metrics.seconds.labels(call).observe(seconds)
             keeper.metrics.calls.labels(call, str(status)).inc()
         headers = list(_JSON) if body else []
         await responder.send_whole(http_head.AnswerHead(status, headers), body)
 
-    limits = http_server.ServerLimits(body_bytes=MAX_BODY_BYTES, idle_seconds=IDLE_SECONDS)
+    limits = http_server.ServerLimits(body_bytes=MAX_BODY_BYTES, idle_seconds=IDLE_TIMEOUT_SECONDS)
 
-    def note_error(error: Exception) -> None:
+    def log_error(error: Exception) -> None:
         keeper.timeline.record("internal.error", error=repr(error)[:200])
 
-    return http_server.Server(serve, limits, note_error)
+    return http_server.Server(serve, limits, log_error)
 
 
 async def _answer(keeper: control.Control, request: http_server.Request) -> tuple[int, bytes]:
@@ -56,8 +56,8 @@
     argument = urllib.parse.unquote(argument)
     match request.head.method, name:
         case b"POST", "Instances.Heartbeat" if argument:
-            told = wire.decode_heartbeat(request.body)
-            _take_heartbeat(keeper, wire.check_target_name(argument), told)
+            heartbeat = wire.decode_heartbeat(request.body)
+            _handle_heartbeat(keeper, wire.check_target_name(argument), heartbeat)
             return 200, b"{}"
         case b"POST", "Instances.Leave" if argument:
             keeper.handle_leave(argument, wire.decode_leave(request.body).born)
@@ -71,25 +71,25 @@
     return 404, b""
 
 
-def _take_heartbeat(keeper: control.Control, name: str, told: wire.Heartbeat) -> None:
+def _handle_heartbeat(keeper: control.Control, name: str, heartbeat: wire.Heartbeat) -> None:
     now = asyncio.get_running_loop().time()
     target = directories.Target(
-        target_id=incarnations.build_id(name, told.born),
-        pool=told.service,
-        address=told.addr,
-        data_hall=told.zone,
-        slots=told.slots,
-        phase=_PHASES[told.state],
-        sequence=told.seq,
+        target_id=incarnations.build_id(name, heartbeat.born),
+        pool=heartbeat.service,
+        address=heartbeat.addr,
+        data_hall=heartbeat.zone,
+        slots=heartbeat.slots,
+        phase=_PHASES[heartbeat.state],
+        sequence=heartbeat.seq,
         heard_at=now,
-        warm_at=now + told.cold_left_ms / 1000 if told.cold_left_ms > 0 else 0.0,
+        warm_at=now + heartbeat.cold_left_ms / 1000 if heartbeat.cold_left_ms > 0 else 0.0,
     )
     keeper.handle_heartbeat(target)
 
 
 async def _evacuate(keeper: control.Control, data_hall: str, evacuated: bool) -> tuple[int, bytes]:
     try:
-        async with asyncio.timeout(COMMIT_SECONDS):
+        async with asyncio.timeout(COMMIT_TIMEOUT_SECONDS):
             await keeper.evacuate(data_hall, evacuated)
     except TimeoutError:
         keeper.timeline.record("evacuation.undecided", data_hall=data_hall, evacuated=evacuated)
@@ -104,7 +104,7 @@
         keeper.timeline.record("config.refused", reason=error.fault.message[:300])
         return 400, b""
     try:
-        async with asyncio.timeout(COMMIT_SECONDS):
+        async with asyncio.timeout(COMMIT_TIMEOUT_SECONDS):
             await keeper.publish(table.version, document)
     except TimeoutError:
         keeper.timeline.record("config.undecided", version=table.version)
--- a/tillerlane/platform/front_listener.py
+++ b/tillerlane/platform/front_listener.py
@@ -1,8 +1,8 @@
 """The callers' listener of an entry, opened before the rest of the program is imported.
 
-Importing the program takes a quarter of a second of processor, on a third of a core three quarters
-of one.  A caller who connects meanwhile waits in the system's queue in place of being refused a
-connection.  This module imports nothing but the standard library's smallest parts.
+Importing the program takes 0.25 s of processor time, and 0.75 s on a third of a core.  A caller
+that connects meanwhile waits in the kernel's accept queue instead of being refused.  This module
+imports only small parts of the standard library.
 """
 
 import os
@@ -16,11 +16,11 @@
 
 
 def open_front_listener() -> socket.socket | None:
-    """Listen where the settings say; None if that cannot be done, which the program finds anew."""
+    """Listen at the address in the settings; None if that fails."""
     try:
         with open(os.environ.get(SETTINGS_VARIABLE, ""), "rb") as file:
             address = tomllib.load(file)["listen"]["front"]
         host, _, port = address.rpartition(":")
         return socket.create_server((host, int(port)))
     except (OSError, ValueError, KeyError, TypeError, AttributeError):
-        return None  # the program reads the settings again, listens itself, and logs what is wrong
+        return None  # the program reads the settings again, listens itself, and logs the error
--- a/tillerlane/platform/main.py
+++ b/tillerlane/platform/main.py
@@ -1,6 +1,6 @@
-"""Start of the programs on the platform: ``python3 -m tillerlane.platform.main ROLE``.
+"""Starts the programs on the platform: ``python3 -m tillerlane.platform.main ROLE``.
 
-What it takes to listen comes first, and only then the import of the programs themselves.
+Opens the callers' listener first, and imports the programs themselves only then.
 """
 
 import sys
--- a/tillerlane/platform/programs.py
+++ b/tillerlane/platform/programs.py
@@ -1,6 +1,6 @@
 """The programs on the platform, by role.
 
-Signals: SIGTERM begins a planned stop; SIGHUP tells that the settings file has changed.
+Signals: SIGTERM starts a planned stop; SIGHUP reloads the settings file.
 """
 
 import argparse
@@ -20,14 +20,14 @@
 
 __all__ = ["main"]
 
-RELOAD_SECONDS = 2.0
-"""Pause between two looks at the settings file, which may change without a signal."""
-DISK_RETRY_SECONDS = 0.5
-"""Pause before a keeper reads its disk anew after a failure."""
+RELOAD_INTERVAL_SECONDS = 2.0
+"""Interval between two reads of the settings file, which may change without a signal."""
+DISK_RETRY_DELAY_SECONDS = 0.5
+"""Delay before a keeper loads its state from disk again after a failure."""
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Arguments of the programs."""
+    """The parser of the programs' arguments."""
     parser = argparse.ArgumentParser(prog="tillerlane-platform", description=__doc__)
     parser.add_argument("role", choices=["entry", "keeper"])
     parser.add_argument("--check", action="store_true", help="check the settings and end")
@@ -35,7 +35,7 @@
 
 
 def _watch_signals() -> asyncio.Event:
-    """Have SIGTERM and SIGINT set an event; SIGHUP only hastens what `_follow_settings` does."""
+    """Have SIGTERM and SIGINT set an event; `_reload_settings` handles SIGHUP."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -43,68 +43,68 @@
     return stop
 
 
-async def _follow_settings(
-    known: settings.Settings, take_seeds: Callable[[tuple[str, ...]], None]
+async def _reload_settings(
+    current: settings.Settings, set_seeds: Callable[[tuple[str, ...]], None]
 ) -> None:
-    """Read the settings again on SIGHUP and every few seconds; only the seeds may change."""
+    """Read the settings again on SIGHUP and every few seconds; only changed seeds are applied."""
     changed = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, changed.set)
     while True:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(changed.wait(), RELOAD_SECONDS)
-        was_told = changed.is_set()
+            await asyncio.wait_for(changed.wait(), RELOAD_INTERVAL_SECONDS)
+        is_signalled = changed.is_set()
         changed.clear()
         try:
-            found = settings.read_settings(os.environ.get(front_listener.SETTINGS_VARIABLE, ""))
+            loaded = settings.read_settings(os.environ.get(front_listener.SETTINGS_VARIABLE, ""))
         except faults.FaultError as error:
             structlog.get_logger().warning("settings.unreadable", message=error.fault.message)
             continue
-        if found.seeds != known.seeds or was_told:
-            take_seeds(found.seed_peers)
-            known = found
+        if loaded.seeds != current.seeds or is_signalled:
+            set_seeds(loaded.seed_peers)
+            current = loaded
 
 
-async def run_entry(own: settings.Settings, listener: socket.socket | None) -> None:
-    """Run an entry until its planned stop is done; callers may wait at `listener` already."""
+async def run_entry(daemon_settings: settings.Settings, listener: socket.socket | None) -> None:
+    """Run an entry until its planned stop is done; callers may be queued at `listener` already."""
     from tillerlane.gateway import entry
     from tillerlane.platform import adapter
 
     stop = _watch_signals()
     daemon = entry.Entry(
-        settings.build_entry_settings(own), adapter.build_dialect(), listener=listener
+        settings.build_entry_settings(daemon_settings), adapter.build_dialect(), listener=listener
     )
     await daemon.start()
-    following = asyncio.create_task(_follow_settings(own, daemon.set_seeds))
+    reloading = asyncio.create_task(_reload_settings(daemon_settings, daemon.set_seeds))
     await stop.wait()
-    following.cancel()
+    reloading.cancel()
     await daemon.stop()
 
 
-async def run_keeper(own: settings.Settings) -> None:
-    """Run a keeper until it is told to stop; after a failure of its disk, begin anew."""
+async def run_keeper(daemon_settings: settings.Settings) -> None:
+    """Run a keeper until a stop signal; restart it after a disk failure."""
     stop = _watch_signals()
     while not stop.is_set():
-        await _run_keeper_once(own, stop)
+        await _run_keeper_once(daemon_settings, stop)
 
 
-async def _run_keeper_once(own: settings.Settings, stop: asyncio.Event) -> None:
+async def _run_keeper_once(daemon_settings: settings.Settings, stop: asyncio.Event) -> None:
     from tillerlane.gateway import control
     from tillerlane.platform import control_api
 
     try:
-        daemon = control.Control(settings.build_control_settings(own))
+        daemon = control.Control(settings.build_control_settings(daemon_settings))
     except faults.FaultError as error:
         structlog.get_logger().error("disk.unreadable", message=error.fault.message)
-        await asyncio.sleep(DISK_RETRY_SECONDS)
+        await asyncio.sleep(DISK_RETRY_DELAY_SECONDS)
         return
     await daemon.start()
     server = control_api.build_server(daemon)
-    await server.listen(own.listen.control)
-    following = asyncio.create_task(_follow_settings(own, daemon.set_seeds))
+    await server.listen(daemon_settings.listen.control)
+    reloading = asyncio.create_task(_reload_settings(daemon_settings, daemon.set_seeds))
     while not stop.is_set() and not daemon.has_failed:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(stop.wait(), DISK_RETRY_SECONDS)
-    following.cancel()
+            await asyncio.wait_for(stop.wait(), DISK_RETRY_DELAY_SECONDS)
+    reloading.cancel()
     if stop.is_set():
         await daemon.leave()
     server.stop_accepting()
@@ -113,19 +113,23 @@
 
 
 def main(listener: socket.socket | None) -> None:
-    """Run the program that the arguments name."""
+    """Run the program that the arguments select."""
     from tillerlane.timeline import sink
 
     arguments = build_parser().parse_args()
     try:
-        own = settings.read_settings(os.environ.get(front_listener.SETTINGS_VARIABLE, ""))
+        daemon_settings = settings.read_settings(
+            os.environ.get(front_listener.SETTINGS_VARIABLE, "")
+        )
         if arguments.check:
-            print(f"settings of {own.daemon_id} are valid")
+            print(f"settings of {daemon_settings.daemon_id} are valid")
             return
         sink.set_up(sys.stdout.fileno())
         is_entry = arguments.role == "entry"
         with asyncio.Runner(loop_factory=loops.new_loop) as runner:
-            runner.run(run_entry(own, listener) if is_entry else run_keeper(own))
+            runner.run(
+                run_entry(daemon_settings, listener) if is_entry else run_keeper(daemon_settings)
+            )
     except faults.FaultError as error:
         print(f"tillerlane: {error.fault.kind}: {error.fault.message}", file=sys.stderr)
         sys.exit(error.fault.answer.exit_code)
--- a/tillerlane/platform/settings.py
+++ b/tillerlane/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (TOML), decoded into the product's settings."""
+"""The platform's settings file (TOML), converted to the settings of the daemons."""
 
 import pathlib
 import tomllib
@@ -15,25 +15,26 @@
 __all__ = ["Settings", "build_control_settings", "build_entry_settings", "read_settings"]
 
 METRICS_PORT = 9464
-"""Where figures are served; `deploy/system.toml` names it too."""
+"""Port of the metrics server; `deploy/system.toml` has it too."""
 
 LEASE_SHARE = 0.75
-"""Share of the time for which a revoked key may still work that an entry trusts old word: the
-rest is for the way of a request to its runner."""
+"""An entry's lease on its configuration, as a share of the time for which a revoked key may still
+work; the rest is for sending a request to its runner."""
 ACCEPT_SECONDS = 3.0
-"""The balancer asks once a second and takes a daemon out after two failures."""
+"""The load balancer checks once a second and removes a daemon after two failures."""
 STOP_MARGIN_SECONDS = 0.7
-"""How long before the platform's kill a stopping entry ends by itself."""
-SILENT_HEARTBEATS = 3.5
-"""Heartbeats may come seconds late; until then entries find dead targets by themselves."""
-PATIENCE_SHARE = 0.5
-"""Share of the time after which a newcomer counts as whole that a voter may be silent before the
-newcomer takes its vote.  The rest is for the election of a leader in its place, the newcomer's
-first words and its copy of the log: with 4 s, votes were turned over 1.8 to 2.7 s after a loss,
-and 0.3 to 0.7 s after the start of a newcomer that came 2 s after it (72 plays of five keepers in
-virtual time, of a leader and of others lost)."""
-READ_SHARE = 0.7
-"""Share of the time in which a change must be in force everywhere that a read may lag."""
+"""How long before the platform kills a stopping entry it ends by itself."""
+HEARTBEAT_TIMEOUT_INTERVALS = 3.5
+"""Heartbeat intervals until a target counts as silent: heartbeats may come seconds late, and
+entries detect dead targets by themselves meanwhile."""
+VOTER_TIMEOUT_SHARE = 0.5
+"""Share of the catch-up time for which a voter may be unreachable before a new keeper replaces it.
+The rest is for the election of another leader, the new keeper's announcement and its copy of the
+log: with 4 s, votes were replaced 1.8 to 2.7 s after a loss, and 0.3 to 0.7 s after the start of a
+keeper that came 2 s after the loss (72 runs of five keepers in virtual time, with the leader or
+another voter lost)."""
+READ_LAG_SHARE = 0.7
+"""Greatest lag of a read, as a share of the time for putting a change in force everywhere."""
 
 
 class _Listen(msgspec.Struct):
@@ -41,7 +42,7 @@
     ready: str = ""
     control: str = ""
     peer: str = ""
-    """Not one of the platform's: where peers are listened to behind a forwarder."""
+    """Listen address for peers behind a forwarder; not among the platform's fields."""
 
 
 class _Tolerate(msgspec.Struct):
@@ -51,7 +52,7 @@
 
 
 class _Bounds(msgspec.Struct):
-    """Times that end in ``_ms`` are in milliseconds, in ``_s`` in seconds."""
+    """Times in fields that end in ``_ms`` are in milliseconds, in ``_s`` in seconds."""
 
     drain_ms: float = 2000
     grace_s: float = 8
@@ -63,11 +64,11 @@
     cold_over: float = 1.5
     cold_slack: float = 5
     catch_up_s: float = 4
-    """So long after its start a keeper counts as whole: then the next disks may be lost."""
+    """Time in which a new keeper must become a full replica; then further disks may be lost."""
 
 
 class Settings(msgspec.Struct):
-    """The fields that are used; the platform may add others."""
+    """The fields in use; the platform may add others."""
 
     node: str
     ip: str
@@ -84,22 +85,22 @@
 
     @property
     def daemon_id(self) -> str:
-        """A machine's name is used again by its successor, so the address belongs to it."""
+        """The host's name with its address, since a replacement host gets the same name."""
         return f"{self.node}@{self.ip}"
 
     @property
     def peer_port(self) -> int:
-        """The first free port; ports are the same on every machine."""
+        """The first port of the range, which is the same on every host."""
         return self.port_range[0]
 
     @property
     def peer_address(self) -> str:
-        """Where this daemon listens to peers."""
+        """This daemon's address for peers."""
         return f"{self.ip}:{self.peer_port}"
 
     @property
     def seed_peers(self) -> tuple[str, ...]:
-        """Peer addresses of the seeds, which are given by their addresses for callers."""
+        """Peer addresses of the seeds, which are listed by their addresses for callers."""
         return tuple(f"{nodes.split_address(seed)[0]}:{self.peer_port}" for seed in self.seeds)
 
 
@@ -109,7 +110,7 @@
     Raises
     ------
     faults.FaultError
-        Of kind ``invalid_config``, with what was got and expected.
+        Of kind ``invalid_config``, with the value and what was expected.
     """
     try:
         values = tomllib.loads(pathlib.Path(path).read_text())
@@ -121,18 +122,18 @@
         ) from error
 
 
-def build_entry_settings(own: Settings) -> entry.EntrySettings:
+def build_entry_settings(settings: Settings) -> entry.EntrySettings:
     """Settings of an entry."""
-    bounds = own.bounds
+    bounds = settings.bounds
     return entry.EntrySettings(
-        name=own.daemon_id,
-        data_hall=own.zone,
-        peer_address=own.peer_address,
-        peer_listen_address=own.listen.peer or own.peer_address,
-        front_address=own.listen.front,
-        ready_address=own.listen.ready,
-        metrics_address=f"{own.ip}:{METRICS_PORT}",
-        seeds=own.seed_peers,
+        name=settings.daemon_id,
+        data_hall=settings.zone,
+        peer_address=settings.peer_address,
+        peer_listen_address=settings.listen.peer or settings.peer_address,
+        front_address=settings.listen.front,
+        ready_address=settings.listen.ready,
+        metrics_address=f"{settings.ip}:{METRICS_PORT}",
+        seeds=settings.seed_peers,
         lease_seconds=bounds.revoke_ms / 1000 * LEASE_SHARE,
         accept_seconds=min(ACCEPT_SECONDS, bounds.grace_s / 2),
         stop_seconds=bounds.grace_s - STOP_MARGIN_SECONDS,
@@ -143,26 +144,26 @@
     )
 
 
-def build_control_settings(own: Settings) -> control.ControlSettings:
+def build_control_settings(settings: Settings) -> control.ControlSettings:
     """Settings of a keeper.
 
-    The lowest seed founds the log, on the first start of all only: every daemon is given the same
-    seeds then.
+    The seed with the lowest address bootstraps the log, and only on the first start of the fleet:
+    all daemons are given the same seeds then.
     """
-    is_first_seed = own.peer_address == min(own.seed_peers, default="")
-    losses = max(own.tolerate.machines, own.tolerate.zones, own.tolerate.regions)
+    is_first_seed = settings.peer_address == min(settings.seed_peers, default="")
+    losses = max(settings.tolerate.machines, settings.tolerate.zones, settings.tolerate.regions)
     return control.ControlSettings(
-        name=own.daemon_id,
-        peer_address=own.peer_address,
-        peer_listen_address=own.listen.peer or own.peer_address,
-        metrics_address=f"{own.ip}:{METRICS_PORT}",
-        data_folder=own.data_dir,
+        name=settings.daemon_id,
+        peer_address=settings.peer_address,
+        peer_listen_address=settings.listen.peer or settings.peer_address,
+        metrics_address=f"{settings.ip}:{METRICS_PORT}",
+        data_folder=settings.data_dir,
         plan=formation.Plan(
-            seeds=own.seed_peers,
+            seeds=settings.seed_peers,
             wished_voters=2 * losses + 1,
-            patience_seconds=own.bounds.catch_up_s * PATIENCE_SHARE,
-            may_found=own.bootstrap and is_first_seed,
+            patience_seconds=settings.bounds.catch_up_s * VOTER_TIMEOUT_SHARE,
+            may_found=settings.bootstrap and is_first_seed,
         ),
-        heartbeat_timeout_seconds=own.heartbeat_ms / 1000 * SILENT_HEARTBEATS,
-        max_read_lag_seconds=own.bounds.config_ms / 1000 * READ_SHARE,
+        heartbeat_timeout_seconds=settings.heartbeat_ms / 1000 * HEARTBEAT_TIMEOUT_INTERVALS,
+        max_read_lag_seconds=settings.bounds.config_ms / 1000 * READ_LAG_SHARE,
     )
--- a/tillerlane/platform/wire.py
+++ b/tillerlane/platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's headers and bodies, decoded once into the product's types and back."""
+"""The platform's headers and bodies, converted to and from the system's types."""
 
 import ipaddress
 import re
@@ -41,14 +41,14 @@
 MAX_WAIT_MS = 24 * 3600 * 1000
 """Bound on a number that a caller sends."""
 MAX_NAME_CHARACTERS = 200
-"""Bound on names and addresses that targets tell; the longest met has 24."""
+"""Bound on names and addresses in targets' reports; the longest in use has 24."""
 MAX_NUMBER_CHARACTERS = 20
-"""Bound on a number that a target tells."""
+"""Bound on a number in a target's response."""
 MAX_COLD_MS = 3600 * 1000
-"""Bound on how long a target says that it works slowly; the longest met is some seconds."""
+"""Bound on how long a target may report to be cold; the longest in use is some seconds."""
 
 _DECIMAL = re.compile(r"[0-9]+(\.[0-9]+)?")
-_OURS = frozenset(
+_SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
         KEY,
@@ -65,14 +65,14 @@
         b"Expect-Version",
     )
 )
-"""Headers that only the system may set; a caller's are not passed on."""
+"""Headers that only the system may set; those of a caller are dropped."""
 
 
-# Requests and answers
+# Requests and responses
 
 
-def _read_number(value: bytes | None) -> int | None:
-    """A number in a header; None if there is none that can be read."""
+def _parse_number(value: bytes | None) -> int | None:
+    """A number in a header; None if it is missing or cannot be parsed."""
     if value is None or not value.strip().isdigit():
         return None
     return min(int(value), MAX_WAIT_MS)
@@ -80,29 +80,29 @@
 
 def decode_request(head: http_head.RequestHead) -> dialect.RequestFacts:
     """Facts of a caller's request."""
-    found = {name.lower(): value for name, value in head.headers}
+    headers = {name.lower(): value for name, value in head.headers}
 
-    def read(name: bytes) -> str:
-        return found.get(name.lower(), b"").strip().decode("latin-1")
+    def get(name: bytes) -> str:
+        return headers.get(name.lower(), b"").strip().decode("latin-1")
 
-    wait_ms = _read_number(found.get(DEADLINE.lower()))
-    # Both counts in one header: the prompt's tokens, and the most that may be written.
-    counts = [_read_number(part.encode()) or 0 for part in read(b"Token-Counts").split(",")]
-    most = counts[1] if len(counts) > 1 else 0
-    hint = _read_number(found.get(b"length-hint"))
+    wait_ms = _parse_number(headers.get(DEADLINE.lower()))
+    # One header has both counts: the prompt's tokens, and the most output tokens.
+    counts = [_parse_number(part.encode()) or 0 for part in get(b"Token-Counts").split(",")]
+    max_output = counts[1] if len(counts) > 1 else 0
+    hint = _parse_number(headers.get(b"length-hint"))
     return dialect.RequestFacts(
-        request_id=read(REQUEST_ID),
+        request_id=get(REQUEST_ID),
         wait_seconds=None if wait_ms is None else wait_ms / 1000,
-        key=read(KEY),
+        key=get(KEY),
         prompt_tokens=counts[0] if counts else 0,
-        output_tokens=most if hint is None else min(hint, most or hint),
-        last_event_id=read(LAST_EVENT_ID),
+        output_tokens=max_output if hint is None else min(hint, max_output or hint),
+        last_event_id=get(LAST_EVENT_ID),
     )
 
 
 def build_forward(head: http_head.RequestHead, plan: dialect.ForwardPlan) -> http_head.RequestHead:
     """The head of a request for one target."""
-    headers = http_head.list_end_to_end(head.headers, _OURS)
+    headers = http_head.list_end_to_end(head.headers, _SYSTEM_HEADERS)
     headers.append((TARGET_ID, incarnations.parse_id(plan.target_id).name.encode()))
     headers.append((DEADLINE, str(max(1, int(plan.wait_seconds * 1000))).encode()))
     if plan.workspace:
@@ -120,31 +120,31 @@
 
 
 def decode_response(head: http_head.AnswerHead) -> dialect.AnswerFacts:
-    """Facts of a target's answer."""
+    """Facts of a target's response."""
     request_id = http_head.get_header(head.headers, REQUEST_ID.lower())
     is_other = head.status == 421
-    # A success or a failure of its own says that it ran the request, whatever else stands there.
-    may_refuse = 400 <= head.status < 500 or head.status == 503
-    refused = may_refuse and http_head.get_header(head.headers, NOT_RUN) is not None
-    limit = _read_decimal(head.headers, RATE_LIMIT)
-    backoff = _read_decimal(head.headers, RETRY_AFTER) if head.status == 503 else None
+    # With any other status the target did run the request, whatever its headers say.
+    may_reject = 400 <= head.status < 500 or head.status == 503
+    is_rejected = may_reject and http_head.get_header(head.headers, NOT_RUN) is not None
+    limit = _parse_decimal(head.headers, RATE_LIMIT)
+    backoff = _parse_decimal(head.headers, RETRY_AFTER) if head.status == 503 else None
     leaving = _join_values(head.headers, LEAVING)
-    words = {"limit": limit, "backoff": backoff, "leaving": None if leaving == "1" else leaving}
+    reports = {"limit": limit, "backoff": backoff, "leaving": None if leaving == "1" else leaving}
     return dialect.AnswerFacts(
         request_id=(request_id or b"").strip().decode("latin-1"),
-        did_run=not refused and not is_other,
+        did_run=not is_rejected and not is_other,
         is_other_target=is_other,
         is_leaving=leaving == "1",
         rate_limit=limit if isinstance(limit, float) else None,
         backoff_seconds=backoff if isinstance(backoff, float) else None,
         unread=tuple(
-            dialect.Unread(word, value) for word, value in words.items() if isinstance(value, str)
+            dialect.Unread(kind, value) for kind, value in reports.items() if isinstance(value, str)
         ),
     )
 
 
-def _read_decimal(headers: http_head.Headers, name: bytes) -> float | str | None:
-    """A header that holds one plain decimal number; its text if it does not, None without one."""
+def _parse_decimal(headers: http_head.Headers, name: bytes) -> float | str | None:
+    """A decimal number in a header; its text if it is not one, None without the header."""
     text = _join_values(headers, name)
     if text is None or len(text) > MAX_NUMBER_CHARACTERS or not _DECIMAL.fullmatch(text):
         return text
@@ -152,13 +152,13 @@
 
 
 def _join_values(headers: http_head.Headers, name: bytes) -> str | None:
-    """All different values of a header, which may stand more than once; None without one."""
+    """All distinct values of a header, which may be repeated; None without one."""
     values = [value.strip().decode("latin-1") for known, value in headers if known.lower() == name]
     return ", ".join(dict.fromkeys(values))[:MAX_NAME_CHARACTERS] if values else None
 
 
 def build_refusal(status: int, retry_after: float | None) -> http_head.AnswerHead:
-    """The head of an answer of our own."""
+    """The head of an entry's own response."""
     headers: http_head.Headers = []
     if retry_after is not None:
         headers.append((b"Retry-After", f"{retry_after:.2f}".encode()))
@@ -174,7 +174,7 @@
 
 
 class _Route(msgspec.Struct):
-    """``goal_ms`` is the time within which an answer earns its full credit."""
+    """``goal_ms`` is the time within which a response gets its full credit."""
 
     name: str
     host: str
@@ -292,20 +292,20 @@
     Raises
     ------
     faults.FaultError
-        Of kind ``invalid_config`` if it cannot be read whole or breaks a rule.
+        Of kind ``invalid_config`` if it cannot be decoded or breaks a rule.
     """
     try:
         document = _decode_document(data)
-        found = [_build_route(item) for item in document.routes]
+        found_routes = [_build_route(item) for item in document.routes]
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        message = f"cannot be read: {error}"
+        message = f"cannot be decoded: {error}"
         raise faults.FaultError(
             faults.new_fault(kinds.ErrorKind.INVALID_CONFIG, message)
         ) from error
     limits = document.limits
     table = routes.RoutingTable(
         version=document.version,
-        routes=tuple(found),
+        routes=tuple(found_routes),
         pools={item.name: _build_pool(item) for item in document.services},
         limits=routes.ClientLimits(
             limits.max_header_bytes,
@@ -335,14 +335,14 @@
 
 _Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_CHARACTERS)]
 _Count = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-"""What fits a column of the messages between our daemons."""
+"""Range of a column in the messages between daemons."""
 
 
 class Heartbeat(msgspec.Struct):
     """Body of a target's heartbeat.
 
-    What the target needs to be used must be there, of its type and within bounds: another writer's
-    word must neither be used nor keep others from being told.
+    The fields that are needed to use the target must be present, of the right type and within
+    bounds: a report from another sender must not be used, nor disturb other targets' reports.
     """
 
     service: _Name
@@ -354,11 +354,11 @@
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_MS)] = 0.0
     """How much longer it works slowly after its start."""
     born: _Count = 0
-    """Unix milliseconds of its start; older targets don't tell."""
+    """Unix milliseconds of its start; older targets do not report it."""
 
 
 class Leave(msgspec.Struct):
-    """Body of a target's word that it goes now; it may be empty."""
+    """Body of a target's report that it leaves now; it may be empty."""
 
     born: _Count = 0
 
@@ -368,7 +368,7 @@
 
 
 def check_target_name(name: str) -> str:
-    """A target's own id, as it goes into the head of each request for it.
+    """A target's own id, which is a header of each request to it.
 
     Raises
     ------
@@ -390,16 +390,16 @@
         Of kind ``bad_request``.
     """
     try:
-        told = _decode_heartbeat(data)
-        _check_address(told.addr)
-        return told
+        heartbeat = _decode_heartbeat(data)
+        _check_address(heartbeat.addr)
+        return heartbeat
     except (msgspec.DecodeError, ValueError) as error:
-        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"no heartbeat: {error}")
+        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"invalid heartbeat: {error}")
         raise faults.FaultError(fault) from error
 
 
 def _check_address(address: str) -> None:
-    """Refuse what is no ``IP:port``."""
+    """Raise `ValueError` unless an address is ``IP:port``."""
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 2**16):
@@ -407,7 +407,7 @@
 
 
 def decode_leave(data: bytes) -> Leave:
-    """A target's word that it goes now.
+    """A target's report that it leaves now.
 
     Raises
     ------
@@ -419,5 +419,5 @@
     try:
         return _decode_leave(data)
     except (msgspec.DecodeError, ValueError) as error:
-        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"no word of leaving: {error}")
+        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"invalid leave report: {error}")
         raise faults.FaultError(fault) from error
