--- a/tillerlane/gateway/tests/test_evacuation.py
+++ b/tillerlane/gateway/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Orders on data halls: nothing new goes to the targets of one that is evacuated, by any way."""
+"""Evacuation of data halls: no new work reaches the targets of an evacuated one on any path."""
 
 import asyncio
 import unittest
@@ -14,43 +14,43 @@
 from tillerlane.testing import gateway_lab, gateway_scenes
 
 HALL = "hall-b"
-SPREAD_SECONDS = 0.1
+PROPAGATION_SECONDS = 0.1
 """Time from an order's acknowledgement within which it is in force everywhere; the bound is 5 s."""
 
 
 def build_order(evacuated: bool, against: int, hall: str = HALL) -> commands.Evacuate:
-    """An order as a command."""
+    """An evacuation order as a command."""
     return commands.Evacuate(hall, evacuated, against, "operator", 0)
 
 
 class MachineTest(unittest.TestCase):
-    """The replicated state alone."""
+    """The replicated state on its own."""
 
     def setUp(self) -> None:
-        """An empty state."""
+        """Create an empty state."""
         self.state = machine.Machine()
         self.index = 0
 
     def apply(self, evacuated: bool, against: int) -> bool:
-        """Apply an order; whether it was accepted."""
+        """Apply an order; returns whether it was accepted."""
         self.index += 1
         return self.state.apply(1, self.index, build_order(evacuated, against))["accepted"]
 
-    def read_halls(self) -> set[str]:
-        """Halls that are evacuated."""
+    def list_halls(self) -> set[str]:
+        """Data halls that are evacuated."""
         return set(self.state.store.list_names(stores.EVACUATIONS))
 
     def test_resent_order_is_accepted_and_changes_nothing(self) -> None:
         self.assertTrue(self.apply(True, 0))
         self.assertTrue(self.apply(True, 0))
-        self.assertEqual((self.read_halls(), self.state.store.version), ({HALL}, 1))
+        self.assertEqual((self.list_halls(), self.state.store.version), ({HALL}, 1))
 
-    def test_order_still_on_its_way_does_not_undo_a_later_one(self) -> None:
-        """Start, end, and then the first start again, as a keeper on its way had it."""
+    def test_delayed_order_does_not_undo_a_later_one(self) -> None:
+        """Start, end, and then the first start again, delayed at a keeper that forwards it."""
         self.assertTrue(self.apply(True, 0))
         self.assertTrue(self.apply(False, 1))
         self.assertFalse(self.apply(True, 0))
-        self.assertEqual(self.read_halls(), set())
+        self.assertEqual(self.list_halls(), set())
 
     def test_snapshot_keeps_it(self) -> None:
         self.apply(True, 0)
@@ -64,20 +64,20 @@
         self.assertEqual(stores.diff_documents(self.state.store.get_bodies(), {}), ({}, []))
 
 
-class WaysTest(gateway_scenes.GatewayCase):
-    """Every way in which a request reaches a runner, with the only other runner evacuated."""
+class PathsTest(gateway_scenes.GatewayCase):
+    """Every path on which a request reaches a runner, with the only other runner evacuated."""
 
     def play_evacuated(
         self, pool: str, scene: Callable[[gateway_lab.GatewayLab], Awaitable[None]], **more: int
     ) -> None:
-        """Play a scene with a target in each of two halls, one of which is evacuated first."""
+        """Play a scene with a target in each of two data halls, one of which is evacuated first."""
 
         async def run(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("here", pool, "hall-a", **more)
             await stage.add_runner("there", pool, HALL, **more)
             await asyncio.sleep(0.2)
             await stage.keepers["keeper-1"].evacuate(HALL, True)
-            await asyncio.sleep(SPREAD_SECONDS)
+            await asyncio.sleep(PROPAGATION_SECONDS)
             await scene(stage)
             self.assertEqual([item.request_id for item in stage.runners["there"].ran], [])
             self.assertEqual(stage.runners["there"].turned_away, [])
@@ -100,7 +100,7 @@
             with self.subTest(route):
                 self.play_evacuated(pool, scene, length=length)
 
-    def test_second_ask_and_retry(self) -> None:
+    def test_repeated_sends_and_retries(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             stage.runners["here"].answer_status = 500
             self.assertEqual((await stage.call("entry-1", "price", "r1")).status, 500)
@@ -112,7 +112,7 @@
 
         self.play_evacuated("app", scene)
 
-    def test_run_anew_behind_the_last_event(self) -> None:
+    def test_rerun_after_the_last_event(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             stage.runners["here"].breaks_at = 3
             answer = await stage.call("entry-1", "verdict", "r1")
@@ -151,7 +151,7 @@
 
         self.play(scene)
 
-    def test_copies_made_as_a_run_grows(self) -> None:
+    def test_copies_made_during_a_run(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             calls = [
                 asyncio.create_task(
@@ -166,7 +166,7 @@
 
         self.play_evacuated("llm", scene, length=20)
 
-    def test_copy_that_grew_before_the_order_is_not_gone_on_with(self) -> None:
+    def test_run_is_not_resumed_from_a_copy_that_was_made_before_the_order(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             names = ("here", "there")
             await stage.add_runner("here", "llm", "hall-a", length=60)
@@ -184,7 +184,7 @@
             calls.append(asyncio.create_task(late))
             await asyncio.sleep(0.3)
             await stage.keepers["keeper-1"].evacuate(HALL, True)
-            await asyncio.sleep(SPREAD_SECONDS)
+            await asyncio.sleep(PROPAGATION_SECONDS)
             before = [len(stage.runners[name].ran) for name in names]
             stage.runners["here"].crash()
             await asyncio.gather(*calls)
@@ -193,8 +193,8 @@
 
         self.play(scene)
 
-    def test_send_that_was_on_its_way(self) -> None:
-        """The order comes while the connection to the chosen target is opened."""
+    def test_send_during_the_order(self) -> None:
+        """The order arrives while the connection to the chosen target is opened."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             entry = stage.entries["entry-1"]
@@ -215,12 +215,12 @@
 
         self.play(scene)
 
-    def test_with_nothing_left_a_request_is_refused_at_once(self) -> None:
+    def test_request_without_any_target_left_is_refused_at_once(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("there", "app", HALL)
             await asyncio.sleep(2.0)
             await stage.keepers["keeper-1"].evacuate(HALL, True)
-            await asyncio.sleep(SPREAD_SECONDS)
+            await asyncio.sleep(PROPAGATION_SECONDS)
             began = asyncio.get_running_loop().time()
             answer = await stage.call("entry-1", "order", "r1")
             self.assertLess(asyncio.get_running_loop().time() - began, 0.1)
@@ -228,12 +228,12 @@
             self.assertGreater(float(answer.headers["retry-after"]), 0.5)
             self.assertEqual(stage.runners["there"].ran, [])
             await stage.keepers["keeper-1"].evacuate(HALL, False)
-            await asyncio.sleep(SPREAD_SECONDS)
+            await asyncio.sleep(PROPAGATION_SECONDS)
             self.assertEqual((await stage.call("entry-1", "order", "r2")).status, 200)
 
         self.play(scene)
 
-    def test_runs_under_way_end_in_peace(self) -> None:
+    def test_runs_under_way_finish(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             there = await stage.add_runner("there", "llm", HALL, length=60)
             await asyncio.sleep(0.2)
@@ -257,7 +257,7 @@
     wished_voters = 5
 
     def assert_in_force(self, stage: gateway_lab.GatewayLab, halls: set[str]) -> None:
-        """All live daemons hold these orders."""
+        """Check that all live daemons hold these orders."""
         held = {
             **{name: set(item.list_evacuated()) for name, item in stage.keepers.items()},
             **{name: set(item.directory.evacuated) for name, item in stage.entries.items()},
@@ -272,13 +272,13 @@
                     began = loop.time()
                     await stage.keepers[name].evacuate(HALL, evacuated)
                     self.assertLess(loop.time() - began, 0.5)
-                    await asyncio.sleep(SPREAD_SECONDS)
+                    await asyncio.sleep(PROPAGATION_SECONDS)
                     for entry in stage.entries.values():
                         self.assertEqual(entry.directory.evacuated, {HALL} if evacuated else set())
 
         self.play(scene)
 
-    def test_last_acknowledged_order_holds_whoever_is_asked(self) -> None:
+    def test_last_acknowledged_order_wins_at_any_keeper(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for number in range(20):
                 keeper = stage.keeper_names[number % 5]
@@ -295,7 +295,7 @@
 
         self.play(scene)
 
-    def test_outlives_power_off_for_all_and_two_lost_disks(self) -> None:
+    def test_survives_a_power_loss_of_all_and_two_lost_disks(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.keepers["keeper-3"].evacuate(HALL, True)
             for name in stage.keeper_names:
@@ -319,7 +319,7 @@
             leader = next(
                 name for name, item in stage.keepers.items() if item.replica.standing == "leader"
             )
-            stage.keepers[leader]._subscribers.clear()  # its push reaches nobody
+            stage.keepers[leader]._subscribers.clear()  # its push reaches no entry
             await stage.keepers[leader].evacuate(HALL, True)
             await stage.kill_keeper(leader)
             await asyncio.sleep(3)
@@ -341,7 +341,7 @@
 
         self.play(run)
 
-    def test_entry_that_is_cut_off_trusts_no_key_once_its_word_may_be_old(self) -> None:
+    def test_entry_that_is_cut_off_refuses_once_its_lease_has_expired(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             there = await stage.add_runner("there", "app", HALL)
             await asyncio.sleep(0.5)
@@ -356,7 +356,7 @@
 
         self.play(scene)
 
-    def test_names_that_can_be_none_are_refused(self) -> None:
+    def test_invalid_names_are_rejected(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for name in ("", "x" * 101, "a\nb"):
                 with self.assertRaises(faults.FaultError) as caught:
@@ -384,16 +384,16 @@
                 address = f"10.0.0.{number}:8100"
                 await control_api.build_server(keeper).listen(address)
                 self.assertEqual(await self.post(address, f"/Evacuate.Start/{HALL}"), 200)
-                await asyncio.sleep(SPREAD_SECONDS)
+                await asyncio.sleep(PROPAGATION_SECONDS)
                 self.assertEqual(stage.entries["entry-1"].directory.evacuated, {HALL})
                 self.assertEqual(await self.post(address, f"/Evacuate.End/{HALL}"), 200)
-                await asyncio.sleep(SPREAD_SECONDS)
+                await asyncio.sleep(PROPAGATION_SECONDS)
                 self.assertEqual(stage.entries["entry-1"].directory.evacuated, set())
                 self.assertEqual(await self.post(address, "/Evacuate.Start/"), 404)
 
         self.play(scene)
 
-    def test_keeper_without_a_leader_says_so_in_time(self) -> None:
+    def test_keeper_without_a_leader_answers_503_in_time(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await control_api.build_server(stage.keepers["keeper-1"]).listen("10.0.0.1:8100")
             stage.network.isolate("keeper-1")
--- a/tillerlane/gateway/tests/test_homes.py
+++ b/tillerlane/gateway/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Which keepers an entry listens to, while the keepers are cut in two."""
+"""Which keepers an entry subscribes to while the keepers are partitioned."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 
 
 def cut_off(stage: gateway_lab.GatewayLab, minority: list[str]) -> None:
-    """Cut a minority of keepers off from the other keepers; entries reach all."""
+    """Cut a minority of keepers off from the other keepers; entries still reach all."""
     for name in minority:
         for other in stage.keeper_names:
             if other not in minority:
@@ -41,7 +41,7 @@
 
         self.play(scene)
 
-    def test_few_entries_hear_what_a_keeper_that_is_cut_off_was_told(self) -> None:
+    def test_entries_of_a_small_fleet_get_updates_of_a_keeper_that_is_cut_off(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "app")
             await asyncio.sleep(0.5)
@@ -55,7 +55,7 @@
 
         self.play(scene)
 
-    def test_what_was_heard_on_one_side_of_a_cut_is_known_everywhere_after_it(self) -> None:
+    def test_updates_from_one_side_of_a_partition_reach_all_daemons_after_it(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "app")
             await asyncio.sleep(0.5)
--- a/tillerlane/gateway/tests/test_incarnations.py
+++ b/tillerlane/gateway/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Words of several incarnations of a target, in any order, at keepers and entries."""
+"""Reports of several incarnations of a target, in any order, at keepers and entries."""
 
 import asyncio
 import unittest
@@ -11,76 +11,80 @@
 
 PHASES = (directories.Phase.READY, directories.Phase.DRAINING, directories.Phase.GONE)
 DAEMONS = 5
-"""Two keepers and three entries; each may hear from a target or from any other one."""
+"""Two keepers and three entries; each may get reports from a target or from any other one."""
 
-WORDS = strategies.tuples(
+REPORTS = strategies.tuples(
     strategies.integers(0, DAEMONS - 1),
     strategies.sampled_from(("a", "b")),
     strategies.integers(0, 3),
     strategies.integers(1, 5),
     strategies.sampled_from(PHASES),
 )
-"""At which daemon, target, start, count of its words, phase."""
-PASSES = strategies.tuples(
+"""Receiving daemon, target, start, sequence number, phase."""
+TRANSFERS = strategies.tuples(
     strategies.integers(0, DAEMONS - 1), strategies.integers(0, DAEMONS - 1), strategies.booleans()
 )
-"""From which daemon to which, and whether as all targets at once."""
+"""Sending daemon, receiving daemon, and whether as a full state."""
 
 
 class IdTest(unittest.TestCase):
-    """Ids that name a target and its start."""
+    """Ids that hold a target's name and its start."""
 
     @profiles.choose(200)
     @given(strategies.text(max_size=8), strategies.integers(0, 2**63 - 1))
-    def test_ids_tell_both_again(self, name: str, started_ms: int) -> None:
+    def test_ids_are_parsed_into_both_parts(self, name: str, started_ms: int) -> None:
         found = incarnations.parse_id(incarnations.build_id(name, started_ms))
         self.assertEqual(found, incarnations.Incarnation(name, started_ms))
 
-    def test_target_that_tells_no_start_keeps_its_id(self) -> None:
+    def test_target_that_reports_no_start_keeps_its_id(self) -> None:
         self.assertEqual(incarnations.build_id("i-7", 0), "i-7")
 
-    def test_id_that_looks_like_one_with_a_start_is_not_taken_for_one(self) -> None:
+    def test_name_that_looks_like_an_id_with_a_start_is_not_mistaken_for_one(self) -> None:
         self.assertNotEqual(incarnations.build_id("i-7#5", 0), incarnations.build_id("i-7", 5))
 
 
 class _Oracle:
-    """What a daemon should believe: of each target the latest start, and its most final phase.
+    """What a daemon should hold: of each target the latest start, and its most final phase.
 
-    The highest count matters while a target is ready; one that leaves comes back in no later word.
+    The highest sequence number matters while a target is ready; no later report reverts leaving.
     """
 
     def __init__(self) -> None:
         self.known: dict[str, tuple[int, int, int]] = {}
 
-    def read(self) -> dict[str, tuple[int, int, int]]:
-        """What is believed, without counts of targets that leave."""
+    def get_known(self) -> dict[str, tuple[int, int, int]]:
+        """What should be held, without sequence numbers of targets that leave."""
         return {
             name: (started_ms, 0 if finality else seq, finality)
             for name, (started_ms, seq, finality) in self.known.items()
         }
 
-    def take(self, name: str, started_ms: int, seq: int, finality: int) -> None:
-        """Take a word, whoever passed it on."""
+    def merge(self, name: str, started_ms: int, seq: int, finality: int) -> None:
+        """Merge a report, whatever its source."""
         held = self.known.get(name)
         if held is None or started_ms > held[0]:
             self.known[name] = (started_ms, seq, finality)
         elif started_ms == held[0]:
             self.known[name] = (started_ms, max(seq, held[1]), max(finality, held[2]))
 
-    def take_all(self, other: "_Oracle") -> None:
-        """Take all that another daemon believes."""
+    def merge_all(self, other: "_Oracle") -> None:
+        """Merge all that another daemon holds."""
         for name, (started_ms, seq, finality) in other.known.items():
-            self.take(name, started_ms, seq, finality)
+            self.merge(name, started_ms, seq, finality)
 
 
-def read_known(directory: directories.Directory) -> dict[str, tuple[int, int, int]]:
-    """What a daemon believes, in the oracle's form."""
+def collect_known(directory: directories.Directory) -> dict[str, tuple[int, int, int]]:
+    """What a daemon holds, in the oracle's form."""
     found = {}
     for target_id, target in directory.targets.items():
-        told_of = incarnations.parse_id(target_id)
-        assert told_of.name not in found, "two incarnations of one target"
+        incarnation = incarnations.parse_id(target_id)
+        assert incarnation.name not in found, "two incarnations of one target"
         finality = PHASES.index(target.phase)
-        found[told_of.name] = (told_of.started_ms, 0 if finality else target.sequence, finality)
+        found[incarnation.name] = (
+            incarnation.started_ms,
+            0 if finality else target.sequence,
+            finality,
+        )
     return found
 
 
@@ -88,59 +92,59 @@
     """Against the oracle."""
 
     @profiles.choose(150)
-    @given(strategies.lists(strategies.one_of(WORDS, PASSES), max_size=30))
-    def test_later_start_holds_whatever_comes_late(self, steps: list[tuple]) -> None:
+    @given(strategies.lists(strategies.one_of(REPORTS, TRANSFERS), max_size=30))
+    def test_later_start_wins_over_late_reports(self, steps: list[tuple]) -> None:
         async def play() -> None:
             daemons = [directories.Directory() for _ in range(DAEMONS)]
             oracles = [_Oracle() for _ in range(DAEMONS)]
             for step in steps:
                 if len(step) == 3:
                     source, receiver, full = step
-                    self.pass_on(daemons[source], daemons[receiver], full=full)
-                    oracles[receiver].take_all(oracles[source])
+                    self.transfer(daemons[source], daemons[receiver], full=full)
+                    oracles[receiver].merge_all(oracles[source])
                     continue
                 number, name, started_ms, seq, phase = step
                 daemons[number].merge(self.build(name, started_ms, seq, phase))
-                oracles[number].take(name, started_ms, seq, PHASES.index(phase))
-                self.assertEqual(read_known(daemons[number]), oracles[number].read())
+                oracles[number].merge(name, started_ms, seq, PHASES.index(phase))
+                self.assertEqual(collect_known(daemons[number]), oracles[number].get_known())
             for source in daemons * 2:
                 for receiver in daemons:
-                    self.pass_on(source, receiver, full=True)
-            everything = _Oracle()
+                    self.transfer(source, receiver, full=True)
+            merged = _Oracle()
             for oracle in oracles:
-                everything.take_all(oracle)
+                merged.merge_all(oracle)
             for daemon in daemons:
-                self.assertEqual(read_known(daemon), everything.read())
+                self.assertEqual(collect_known(daemon), merged.get_known())
 
         lab.run_virtual(play())
 
     def build(
         self, name: str, started_ms: int, seq: int, phase: directories.Phase
     ) -> directories.Target:
-        """A target's word, as a daemon takes it."""
+        """A target's report, as a daemon merges it."""
         target_id = incarnations.build_id(name, started_ms)
         heard_at = asyncio.get_running_loop().time()
         return directories.Target(
             target_id, "app", f"10.0.9.{started_ms}:9000", "hall-a", 6, phase, seq, heard_at
         )
 
-    def pass_on(
+    def transfer(
         self,
         source: directories.Directory,
         receiver: directories.Directory,
         *,
         full: bool,
     ) -> None:
-        """Have a daemon tell another one all that it believes."""
+        """Send all that a daemon holds to another one."""
         told = directories.encode_states(source.targets.values(), full=full)
         for target in directories.decode_states(told):
             receiver.merge(target)
 
 
-class EndTest(unittest.TestCase):
-    """What becomes of a former incarnation."""
+class SupersededTest(unittest.TestCase):
+    """What happens to a former incarnation."""
 
-    def test_former_one_is_told_gone_and_over_before_the_present_one_is_told(self) -> None:
+    def test_listeners_see_the_former_one_gone_before_the_latest_one(self) -> None:
         async def play() -> None:
             directory = directories.Directory()
             told: list[tuple[str, directories.Phase, bool]] = []
@@ -165,7 +169,7 @@
 
         lab.run_virtual(play())
 
-    def test_phase_that_is_not_known_names_no_target_and_the_others_hold(self) -> None:
+    def test_row_with_an_unknown_phase_is_skipped_and_the_others_count(self) -> None:
         async def play() -> None:
             build = OrderTest().build
             rows = [build(name, 1, 1, directories.Phase.READY) for name in "ab"]
--- a/tillerlane/gateway/tests/test_leaving.py
+++ b/tillerlane/gateway/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Targets that say in their answers that they leave."""
+"""Targets that report in their answers that they leave."""
 
 import asyncio
 import unittest
@@ -7,24 +7,24 @@
 from tillerlane.gateway import incarnations
 from tillerlane.testing import gateway_lab, gateway_scenes, limit_scenes
 
-TOLD_SECONDS = 0.5
-"""Time by which all entries have to know that a target leaves."""
+PROPAGATION_SECONDS = 0.5
+"""Time within which all entries have to know that a target leaves."""
 
 
 class LeavingTest(limit_scenes.LimitCase):
-    """The word of leaving is in an answer; heartbeats say nothing of it."""
+    """Answers report the leaving, and heartbeats do not."""
 
     entries = 4
 
-    def test_targets_get_new_requests_after_answers_that_say_they_leave(self) -> None:
+    def test_target_gets_no_new_requests_after_an_answer_that_reports_leaving(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 3)
             rates = dict.fromkeys(stage.entry_names, 4.0)
             stage.runners["app-1"].leaving = "1"
             began = asyncio.get_running_loop().time()
             answers = await self.ask(stage, rates, 4.0)
-            told_at = min(run.began for run in stage.runners["app-1"].ran if run.began >= began)
-            self.assertEqual(self.list_sends(stage, "app-1", told_at + TOLD_SECONDS), [])
+            reported_at = min(run.began for run in stage.runners["app-1"].ran if run.began >= began)
+            self.assertEqual(self.list_sends(stage, "app-1", reported_at + PROPAGATION_SECONDS), [])
             self.assertEqual({answer.status for answer in answers}, {200})
             for entry in stage.entries.values():
                 phase = entry.directory.targets["app-1"].phase
@@ -44,7 +44,7 @@
 
         self.play(scene)
 
-    def test_entry_without_keepers_sends_to_a_target_that_told_it_of_its_leaving(self) -> None:
+    def test_entry_without_keepers_sends_nothing_to_a_target_that_reported_leaving(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 2)
             stage.network.isolate("entry-1")
@@ -61,7 +61,7 @@
 
         self.play(scene)
 
-    def test_word_is_lost_when_keepers_start_again(self) -> None:
+    def test_leaving_is_still_known_after_keepers_restart(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 2)
             stage.runners["app-1"].leaving = "1"
@@ -79,24 +79,24 @@
 
         self.play(scene)
 
-    def test_target_that_has_started_again_is_not_used(self) -> None:
+    def test_restarted_target_is_used_again(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 2)
             stage.runners["app-1"].leaving = "1"
             rates = dict.fromkeys(stage.entry_names, 4.0)
             await self.ask(stage, rates, 1.0)
             stage.runners["app-1"].leaving = ""
-            again = incarnations.build_id("app-1", 2_000)
-            stage.runners[again] = stage.runners["app-1"]
-            stage.beat(again, "app")
+            restarted = incarnations.build_id("app-1", 2_000)
+            stage.runners[restarted] = stage.runners["app-1"]
+            stage.beat(restarted, "app")
             await asyncio.sleep(0.5)
             began = asyncio.get_running_loop().time()
             await self.ask(stage, rates, 2.0)
-            self.assertGreater(len(self.list_sends(stage, again, began)), 8)
+            self.assertGreater(len(self.list_sends(stage, restarted, began)), 8)
 
         self.play(scene)
 
-    def test_runs_end_with_a_target_that_told_others_of_its_leaving(self) -> None:
+    def test_runs_survive_a_target_that_reported_leaving_to_other_entries(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 2, "llm", length=150)
             calls = asyncio.create_task(
@@ -114,8 +114,8 @@
             runner.crash()
             answers = await calls
             self.assertTrue(all(answer.is_whole for answer in answers))
-            taken_up = {run.request_id for run in stage.runners["llm-2"].ran if run.goes_on}
-            self.assertLessEqual({run.request_id for run in running}, taken_up)
+            resumed = {run.request_id for run in stage.runners["llm-2"].ran if run.goes_on}
+            self.assertLessEqual({run.request_id for run in running}, resumed)
 
         self.play(scene)
 
--- a/tillerlane/gateway/tests/test_life.py
+++ b/tillerlane/gateway/tests/test_life.py
@@ -1,4 +1,4 @@
-"""Planned stops and restarts of an entry, and the whole fleet's return."""
+"""Planned stops and restarts of an entry, and a restart of the whole fleet."""
 
 import asyncio
 import unittest
@@ -9,8 +9,8 @@
 TOKENS = {"Token_Counts": "100,10", "Model": "m"}
 
 
-async def ask_ready(stage: gateway_lab.GatewayLab, name: str) -> int:
-    """Status of an entry's readiness, as the balancer sees it; 0 without an answer."""
+async def get_ready_status(stage: gateway_lab.GatewayLab, name: str) -> int:
+    """Status of an entry's readiness check; 0 without an answer."""
     host = stage.get_address(name).partition(":")[0]
     try:
         exchange = await http_client.connect(f"{host}:8001", 1.0)
@@ -21,19 +21,19 @@
 
 
 class PlannedStopTest(gateway_scenes.GatewayCase):
-    """A stop that was asked for cuts nothing short."""
+    """A planned stop truncates no answer."""
 
     def test_unready_at_once_and_serving_until_idle(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=60)
             await stage.add_runner("t2", "app")
             await asyncio.sleep(0.5)
-            self.assertEqual(await ask_ready(stage, "entry-1"), 200)
+            self.assertEqual(await get_ready_status(stage, "entry-1"), 200)
             stream = asyncio.create_task(stage.call("entry-1", "record", "r1", **TOKENS))
             await asyncio.sleep(0.2)
             stopping = asyncio.create_task(stage.entries["entry-1"].stop())
             await asyncio.sleep(0.1)
-            self.assertEqual(await ask_ready(stage, "entry-1"), 503)
+            self.assertEqual(await get_ready_status(stage, "entry-1"), 503)
             late = await stage.call("entry-1", "order", "r2")
             self.assertEqual(late.status, 200)
             answer = await stream
@@ -43,7 +43,7 @@
 
         self.play(scene)
 
-    def test_what_outlasts_the_grace_does_not_look_whole(self) -> None:
+    def test_answer_that_outlasts_the_grace_period_does_not_look_complete(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=900)
             await asyncio.sleep(0.5)
@@ -60,7 +60,7 @@
 
 
 class RecoveryTest(gateway_scenes.GatewayCase):
-    """All keepers are killed at once and come back."""
+    """All keepers are killed at once and restarted."""
 
     def test_served_again_soon_after_the_keepers_are_back(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -74,19 +74,19 @@
                 await stage.start_keeper(name)
             await asyncio.sleep(5)
             self.assertEqual((await stage.call("entry-1", "order", "r2")).status, 200)
-            self.assertEqual(await ask_ready(stage, "entry-1"), 200)
+            self.assertEqual(await get_ready_status(stage, "entry-1"), 200)
 
         self.play(scene)
 
 
 class FleetRestartTest(gateway_scenes.GatewayCase):
-    """Keepers and entries start together, after all of them were stopped."""
+    """Keepers and entries start together after all of them were stopped."""
 
     keepers = 5
     wished_voters = 5
 
     async def stop_all(self, stage: gateway_lab.GatewayLab) -> str:
-        """Stop everything but the targets; gives the keeper that led."""
+        """Stop everything but the targets; returns the name of the leader."""
         leader = next(name for name, item in stage.keepers.items() if item.replica.has_lease)
         for version in range(2, 17):
             await stage.publish("keeper-1", gateway_lab.build_document(version))
@@ -98,7 +98,7 @@
     async def measure(self, stage: gateway_lab.GatewayLab, order: list[str], gap: float) -> float:
         """Start daemons in an order; seconds from the last start to a served request.
 
-        A request is sent at the moment at which the entry starts, and waits there.
+        The request is sent at the moment when the entry starts, and waits there.
         """
         loop = asyncio.get_running_loop()
         calls = []
@@ -116,15 +116,15 @@
         self.assertEqual(answer.status, 200)
         return loop.time() - began
 
-    def check(self, order_of: object, most: float, gap: float = 0.0) -> None:
-        """Play one way of coming back."""
+    def check(self, build_order: object, max_seconds: float, gap: float = 0.0) -> None:
+        """Play a restart in one order."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=3)
             await asyncio.sleep(0.5)
             leader = await self.stop_all(stage)
-            order = order_of(stage, leader)  # type: ignore[operator]
-            self.assertLess(await self.measure(stage, order, gap), most)
+            order = build_order(stage, leader)  # type: ignore[operator]
+            self.assertLess(await self.measure(stage, order, gap), max_seconds)
 
         self.play(scene)
 
--- a/tillerlane/gateway/tests/test_operations.py
+++ b/tillerlane/gateway/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The ways of docs/OPERATIONS.md: from a failed request's id to its cause, by its log lines."""
+"""The diagnoses of docs/OPERATIONS.md: from a failed request's id to its cause, by log lines."""
 
 import asyncio
 import pathlib
@@ -14,7 +14,7 @@
 
 
 def read_lines(stage: gateway_lab.GatewayLab, request_id: str) -> list[dict[str, Any]]:
-    """What the entry wrote of a request, as name and facts."""
+    """The entry's log lines about a request, as event and fields."""
     return [
         {"event": event.name, **event.fields}
         for event in stage.entries["entry-1"].timeline.read()
@@ -22,8 +22,8 @@
     ]
 
 
-class WaysTest(gateway_scenes.GatewayCase):
-    """Each failure of the page is caused, and its cause is found by the request's id alone."""
+class DiagnosisTest(gateway_scenes.GatewayCase):
+    """Each failure on the page is caused, and its cause is found by the request's id alone."""
 
     def test_stream_that_broke_off_when_its_runner_left(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -46,7 +46,7 @@
 
         self.play(scene)
 
-    def test_refusal_for_backoff_that_a_target_asked_for(self) -> None:
+    def test_refusal_for_backoff_that_a_target_requested(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             runner.refuses, runner.backoff = True, "3"
@@ -56,16 +56,16 @@
             (line,) = read_lines(stage, "r2")
             self.assertEqual((answer.status, line["status"]), (503, 503))
             self.assertIn("no target but 1 that asked for back-off", line["reason"])
-            told, sent, refused = read_lines(stage, "r1")
-            self.assertEqual((told["event"], told["target"]), ("target.backoff", "t1"))
-            self.assertEqual((told["seconds"], told["is_news"]), (3.0, True))
+            backoff, sent, refused = read_lines(stage, "r1")
+            self.assertEqual((backoff["event"], backoff["target"]), ("target.backoff", "t1"))
+            self.assertEqual((backoff["seconds"], backoff["is_news"]), (3.0, True))
             self.assertEqual((sent["event"], sent["target"]), ("request.send", "t1"))
             self.assertEqual(refused["event"], "request.refuse")
             self.assertGreater(refused["retry_after"], 2.9)
 
         self.play(scene)
 
-    def test_request_served_elsewhere_after_a_target_turned_it_away(self) -> None:
+    def test_request_served_elsewhere_after_a_target_rejected_it(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             runner.refuses, runner.backoff = True, "1"
@@ -75,8 +75,8 @@
             while not runner.arrived:
                 number += 1
                 await stage.call("entry-1", "order", f"r{number}")
-            told, sent, ended = read_lines(stage, f"r{number}")
-            self.assertEqual((told["event"], told["target"]), ("target.backoff", "t1"))
+            backoff, sent, ended = read_lines(stage, f"r{number}")
+            self.assertEqual((backoff["event"], backoff["target"]), ("target.backoff", "t1"))
             self.assertIn("turned away", sent["reason"])
             self.assertEqual((ended["event"], ended["target"]), ("request.end", "t2"))
             runner.refuses = False
@@ -149,11 +149,11 @@
             runners[0].is_cut_off = False
             await asyncio.sleep(1.0)
             lines = {line["event"]: line for line in read_lines(stage, backed[0])}
-            went, stopped = lines["run.go_on"], lines["run.stop"]
-            self.assertEqual((went["former"], went["target"]), ("t1", "t2"))
-            self.assertEqual(went["cause"], "silent and out of reach")
+            resumed, stopped = lines["run.go_on"], lines["run.stop"]
+            self.assertEqual((resumed["former"], resumed["target"]), ("t1", "t2"))
+            self.assertEqual(resumed["cause"], "silent and out of reach")
             self.assertEqual((stopped["source"], stopped["evidence"]), ("t1", "stopped"))
-            # For this long both may have worked: from the last look to the first way there.
+            # Both runners may have worked for this long: from the last contact to the next one.
             self.assertGreater(stopped["took_ms"], 900)
             self.assertGreater(stopped["orders"], 1)
             for call in calls:
@@ -166,9 +166,9 @@
 
 
 class PageTest(unittest.TestCase):
-    """The page names only lines that the programs write."""
+    """The page lists only log lines that the programs write."""
 
-    def test_every_line_of_the_table_is_written_somewhere(self) -> None:
+    def test_every_log_line_of_the_table_is_in_the_sources(self) -> None:
         sources = "\n".join(
             path.read_text()
             for folder in ("gateway", "keeper", "platform", "timeline")
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Small rules: the routing table's checks, the retry budget, load and events."""
+"""The routing table's checks, the retry budget, selection by load, and splitting of events."""
 
 import dataclasses
 import unittest
@@ -34,7 +34,7 @@
 
 
 class TableTest(unittest.TestCase):
-    """Finding routes, and what is refused."""
+    """Route lookup, and tables that are rejected."""
 
     def test_longest_prefix_wins(self) -> None:
         table = build_table(build_route("a"), build_route("ab", "/a/b/"))
@@ -42,7 +42,7 @@
         names = [route.name if route else None for route in found]
         self.assertEqual(names, ["a", "ab", None, None])
 
-    def test_what_is_wrong_is_said(self) -> None:
+    def test_invalid_tables_are_reported(self) -> None:
         wrong = {
             "unknown pool": build_table(build_route("a", pools=(("other", 1.0),))),
             "same place": build_table(build_route("a"), build_route("b")),
@@ -63,7 +63,7 @@
         strategies.lists(strategies.tuples(strategies.booleans(), strategies.floats(0, 1))),
         strategies.integers(1, 5),
     )
-    def test_entries_together_keep_the_bound(
+    def test_entries_together_stay_within_the_bound(
         self, steps: list[tuple[bool, float]], entries: int
     ) -> None:
         bounds = budgets.RetryBounds(0.2, 10.0, 20.0)
@@ -83,7 +83,7 @@
                     repeats += part.take("pool", now)
         self.assertLessEqual(repeats, bounds.ratio * firsts + bounds.allowance)
 
-    def test_entries_that_start_at_once_exceed_the_allowance_together(self) -> None:
+    def test_entries_that_start_together_stay_within_the_allowance(self) -> None:
         bounds = budgets.RetryBounds(0.2, 10.0, 50.0)
         parts = [budgets.RetryBudget(bounds, entries=0) for _ in range(20)]
         taken = sum(part.take("pool", 0.0) for part in parts for _ in range(30))
@@ -99,10 +99,10 @@
 
 
 class SelectionTest(unittest.TestCase):
-    """Load decides, its own and that of others."""
+    """Targets are chosen by this entry's load and that of others."""
 
     def setUp(self) -> None:
-        """Three targets."""
+        """Create three targets."""
         self.directory = directories.Directory()
         self.usage = usages.Usage("entry-2")
         self.selector = selectors.build_selector(self.directory, self.usage, "hall-a", 10.0)
@@ -117,7 +117,7 @@
         found = self.selector.choose(POOL, placing.Work(3_000, 3_000), ())
         return found.target_id if found else ""
 
-    def test_others_load_counts_until_it_is_old(self) -> None:
+    def test_load_of_other_entries_counts_until_it_expires(self) -> None:
         self.usage.add("a1", requests=1, tokens=9_000)
         ledger = loads.Ledger("keeper-1", 1)
         word = messages.EntryLoads("entry-1", 1, [messages.TargetUse("a2", 3, 20_000)])
@@ -132,13 +132,13 @@
         self.assertTrue(self.usage.forget_others(20.0))
         self.assertEqual(self.usage.read("a2").tokens, 0)
 
-    def test_unread_prompts_weigh_more_than_free_memory(self) -> None:
+    def test_unread_prompts_count_more_than_free_memory(self) -> None:
         self.usage.add("a1", requests=1, tokens=3_000, unread=3_000)
         self.usage.add("a2", requests=2, tokens=8_000)
         self.usage.add("a3", requests=2, tokens=9_000)
         self.assertEqual(self.choose(), "t2")
 
-    def test_full_avoided_and_silent_come_last(self) -> None:
+    def test_full_failing_and_silent_targets_come_last(self) -> None:
         self.usage.add("a1", tokens=33_000)
         self.selector.caution.note_failure("t2", 10.0)
         self.assertEqual(self.choose(), "t3")
@@ -159,11 +159,11 @@
 
 
 class SplitterTest(unittest.TestCase):
-    """Events cut out of bytes."""
+    """Splitting bytes into events."""
 
     @profiles.choose(100)
     @given(strategies.lists(strategies.integers(1, 9), max_size=20), strategies.booleans())
-    def test_any_cutting_gives_the_same_events(self, cuts: list[int], crlf: bool) -> None:
+    def test_any_chunking_gives_the_same_events(self, cuts: list[int], crlf: bool) -> None:
         end = b"\r\n\r\n" if crlf else b"\n\n"
         whole = [f"id: {number}\ndata: {'x' * number}".encode() + end for number in range(1, 6)]
         data = b"".join(whole)
