--- a/tillerlane/platform/tests/test_advice.py
+++ b/tillerlane/platform/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""The page on what targets say, and the headers that the adapter knows."""
+"""The page on targets' headers, and the headers that the adapter uses."""
 
 import pathlib
 import re
@@ -9,15 +9,15 @@
 PAGE = pathlib.Path(__file__).resolve().parents[3] / "docs" / "design" / "advice.md"
 _ROW = re.compile(r"^\| `([A-Z][A-Za-z-]*)` \| [^|]* \| [^|]* \| ([^|]*) \|", re.MULTILINE)
 VALUES = {"close"}
-"""Texts in the adapter that are values of headers."""
+"""Literals in the adapter that are header values."""
 _LITERAL = re.compile(r'\bb"([A-Za-z]+(?:-[A-Za-z]+)*)"')
 
 
 class PageTest(unittest.TestCase):
-    """A header that one of the two knows must be known to the other."""
+    """The page and the adapter have the same headers."""
 
     def setUp(self) -> None:
-        """Names on the page, and in the adapter's source."""
+        """Collect names on the page and in the adapter's source."""
         rows = _ROW.findall(PAGE.read_text())
         self.listed = {name.lower(): where for name, where in rows}
         source = pathlib.Path(wire.__file__).read_text()
--- a/tillerlane/platform/tests/test_days.py
+++ b/tillerlane/platform/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The days of our own that every hunt plays: readable, and free of any one deployment's names."""
+"""The project's own days that every hunt plays: valid, and without names of one deployment."""
 
 import pathlib
 import tomllib
@@ -6,20 +6,20 @@
 
 FOLDER = pathlib.Path(__file__).resolve().parents[3] / "deploy" / "days"
 NAMED = ("service", "class", "zone", "to_zone")
-"""Fields that name something of a deployment; only its first one may be named, by a placeholder."""
+"""Fields that name a part of a deployment; only the first of its kind, by a placeholder."""
 GIVEN = {
     "deadly.toml": 'name = "deadly"\n'
     'faults = [{ at = 5.0, kind = "poison", how = "deadly", class = "bokpost", '
     "share = 0.03, for_s = 20.0 }]\n"
 }
-"""Days kept to the letter as the users wrote them: a file that is a day, in place of a list."""
+"""Days kept exactly as the users wrote them: each file is a day instead of a list of days."""
 
 
 class DaysTest(unittest.TestCase):
     """Each file of the folder."""
 
     def list_days(self) -> list[tuple[pathlib.Path, dict]]:
-        """Files of our own with their day."""
+        """The project's own files with their day."""
         paths = sorted(path for path in FOLDER.glob("*.toml") if path.name not in GIVEN)
         self.assertGreater(len(paths), 0)
         return [(path, tomllib.loads(path.read_text())["day"]) for path in paths]
@@ -51,7 +51,7 @@
                     self.assertIn(entry[field], ("@c0", "@s0", "@z0"), path.name)
 
     def assert_entries(self, name: str, entries: list[dict]) -> None:
-        """There are entries, each with a time and a kind."""
+        """Check that there are entries, each with a time and a kind."""
         self.assertGreater(len(entries), 0, name)
         for entry in entries:
             self.assertGreaterEqual(entry["at"], 0, name)
--- a/tillerlane/platform/tests/test_front_listener.py
+++ b/tillerlane/platform/tests/test_front_listener.py
@@ -1,4 +1,4 @@
-"""Callers who connect while an entry is still starting."""
+"""Callers that connect while an entry is still starting."""
 
 import asyncio
 import os
@@ -16,8 +16,8 @@
 REQUEST = b"GET /early HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-class EarlyListenerTest(unittest.TestCase):
-    """The listener that is there before the program."""
+class FrontListenerTest(unittest.TestCase):
+    """The listener that is opened before the program is imported."""
 
     def open_listener(self, text: str) -> object:
         """Open the listener with settings of this text."""
--- a/tillerlane/platform/tests/test_imports.py
+++ b/tillerlane/platform/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What the programs on the platform load: their machines have little memory and start often."""
+"""What the programs on the platform import: their hosts have little memory and start often."""
 
 import pathlib
 import subprocess
@@ -9,7 +9,7 @@
 ALLOWED = frozenset(
     ("capnp", "httptools", "msgspec", "prometheus_client", "structlog", "tillerlane")
 )
-"""Packages beside the standard library: those of deploy/requirements.txt, and the own one."""
+"""Packages beside the standard library: those in deploy/requirements.txt, and this one."""
 PROGRAM = """
 import importlib.abc, sys
 
@@ -33,10 +33,10 @@
 
 
 class ImportsTest(unittest.TestCase):
-    """Each role runs where only the packages of the platform's build are."""
+    """Each role runs where only the packages of the platform's build are installed."""
 
     def run_without_others(self, *modules: str, work: str = "") -> None:
-        """Import modules, and do some work, in a process that has no other package."""
+        """Import modules, and run some code, in a process that has no other package."""
         program = PROGRAM.format(allowed=set(ALLOWED), modules=", ".join(modules), work=work)
         done = subprocess.run(
             [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=False
--- a/tillerlane/platform/tests/test_settings.py
+++ b/tillerlane/platform/tests/test_settings.py
@@ -27,7 +27,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Reading and translating."""
+    """Reading and conversion."""
 
     def read(self, text: str) -> settings.Settings:
         """Read a text as the settings file."""
@@ -36,7 +36,7 @@
             path.write_text(text)
             return settings.read_settings(str(path))
 
-    def test_first_seed_founds_on_the_first_start_only(self) -> None:
+    def test_first_seed_bootstraps_on_the_first_start_only(self) -> None:
         own = settings.build_control_settings(self.read(TEXT))
         self.assertEqual(own.plan.seeds, ("10.1.0.20:7200", "10.2.0.14:7200"))
         self.assertEqual((own.plan.wished_voters, own.plan.may_found), (5, True))
--- a/tillerlane/platform/tests/test_suspension.py
+++ b/tillerlane/platform/tests/test_suspension.py
@@ -1,9 +1,9 @@
-"""Hosts that are suspended: the steady clock stands still, all else goes on.
+"""Suspended hosts: the monotonic clock stops while the rest of the fleet continues.
 
-A suspended process wakes with what it believed before.  Nothing tells it how long it was away but
-a clock that has gone on; by the steady one a lease that ended seconds ago elsewhere looks fresh, so
-that an entry would honour a key that was taken away, and a former leader would answer as if it
-led.  The programs run here as processes that are stopped and whose steady clock is put behind.
+A resumed process holds its former state, and only the wall clock shows how long it was suspended.
+By the monotonic clock a lease that has expired elsewhere still looks valid, so that an entry would
+accept a revoked key, and a former leader would answer as if it led.  The programs run here as
+processes that are stopped and whose monotonic clock is set back.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
     platform_soak,
 )
 
-AWAY_SECONDS = float(os.environ.get("TILLERLANE_AWAY_SECONDS", "6"))
-"""How long a host is suspended: more than the 5 s for which a former key may be honoured."""
-UP_SECONDS = 30.0
+SUSPENDED_SECONDS = float(os.environ.get("TILLERLANE_AWAY_SECONDS", "6"))
+"""How long a host is suspended: more than the 5 s for which a revoked key may still work."""
+START_TIMEOUT_SECONDS = 30.0
 NET = 230
-TAKEN = "key-that-is-taken-away"
+REVOKED_KEY = "key-that-is-taken-away"
 
 
 def build_document(version: int, keys: list[str]) -> bytes:
@@ -39,14 +39,14 @@
 
 
 class Stage:
-    """A fleet of processes and a stand-in target.
+    """A fleet of processes and a simulated target.
 
     Parameters
     ----------
     folder : pathlib.Path
         For settings, data and logs.
     net, keepers, entries : int
-        As of `platform_fleet.PlatformFleet`.
+        As in `platform_fleet.PlatformFleet`.
     """
 
     def __init__(self, folder: pathlib.Path, net: int, keepers: int, entries: int) -> None:
@@ -58,14 +58,14 @@
         self.target = platform_runner.PlatformRunner("t1", f"127.{net + 2}.1.1:9000", {})
         self._sequence = 0
 
-    async def await_good(self, work: Callable[[], Awaitable[bool]]) -> None:
-        """Try something until it succeeds."""
-        async with asyncio.timeout(UP_SECONDS):
+    async def wait_until(self, work: Callable[[], Awaitable[bool]]) -> None:
+        """Repeat a call until it succeeds."""
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             while not await work():
                 await asyncio.sleep(0.1)
 
     async def publish(self, document: bytes, skipped: str = "") -> bool:
-        """Publish a configuration at any keeper but one."""
+        """Publish a configuration at any keeper but `skipped`."""
         for keeper in self.keepers:
             if keeper.name != skipped:
                 call = platform_soak.fetch(keeper.control, b"POST", "/Config.Put", document)
@@ -73,7 +73,7 @@
                     return True
         return False
 
-    async def tell(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send the target's heartbeats, until cancelled."""
         while True:
             self._sequence += 1
@@ -100,24 +100,24 @@
         """Suspend a daemon's host."""
         self.fleet.send(daemon, signal.SIGSTOP)
 
-    def wake(self, daemon: platform_fleet.Daemon) -> None:
-        """Have a suspended host go on, with no way to any keeper."""
-        self.do(forwarder.Harm.SILENCE)
+    def resume(self, daemon: platform_fleet.Daemon) -> None:
+        """Resume a suspended host, without contact with any keeper."""
+        self.inject(forwarder.Harm.SILENCE)
         self.fleet.send(daemon, signal.SIGCONT)
 
-    def do(self, harm: forwarder.Harm) -> None:
-        """Do harm to all connections to keepers."""
+    def inject(self, fault: forwarder.Harm) -> None:
+        """Inject a fault into all connections to keepers."""
         for keeper in self.keepers:
-            keeper.way_in.do(harm)
+            keeper.way_in.do(fault)
 
     def reset(self) -> None:
-        """Reset all connections to keepers, so that none holds what a suspended host was told."""
-        self.do(forwarder.Harm.RESET)
-        self.do(forwarder.Harm.NONE)
+        """Reset all connections to keepers, so that none holds data sent to a suspended host."""
+        self.inject(forwarder.Harm.RESET)
+        self.inject(forwarder.Harm.NONE)
 
 
 class SuspensionTest(unittest.TestCase):
-    """One host is suspended for `AWAY_SECONDS`."""
+    """One host is suspended for `SUSPENDED_SECONDS`."""
 
     def play(
         self, net: int, keepers: int, entries: int, scene: Callable[[Stage], Awaitable[None]]
@@ -126,18 +126,18 @@
 
         async def run(folder: str) -> None:
             stage = Stage(pathlib.Path(folder) / "fleet", net, keepers, entries)
-            telling: asyncio.Task[None] | None = None
+            sending: asyncio.Task[None] | None = None
             try:
                 await stage.fleet.start_all()
                 await stage.target.start()
-                telling = asyncio.create_task(stage.tell())
-                await stage.await_good(
-                    lambda: stage.publish(build_document(1, [caller.KEY, TAKEN]))
+                sending = asyncio.create_task(stage.send_heartbeats())
+                await stage.wait_until(
+                    lambda: stage.publish(build_document(1, [caller.KEY, REVOKED_KEY]))
                 )
                 await scene(stage)
             finally:
-                if telling is not None:
-                    telling.cancel()
+                if sending is not None:
+                    sending.cancel()
                 stage.target.crash()
                 stage.fleet.kill_all()
                 await asyncio.sleep(0.1)
@@ -145,35 +145,35 @@
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(run(folder))
 
-    def test_entry_honours_no_key_that_was_taken_away_meanwhile(self) -> None:
+    def test_entry_accepts_no_key_that_was_revoked_meanwhile(self) -> None:
         async def scene(stage: Stage) -> None:
             entry = stage.entries[0]
 
             async def is_served() -> bool:
-                return await stage.call(TAKEN, "before") == 200
+                return await stage.call(REVOKED_KEY, "before") == 200
 
-            await stage.await_good(is_served)
+            await stage.wait_until(is_served)
             stage.suspend(entry)
             stage.reset()
             document = build_document(2, [caller.KEY])
-            await stage.await_good(lambda: stage.publish(document))
-            await asyncio.sleep(AWAY_SECONDS)
-            late = asyncio.create_task(stage.call(TAKEN, "late"))
+            await stage.wait_until(lambda: stage.publish(document))
+            await asyncio.sleep(SUSPENDED_SECONDS)
+            late = asyncio.create_task(stage.call(REVOKED_KEY, "late"))
             await asyncio.sleep(0.1)
-            stage.wake(entry)
+            stage.resume(entry)
             self.assertIn(await late, (401, 503))
             self.assertNotIn("late", [run.request_id for run in stage.target.ran])
-            stage.do(forwarder.Harm.NONE)
+            stage.inject(forwarder.Harm.NONE)
 
             async def is_back() -> bool:
                 return await stage.call(caller.KEY, "after") == 200
 
-            await stage.await_good(is_back)
-            self.assertEqual(await stage.call(TAKEN, "never"), 401)
+            await stage.wait_until(is_back)
+            self.assertEqual(await stage.call(REVOKED_KEY, "never"), 401)
 
         self.play(NET, 3, 1, scene)
 
-    def test_former_leader_answers_nothing_of_before(self) -> None:
+    def test_former_leader_answers_no_stale_read(self) -> None:
         async def scene(stage: Stage) -> None:
             async def find_leader() -> bool:
                 nonlocal leader
@@ -185,17 +185,19 @@
                 return False
 
             leader: platform_fleet.Daemon | None = None
-            await stage.await_good(find_leader)
+            await stage.wait_until(find_leader)
             assert leader is not None
             stage.suspend(leader)
             name = leader.name
-            await asyncio.sleep(AWAY_SECONDS)
+            await asyncio.sleep(SUSPENDED_SECONDS)
             document = build_document(2, [caller.KEY])
-            await stage.await_good(lambda: stage.publish(document, name))
-            asked = asyncio.create_task(platform_soak.fetch(leader.control, b"GET", "/Config.Get"))
+            await stage.wait_until(lambda: stage.publish(document, name))
+            reading = asyncio.create_task(
+                platform_soak.fetch(leader.control, b"GET", "/Config.Get")
+            )
             await asyncio.sleep(0.1)
-            stage.wake(leader)
-            status, body = await asked
+            stage.resume(leader)
+            status, body = await reading
             self.assertNotEqual((status, json.loads(body or b"{}").get("version")), (200, 1))
 
         self.play(NET + 4, 3, 0, scene)
--- a/tillerlane/platform/tests/test_wire.py
+++ b/tillerlane/platform/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The platform's border: what is read, what is refused, and that nothing else happens."""
+"""Conversion of the platform's formats: valid input, rejected input, and no other outcome."""
 
 import json
 import unittest
@@ -19,14 +19,14 @@
 
 
 def read(document: Any) -> routes.RoutingTable:
-    """Check a document."""
+    """Decode and check a document."""
     return wire.check_document(json.dumps(document).encode())
 
 
 class DocumentTest(unittest.TestCase):
     """Operators' documents."""
 
-    def test_valid_document_is_decoded_once_and_whole(self) -> None:
+    def test_valid_document_is_decoded_completely(self) -> None:
         table = read(gateway_lab.build_document(7))
         route = table.find_route(caller.HOST, "/record/x")
         self.assertEqual((table.version, route.repeat), (7, routes.Repeat.STREAM))
@@ -41,7 +41,7 @@
             read(document)
         self.assertEqual(caught.exception.fault.kind, "invalid_config")
 
-    def test_what_must_be_refused(self) -> None:
+    def test_invalid_documents_are_rejected(self) -> None:
         def change(**changes: Any) -> dict[str, Any]:
             document = gateway_lab.build_document(1)
             document["routes"][0].update(changes)
@@ -55,7 +55,7 @@
         twice = [{"name": "a", "api_keys": ["k"]}, {"name": "b", "api_keys": ["k"]}]
         self.check_refused(gateway_lab.build_document(1, tenants=twice))
 
-    def test_no_cut_of_a_valid_document_is_taken(self) -> None:
+    def test_no_truncated_document_is_accepted(self) -> None:
         data = json.dumps(gateway_lab.build_document(1)).encode()
         for cut in range(len(data)):
             with self.assertRaises(faults.FaultError):
@@ -102,14 +102,14 @@
 
     @profiles.choose(200)
     @given(strategies.text(alphabet="0123456789,.:-x", max_size=30))
-    def test_odd_numbers_are_read_as_absent(self, text: str) -> None:
+    def test_malformed_numbers_count_as_absent(self, text: str) -> None:
         facts = wire.decode_request(
             build_head(Deadline_Ms=text, Token_Counts=text, Length_Hint=text)
         )
         self.assertGreaterEqual(facts.prompt_tokens, 0)
         self.assertGreaterEqual(facts.output_tokens, 0)
 
-    def test_only_the_system_sets_what_is_its_own(self) -> None:
+    def test_callers_cannot_set_the_systems_headers(self) -> None:
         forged = build_head(
             Host="h",
             Kv_From="x",
@@ -140,7 +140,7 @@
         self.assertEqual(http_head.get_header(head.headers, b"kv-from"), b"10.0.0.1:80/h1")
         self.assertEqual(http_head.get_header(head.headers, b"last-event-id"), b"7")
 
-    def test_only_the_targets_own_word_says_not_run(self) -> None:
+    def test_only_the_targets_own_header_means_not_run(self) -> None:
         def decode_did_run(status: int, **headers: str) -> bool:
             found = build_head(**headers).headers
             return wire.decode_response(http_head.AnswerHead(status, found)).did_run
@@ -151,7 +151,7 @@
         self.assertTrue(decode_did_run(429))
 
     def read_limit(self, *values: bytes) -> tuple[float | None, str | None]:
-        """Limit, and what could not be read, of an answer that names these values."""
+        """Limit and unparsed text of an answer with these header values."""
         headers = [(b"server-limit", value) for value in values]
         facts = wire.decode_response(http_head.AnswerHead(200, headers))
         texts = [unread.text for unread in facts.unread if unread.word == "limit"]
@@ -163,7 +163,7 @@
             self.assertEqual(self.read_limit(value), (limit, None))
         self.assertEqual(self.read_limit(b"1.9", b"1.9"), (1.9, None))
 
-    def test_limit_that_is_no_number_is_not_taken(self) -> None:
+    def test_limit_that_is_no_number_is_ignored(self) -> None:
         bad = (b"-1", b"+2", b"nan", b"inf", b"", b" ", b"1e308", b"1e3", b"0x1f", b"1_0", b"1.")
         for value in (*bad, b"9" * 10_000, b"1,9", "\u0661".encode()):
             with self.subTest(value=value[:20]):
@@ -173,7 +173,7 @@
                 self.assertLessEqual(len(unread or ""), wire.MAX_NAME_CHARACTERS)
         self.assertEqual(self.read_limit(b"1.9", b"2.5"), (None, "1.9, 2.5"))
 
-    def test_target_leaves_by_its_own_plain_word_only(self) -> None:
+    def test_target_leaves_only_by_the_exact_header_value(self) -> None:
         def read_leaving(*values: bytes) -> tuple[bool, bool]:
             headers = [(b"Server-Leaving", value) for value in values]
             facts = wire.decode_response(http_head.AnswerHead(200, headers))
@@ -186,19 +186,19 @@
             self.assertEqual(read_leaving(*values), (False, True))
 
     def read_backoff(self, status: int, *values: bytes) -> tuple[float | None, bool]:
-        """Back-off of an answer that asks for these values, and whether it could not be read."""
+        """Back-off of an answer with these header values, and whether any could not be parsed."""
         headers = [(b"Retry-After", value) for value in values]
         facts = wire.decode_response(http_head.AnswerHead(status, headers))
         return facts.backoff_seconds, facts.has_unread("backoff")
 
-    def test_only_a_503_asks_for_backoff(self) -> None:
+    def test_only_a_503_requests_backoff(self) -> None:
         self.assertEqual(self.read_backoff(503), (None, False))
         for value, seconds in ((b"3", 3.0), (b" 0.5", 0.5), (b"0", 0.0)):
             self.assertEqual(self.read_backoff(503, value), (seconds, False))
         for status in (200, 421, 429, 500, 502, 504):
             self.assertEqual(self.read_backoff(status, b"3"), (None, False))
 
-    def test_backoff_that_is_no_number_is_not_taken(self) -> None:
+    def test_backoff_that_is_no_number_is_ignored(self) -> None:
         date = b"Thu, 03 Dec 2026 09:54:01 GMT"
         for value in (b"-1", b"nan", b"inf", b"", b"1e9", b"3 s", date, b"9" * 30):
             with self.subTest(value=value):
