--- a/tillerlane/gateway/__init__.py
+++ b/tillerlane/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Exchanges of any HTTP service relayed unaltered: routes, targets found by heartbeats, moves."""
+"""Unaltered relay of any HTTP service: routes, targets discovered by heartbeats, and moves."""
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -277,12 +277,15 @@
     async def stop(self) -> None:
         """Planned stop: report unready, serve on for a while, finish open requests, end."""
         self._stopping = True
-        began = self._loop.time()
+        stopping_at = self._loop.time()
         self.timeline.record("daemon.leaving", busy=self._front.count_busy())
         await asyncio.sleep(self._settings.accept_seconds)
         self._front.stop_accepting()
         self._front.close_idle()
-        while self._front.count_busy() and self._loop.time() - began < self._settings.stop_seconds:
+        while (
+            self._front.count_busy()
+            and self._loop.time() - stopping_at < self._settings.stop_seconds
+        ):
             await asyncio.sleep(STOP_CHECK_INTERVAL_SECONDS)
         self.timeline.record("daemon.stop", busy=self._front.count_busy())
         self._front.abort_all()
--- a/tillerlane/gateway/homes.py
+++ b/tillerlane/gateway/homes.py
@@ -169,8 +169,8 @@
             self._homes.remove(home)
             self._node.hang_up(home.address)
             self._timeline.record("keeper.left", keeper=home.address, entries=self._entry_count)
-        taken = {home.address for home in self._homes}
-        free = sorted(self._known - taken, key=self._score)
+        chosen = {home.address for home in self._homes}
+        free = sorted(self._known - chosen, key=self._score)
         for address in free[: max(0, desired - len(self._homes))]:
             peer = self._node.dial(address, pace=LINK_HEARTBEAT_SECONDS)
             self._homes.append(_Home(address, peer, now))
--- a/tillerlane/gateway/tests/test_incarnations.py
+++ b/tillerlane/gateway/tests/test_incarnations.py
@@ -136,8 +136,8 @@
         full: bool,
     ) -> None:
         """Send all that a daemon holds to another one."""
-        told = directories.encode_states(source.targets.values(), full=full)
-        for target in directories.decode_states(told):
+        message = directories.encode_states(source.targets.values(), full=full)
+        for target in directories.decode_states(message):
             receiver.merge(target)
 
 
@@ -147,9 +147,9 @@
     def test_listeners_see_the_former_one_gone_before_the_latest_one(self) -> None:
         async def play() -> None:
             directory = directories.Directory()
-            told: list[tuple[str, directories.Phase, bool]] = []
+            notified: list[tuple[str, directories.Phase, bool]] = []
             directory.add_listener(
-                lambda target, former: told.append(
+                lambda target, former: notified.append(
                     (target.target_id, target.phase, target.is_superseded)
                 )
             )
@@ -157,7 +157,7 @@
             directory.merge(build("a", 1, 9, directories.Phase.READY))
             directory.merge(build("a", 2, 1, directories.Phase.READY))
             self.assertEqual(
-                told,
+                notified,
                 [
                     ("a#1", directories.Phase.READY, False),
                     ("a#1", directories.Phase.GONE, True),
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -165,15 +165,15 @@
     @given(strategies.lists(strategies.integers(1, 9), max_size=20), strategies.booleans())
     def test_any_chunking_gives_the_same_events(self, cuts: list[int], crlf: bool) -> None:
         end = b"\r\n\r\n" if crlf else b"\n\n"
-        whole = [f"id: {number}\ndata: {'x' * number}".encode() + end for number in range(1, 6)]
-        data = b"".join(whole)
+        expected = [f"id: {number}\ndata: {'x' * number}".encode() + end for number in range(1, 6)]
+        data = b"".join(expected)
         splitter = events.Splitter()
         found: list[bytes] = []
         for cut in cuts:
             found += splitter.feed(data[:cut])
             data = data[cut:]
         found += splitter.feed(data)
-        self.assertEqual(found, whole)
+        self.assertEqual(found, expected)
         self.assertFalse(splitter.has_part)
         self.assertEqual([events.read_event_id(item) for item in found], list("12345"))
 
--- a/tillerlane/platform/settings.py
+++ b/tillerlane/platform/settings.py
@@ -23,7 +23,7 @@
 ACCEPT_SECONDS = 3.0
 """The load balancer checks once a second and removes a daemon after two failures."""
 STOP_MARGIN_SECONDS = 0.7
-"""How long before the platform kills a stopping entry it ends by itself."""
+"""How long before the platform kills a stopping entry the entry ends on its own."""
 HEARTBEAT_TIMEOUT_INTERVALS = 3.5
 """Heartbeat intervals until a target counts as silent: heartbeats may come seconds late, and
 entries detect dead targets by themselves meanwhile."""
--- a/tillerlane/platform/tests/test_heartbeats.py
+++ b/tillerlane/platform/tests/test_heartbeats.py
@@ -299,7 +299,7 @@
                 [good],
                 "ready",
             ]
-            bodies = [json.dumps(body).encode() for body in heartbeats]
+            bodies = [json.dumps(heartbeat).encode() for heartbeat in heartbeats]
             bodies += [b"", b"\xff\xfe\x00", b"{", b'{"service":']
             for body in bodies:
                 status = await post(stage, "keeper-1", "/Instances.Heartbeat/t1", body)
