--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -12,21 +12,21 @@
 from tillerlane.faults import core as faults
 from tillerlane.faults import kinds
 from tillerlane.gateway import (
-    backoff_news,
+    backoff_updates,
     batching,
     grants,
     homes,
     incarnations,
-    limit_news,
+    limit_updates,
     loads,
     metrics,
+    quarantine_coordinator,
     suspects,
-    verdicts,
 )
 from tillerlane.gateway import directory as directories
 from tillerlane.keeper import commands, formation, freshness, proposals, replica, server
 from tillerlane.keeper import disk as disks
-from tillerlane.keeper import machine as machines
+from tillerlane.keeper import state_machine as state_machines
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
@@ -76,7 +76,7 @@
         Listen addresses for peers and for metrics.
     data_folder : str
         Its folder on disk.
-    plan : formation.Plan
+    plan : formation.FormationSettings
         How keepers find each other and form the log.
     heartbeat_timeout_seconds : float
         A target whose last heartbeat is older gets work only if no other target is left.
@@ -89,7 +89,7 @@
     peer_listen_address: str
     metrics_address: str
     data_folder: str
-    plan: formation.Plan
+    plan: formation.FormationSettings
     heartbeat_timeout_seconds: float
     max_read_lag_seconds: float
 
@@ -128,7 +128,7 @@
         self._synchronized: set[links.Link] = set()
         """Links of keepers that were sent the full state."""
         self._entries: dict[str, float] = {}
-        self._loads = loads.Ledger(settings.name, int(self._dependencies.now() * 1000))
+        self._loads = loads.LoadAggregator(settings.name, int(self._dependencies.now() * 1000))
         self._keeper_updates = batching.UpdateBatcher(
             BATCH_INTERVAL_SECONDS,
             lambda targets: self._send_to_keepers(directories.encode_states(targets)),
@@ -136,10 +136,12 @@
         self._subscriber_updates = batching.UpdateBatcher(
             SUBSCRIBER_BATCH_INTERVAL_SECONDS, self._send_targets_to_subscribers
         )
-        self._backoffs = backoff_news.BackoffNews(
+        self._backoffs = backoff_updates.BackoffUpdates(
             BATCH_INTERVAL_SECONDS, self._send_to_all, self._loop.time
         )
-        self.limits = limit_news.LimitNews(BATCH_INTERVAL_SECONDS, self._send_to_all, self.timeline)
+        self.limits = limit_updates.LimitUpdates(
+            BATCH_INTERVAL_SECONDS, self._send_to_all, self.timeline
+        )
         self._full_state: messages.TargetStates | None = None
         self._full_state_at = 0.0
         self._changed_since_full_state: dict[str, directories.Target] = {}
@@ -155,7 +157,7 @@
         storage = storages.Storage(
             self._dependencies.open_disk(settings.data_folder), settings.name
         )
-        state = machines.Machine()
+        state = state_machines.StateMachine()
         self.replica = replica.Replica(
             settings.name,
             {settings.name: settings.peer_address},
@@ -165,7 +167,7 @@
             self._get_link,
             self._dependencies.run_blocking,
             self._dependencies.rng,
-            self.formation.list_founders,
+            self.formation.list_bootstrap_peers,
         )
         self.formation.attach(self.replica)
         self.keeper = server.Keeper(
@@ -175,9 +177,9 @@
             self.replica,
             self._get_link,
             lambda: len(self._entries),
-            self.formation.list_worth_asking,
+            self.formation.list_query_addresses,
         )
-        self.verdicts = verdicts.Verdicts(
+        self.quarantine = quarantine_coordinator.QuarantineCoordinator(
             state.store,
             lambda: self.replica.has_lease,
             self.keeper.propose,
@@ -186,13 +188,13 @@
             lambda: int(self._dependencies.now() * 1000),
             self.timeline,
         )
-        self.grants = grants.Grants(
+        self.permit_issuer = grants.PermitIssuer(
             self.limits.table, self._get_leading_term, self._get_leader, self._loop.time
         )
         self._sent_orders_version = 0
         """Version of the orders that were sent to subscribers."""
-        state.published.listen(self._handle_publication)
-        state.store.listen(self._handle_orders)
+        state.published.add_listener(self._handle_publication)
+        state.store.add_listener(self._handle_orders)
         self.metrics = metrics.build_control_metrics()
         self._set_gauges()
         self._metrics_server = metrics.build_server(self.metrics.registry)
@@ -205,7 +207,7 @@
             address=self._settings.peer_address,
             incarnation=int(self._dependencies.now() * 1000),
             clock=clock,
-            get_config_version=lambda: max(0, self.replica.machine.published.version),
+            get_config_version=lambda: max(0, self.replica.state_machine.published.version),
             on_peer_version=lambda link, version: None,
             serve=self._serve_peer,
             notify=self._handle_message,
@@ -232,22 +234,22 @@
         """Listen to peers and start all tasks."""
         await self.node.listen(self._settings.peer_listen_address)
         await self._metrics_server.listen(self._settings.metrics_address)
-        self.replica.begin()
+        self.replica.start()
         self._tasks = [
             self._loop.create_task(self.formation.run()),
-            self._loop.create_task(self.formation.turnover.run()),
+            self._loop.create_task(self.formation.reconfiguration.run()),
             self._loop.create_task(self.freshness.run()),
             self._loop.create_task(self._sweep()),
             self._loop.create_task(self._send_loads()),
-            self._loop.create_task(self.verdicts.run()),
+            self._loop.create_task(self.quarantine.run()),
         ]
         self.timeline.record(
             "daemon.start",
             role="keeper",
             seeds=list(self._settings.plan.seeds),
-            may_found=self._settings.plan.may_found,
+            may_found=self._settings.plan.can_bootstrap,
             last_index=self.replica.storage.last_index,
-            version=self.replica.machine.published.version,
+            version=self.replica.state_machine.published.version,
         )
 
     def _set_gauges(self) -> None:
@@ -255,8 +257,8 @@
         replica = self.replica
         self.metrics.is_leader.set_function(lambda: replica.is_leading)
         self.metrics.term.set_function(lambda: replica.storage.term)
-        self.metrics.version.set_function(lambda: replica.machine.published.version)
-        self.metrics.leader_contact_age.set_function(lambda: self.freshness.read_age() or 0.0)
+        self.metrics.version.set_function(lambda: replica.state_machine.published.version)
+        self.metrics.leader_contact_age.set_function(lambda: self.freshness.compute_age() or 0.0)
         self.metrics.entries.set_function(lambda: len(self._entries))
         self.metrics.targets.set_function(lambda: len(self.directory.targets))
         self.metrics.evacuated.set_function(lambda: len(self.list_evacuated()))
@@ -264,13 +266,13 @@
 
     def _set_quorum_gauges(self) -> None:
         """Have the gauges show this keeper's view of the quorum."""
-        seen = self.formation.quorum
+        seen = self.formation.quorum_monitor
         self.metrics.voters.set_function(lambda: len(seen.view.voters) if seen.view else 0)
         self.metrics.live_voters.set_function(lambda: len(seen.view.live) if seen.view else 0)
         self.metrics.tolerable_losses.set_function(lambda: seen.view.bears if seen.view else 0)
-        self.metrics.degraded_seconds.set_function(seen.read_short_seconds)
-        self.metrics.voteless_seconds.set_function(seen.read_voteless_seconds)
-        self.metrics.lost_elections.set_function(lambda: self.replica.elections.lost)
+        self.metrics.degraded_seconds.set_function(seen.compute_degraded_seconds)
+        self.metrics.voteless_seconds.set_function(seen.compute_voteless_seconds)
+        self.metrics.lost_elections.set_function(lambda: self.replica.elections.lost_elections)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """Apply the seeds of changed settings."""
@@ -280,7 +282,7 @@
     @property
     def has_failed(self) -> bool:
         """Whether a write to disk has failed, so that the state must be loaded from disk again."""
-        return self.replica.failed is not None
+        return self.replica.disk_fault is not None
 
     async def leave(self) -> None:
         """Hand the vote over before a planned stop, if another keeper is ready to take it."""
@@ -303,7 +305,7 @@
             now = self._loop.time()
             self.directory.mark_silent(now - self._settings.heartbeat_timeout_seconds)
             self.directory.expire_old(now)
-            self.limits.table.forget_unknown(self.directory.targets, now)
+            self.limits.table.expire_unknown(self.directory.targets, now)
             subscribed = {item.entry for item in self._subscribers.values()}
             for entry, heard_at in list(self._entries.items()):
                 if now - heard_at > ENTRY_TTL_SECONDS and entry not in subscribed:
@@ -313,11 +315,11 @@
 
     async def _serve_peer(self, exchange: links.Exchange, body: messages.Body) -> None:
         if isinstance(body, messages.FreshnessRequest):
-            await self.freshness.wait_known()
+            await self.freshness.wait_until_known()
             self._push_publication()
             exchange.send(self.freshness.build_reply())
         elif isinstance(body, messages.PermitRequest):
-            exchange.send(await self.grants.serve(body))
+            exchange.send(await self.permit_issuer.handle_request(body))
         elif not await self.keeper.serve(exchange, body):
             message = f"keepers do not serve {type(body).__name__}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
@@ -326,35 +328,35 @@
         match body:
             case messages.KeeperAnnounce():
                 self._synchronize(link)
-                self.formation.take(link, body)
+                self.formation.handle_announcement(link, body)
             case messages.Subscribe():
                 self._subscribe(link, body)
             case messages.ConfigPull():
-                links.try_send(link, self.replica.machine.store.build_delta(body.have))
+                links.try_send(link, self.replica.state_machine.store.build_delta(body.have))
             case messages.PublicationPull():
                 self._send_publication(link)
             case messages.TargetStates():
                 self._merge_states(link, directories.decode_states(body))
             case messages.EntryLoads():
                 self._entries[body.entry] = self._loop.time()
-                self._loads.take_word(body, self._loop.time())
+                self._loads.handle_report(body, self._loop.time())
             case messages.PassedLoads():
                 self._entries.update(dict.fromkeys(body.entries, self._loop.time()))
-                self._loads.take_passed(body, self._loop.time())
+                self._loads.handle_forwarded(body, self._loop.time())
             case messages.TargetEnds():
-                self.verdicts.take(suspects.read_ends(body))
+                self.quarantine.handle_exits(suspects.decode_exits(body))
             case messages.TargetLimits():
-                self.limits.take(body)
+                self.limits.handle_message(body)
             case messages.TargetBackoffs():
-                self._backoffs.take(body)
+                self._backoffs.handle_message(body)
 
     def _synchronize(self, link: links.Link) -> None:
         """Send all state to a keeper on a new link, since it may have been cut off."""
         if link not in self._synchronized:
             self._synchronized.add(link)
             self._send_full_state(link)
-            links.try_send(link, self.verdicts.write_for_keeper())
-            links.try_send(link, self.limits.write_all())
+            links.try_send(link, self.quarantine.build_for_keeper())
+            links.try_send(link, self.limits.build_full())
 
     def _handle_link_down(self, link: links.Link) -> None:
         self._synchronized.discard(link)
@@ -367,14 +369,14 @@
         self._subscribers[link] = body
         self._entries[body.entry] = self._loop.time()
         if body.loads:
-            self._send_digest(link, self._loads.write_whole())
+            self._send_digest(link, self._loads.build_full_digest())
         if not is_new:
             return
         self.timeline.record("entry.subscribed", entry=body.entry, version=body.have)
         # Orders go first: an entry may send requests as soon as it has a publication.
-        links.try_send(link, self.replica.machine.store.build_delta(0))
-        links.try_send(link, self.verdicts.write_for_entry())
-        links.try_send(link, self.limits.write_all())
+        links.try_send(link, self.replica.state_machine.store.build_delta(0))
+        links.try_send(link, self.quarantine.build_for_entry())
+        links.try_send(link, self.limits.build_full())
         self._send_publication(link)
         self._send_full_state(link)
 
@@ -390,7 +392,7 @@
             links.try_send(link, directories.encode_states(self._changed_since_full_state.values()))
 
     def _send_publication(self, link: links.Link) -> None:
-        current = self.replica.machine.published.current
+        current = self.replica.state_machine.published.current
         if current is not None:
             links.try_send(link, current)
 
@@ -439,14 +441,16 @@
             now = self._loop.time()
             dropped = self._loads.expire(now)
             if dropped:
-                self.timeline.record("loads.expired", entries=dropped, after_s=loads.WORD_SECONDS)
-            passed = self._loads.write_passed()
+                self.timeline.record(
+                    "loads.expired", entries=dropped, after_s=loads.REPORT_TTL_SECONDS
+                )
+            passed = self._loads.build_forwarded()
             if passed is not None:
                 self._send_to_keepers(passed)
             is_due = now - whole_at > MAX_LOADS_INTERVAL_SECONDS
             is_paced = now - paced_at > LOADS_INTERVAL_SECONDS
-            least = loads.LEAST_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
-            digest = self._loads.write_changes(least, is_due=is_due)
+            least = loads.MIN_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
+            digest = self._loads.build_delta_digest(least, is_due=is_due)
             if is_due:
                 whole_at = now
             if is_paced:
@@ -458,7 +462,7 @@
                     self._send_digest(link, digest)
 
     def _send_digest(self, link: links.Link, digest: messages.LoadDigest) -> None:
-        included = self._loads.read_included(self._subscribers[link].entry)
+        included = self._loads.get_included_sequence(self._subscribers[link].entry)
         links.try_send(link, dataclasses.replace(digest, included=included))
 
     def _send_to_keepers(self, body: messages.Body) -> None:
@@ -522,7 +526,7 @@
             cold_ms=max(0, int((target.warm_at - self._loop.time()) * 1000)),
         )
         if target.phase is directories.Phase.GONE:
-            self.limits.table.forget(target.target_id)
+            self.limits.table.discard(target.target_id)
         if target.is_superseded and former is not None:
             # An entry ends the former incarnation when it gets the latest one.  Before that it is
             # sent the former one's last heartbeat time, since it does not get each heartbeat.
@@ -547,7 +551,7 @@
         faults.FaultError
             ``no_quorum`` if it may or may not be committed later.
         """
-        held = self.replica.machine.published.version
+        held = self.replica.state_machine.published.version
         if version <= held:
             return {"taken": False, "version": held}
         content = zlib.compress(document, 6)
@@ -559,7 +563,7 @@
 
     def list_evacuated(self) -> frozenset[str]:
         """Data halls whose targets get no new work, according to what is committed here."""
-        return self.replica.machine.store.list_names(stores.EVACUATIONS)
+        return self.replica.state_machine.store.list_names(stores.EVACUATIONS)
 
     async def evacuate(self, data_hall: str, evacuated: bool) -> dict[str, Any]:
         """Start or end the evacuation of a data hall; returns once that is committed.
@@ -574,7 +578,7 @@
             committed later.
         """
         self._check_hall(data_hall)
-        against = self.replica.machine.store.version
+        against = self.replica.state_machine.store.version
         while True:
             at_ms = int(self._dependencies.now() * 1000)
             command = commands.Evacuate(data_hall, evacuated, against, "platform", at_ms)
@@ -607,10 +611,10 @@
         faults.FaultError
             ``no_quorum`` if a newer one may be in force, ``not_found`` if there is none.
         """
-        age = self.freshness.read_age()
+        age = self.freshness.compute_age()
         if age is None or age > self._settings.max_read_lag_seconds:
             raise proposals.build_no_quorum(f"last contact with the leader was {age} s ago")
-        current = self.replica.machine.published.current
+        current = self.replica.state_machine.published.current
         if current is None:
             message = "no configuration has been published yet"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NOT_FOUND, message))
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -12,7 +12,7 @@
 from tillerlane.gateway import (
     admission,
     availability,
-    endings,
+    exit_detection,
     handovers,
     homes,
     http_head,
@@ -131,22 +131,22 @@
         self._started_ms = int(time.time() * 1000)
         clock = clocks.HybridClock(time.time)
         self.timeline = timelines.Timeline(settings.name, clock, RING_EVENTS)
-        self.published = publications.Publisher()
-        self.published.listen(self._apply_publication)
+        self.published = publications.PublicationRegister()
+        self.published.add_listener(self._apply_publication)
         self.orders = stores.Store()
-        self.orders.listen(self._apply_orders)
+        self.orders.add_listener(self._apply_orders)
         self.directory = directories.Directory()
         self.usage = usages.Usage(settings.name)
         self._budget = budgets.RetryBudget(settings.retries, entries=0)
         self.limits = limits.Limits()
         self.permits = permits.Permits(settings.name, self.limits, self._loop.time)
-        self.permits.ask = self._request_permits
-        self.permits.on_answered = self._log_permits
+        self.permits.request_grants = self._request_permits
+        self.permits.on_owner_change = self._log_permits
         self.backoffs = backoffs.Backoffs(self._loop.time)
         available = availability.Availability(
             self.directory,
             self.usage,
-            colds.ColdSends(settings.name, settings.cold),
+            colds.ColdLimiter(settings.name, settings.cold),
             self.permits,
             self.backoffs,
             self._loop.time,
@@ -165,9 +165,9 @@
         )
         self._startup = startup.Startup()
         self.quarantine = quarantine.Quarantine(self.timeline, self._loop.time)
-        self.quarantine.tell = self._send_exits
-        self._gate = admission.Gate(dialect, selector.draw_pool)
-        self._gate.is_fresh = self._is_fresh
+        self.quarantine.notify_keepers = self._send_exits
+        self._admission_control = admission.AdmissionControl(dialect, selector.pick_pool)
+        self._admission_control.is_fresh = self._is_fresh
         feedback = feedbacks.TargetFeedback(
             self.directory,
             self.limits,
@@ -180,7 +180,9 @@
         feedback.notify_limit = self._notify_limit
         feedback.notify_leaving = self._notify_leaving
         feedback.notify_backoff = self._notify_backoff
-        ends = endings.Endings(self.usage, self.quarantine, self.timeline, self._metrics)
+        exit_detector = exit_detection.ExitDetector(
+            self.usage, self.quarantine, self.timeline, self._metrics
+        )
         sender = sending.Sender(
             dialect,
             selector,
@@ -192,11 +194,11 @@
             self._metrics,
             self._startup,
             self.directory,
-            ends,
+            exit_detector,
             self.quarantine,
         )
         self.directory.add_listener(self._handle_target_change)
-        relayed = streams.Streams(
+        relayed_streams = streams.Streams(
             sender,
             selector,
             available,
@@ -205,14 +207,14 @@
             self._mover,
             self.timeline,
             self._metrics,
-            ends,
+            exit_detector,
             self.quarantine,
-            handovers.Handovers(dialect, self.timeline, self._metrics),
+            handovers.StopOrders(dialect, self.timeline, self._metrics),
         )
         self._relay = relay.Relay(
-            self._gate,
+            self._admission_control,
             sender,
-            relayed,
+            relayed_streams,
             self._budget,
             dialect,
             self.timeline,
@@ -296,8 +298,10 @@
     def _set_gauges(self) -> None:
         """Have the gauges compute their values when they are collected."""
         self._metrics.version.set_function(lambda: self.published.version)
-        self._metrics.lease_age.set_function(lambda: self._clock.read_age(self._loop.time()))
-        self._metrics.loads_age.set_function(lambda: self.usage.read_age(self._loop.time()) or 0.0)
+        self._metrics.lease_age.set_function(lambda: self._clock.compute_age(self._loop.time()))
+        self._metrics.loads_age.set_function(
+            lambda: self.usage.compute_age(self._loop.time()) or 0.0
+        )
         self._metrics.busy.set_function(self._front.count_busy)
         self._metrics.quarantined.set_function(self.quarantine.count_held)
         self._metrics.limits.set_function(lambda: self.limits.count_in_force(self._loop.time()))
@@ -315,12 +319,12 @@
 
     def _apply_publication(self, publication: messages.Publication) -> None:
         try:
-            table = self._dialect.read_table(publication.content)
+            table = self._dialect.parse_table(publication.content)
         except faults.FaultError as error:
             # Keepers check a document before it is published; keep serving with the previous one.
             self.timeline.record("config.unreadable", message=error.fault.message)
             return
-        self._gate.table = table
+        self._admission_control.table = table
         bounds = table.limits
         self._server_limits.header_bytes = bounds.max_header_bytes
         self._server_limits.body_bytes = bounds.max_body_bytes
@@ -335,7 +339,7 @@
         """Apply orders: which data halls get no new work, and which requests are held back."""
         self.quarantine.set_held(orders.list_names(stores.QUARANTINE))
         self.directory.set_evacuated(orders.list_names(stores.EVACUATIONS), self._loop.time())
-        self._mover.note_evacuated()
+        self._mover.discard_evacuated_backups()
         self.timeline.record(
             "orders.in_force",
             version=orders.version,
@@ -345,11 +349,11 @@
         self.homes.query_soon()
 
     def _handle_fresh(self) -> None:
-        if self._gate.table is not None and self._is_fresh():
+        if self._admission_control.table is not None and self._is_fresh():
             self._startup.mark_ready()
 
     def _is_fresh(self) -> bool:
-        fresh = self._clock.read_age(self._loop.time()) < self._settings.lease_seconds
+        fresh = self._clock.compute_age(self._loop.time()) < self._settings.lease_seconds
         if fresh != self._was_fresh:
             self._was_fresh = fresh
             self.timeline.record("config.lease", held=fresh, version=self.published.version)
@@ -372,20 +376,20 @@
         self.homes.check_soon()
         ends = self.quarantine.suspects.list_all()
         if ends:
-            links.try_send(link, suspects.write_ends(ends))
+            links.try_send(link, suspects.encode_exits(ends))
         leaving = self.directory.list_leaving()
         if leaving:
             links.try_send(link, directories.encode_states(leaving))
         if len(self.limits):
-            links.try_send(link, limits.write_words(self.limits.list_all()))
+            links.try_send(link, limits.encode_records(self.limits.list_all()))
 
-    def _send_exits(self, ends: list[suspects.End]) -> None:
+    def _send_exits(self, ends: list[suspects.TargetExit]) -> None:
         """Send target exits to all home keepers, since any of them may be cut off."""
-        self._send_to_keepers(suspects.write_ends(ends))
+        self._send_to_keepers(suspects.encode_exits(ends))
 
-    def _notify_limit(self, word: limits.Word) -> None:
+    def _notify_limit(self, word: limits.LimitRecord) -> None:
         """Send the limit that a target has named to all home keepers."""
-        self._send_to_keepers(limits.write_words([word]))
+        self._send_to_keepers(limits.encode_records([word]))
 
     def _notify_leaving(self, target: directories.Target) -> None:
         """Report to all home keepers that a target leaves."""
@@ -395,11 +399,11 @@
         for link in self.homes.list_links():
             links.try_send(link, message)
 
-    def _notify_backoff(self, word: backoffs.Word) -> None:
+    def _notify_backoff(self, word: backoffs.BackoffRecord) -> None:
         """Report to one keeper that a target requested back-off; a hint may be lost."""
         link = self.homes.get_primary()
         if link is not None:
-            links.try_send(link, backoffs.write_hints([(word.target_id, word.until)]))
+            links.try_send(link, backoffs.encode_hints([(word.target_id, word.until)]))
 
     def _log_permits(self, is_answered: bool, reason: str) -> None:
         self.timeline.record("permits.owner", answers=is_answered, reason=reason)
@@ -417,7 +421,7 @@
         link = self.homes.get_primary()
         if link is None:
             raise links.LinkLost("no keeper to request permits from")
-        reply = await link.call(messages.PermitRequest(wishes), permits.ANSWER_SECONDS)
+        reply = await link.call(messages.PermitRequest(wishes), permits.REPLY_TIMEOUT_SECONDS)
         assert isinstance(reply, messages.PermitReply)
         return reply.grants
 
@@ -427,7 +431,7 @@
     def _handle_message(self, link: links.Link, body: messages.Body) -> None:
         match body:
             case messages.Publication():
-                self.published.take(body)
+                self.published.offer(body)
             case messages.ConfigDelta():
                 self.orders.apply_delta(body)
             case messages.TargetStates():
@@ -435,11 +439,11 @@
             case messages.LoadDigest():
                 self._merge_digest(link, body)
             case messages.TargetEnds():
-                self.quarantine.take(suspects.read_ends(body))
+                self.quarantine.handle_exits(suspects.decode_exits(body))
             case messages.TargetLimits():
-                self._merge_limits(limits.read_words(body))
+                self._merge_limits(limits.decode_records(body))
             case messages.TargetBackoffs():
-                self.backoffs.take_hints(backoffs.read_hints(body))
+                self.backoffs.merge_hints(backoffs.decode_hints(body))
 
     def _merge_states(self, states: messages.TargetStates) -> None:
         """Merge target states, and log what changed; of many changes only their number."""
@@ -460,9 +464,9 @@
                 cold_ms=max(0, int((target.warm_at - now) * 1000)),
             )
 
-    def _merge_limits(self, words: list[limits.Word]) -> None:
+    def _merge_limits(self, words: list[limits.LimitRecord]) -> None:
         """Merge the limits that targets have named, as passed on by keepers."""
-        for word in self.limits.take(words):
+        for word in self.limits.merge(words):
             self.timeline.record(
                 "target.limit",
                 target=word.target_id,
@@ -477,12 +481,12 @@
     ) -> None:
         """Discard what is held about a target that is gone or has restarted."""
         if target.phase is directories.Phase.GONE:
-            self.limits.forget(target.target_id)
-            self.permits.forget(target.target_id)
-            self.backoffs.forget(target.target_id)
+            self.limits.discard(target.target_id)
+            self.permits.discard(target.target_id)
+            self.backoffs.discard(target.target_id)
         if not target.is_superseded:
             return
-        self.usage.forget_pace(target.address)
+        self.usage.discard_event_times(target.address)
         self.timeline.record(
             "target.over",
             target=target.target_id,
@@ -495,11 +499,11 @@
         """Merge a load digest, if it comes from the primary keeper."""
         if link is not self.homes.get_primary():
             return  # sent before the primary changed; sequences of two keepers do not match
-        taken = self.usage.take(digest, self._loop.time())
-        if taken is usages.Taken.GAP:
+        taken = self.usage.handle_digest(digest, self._loop.time())
+        if taken is usages.DigestResult.GAP:
             self.timeline.record("loads.gap", keeper=digest.keeper, sequence=digest.sequence)
             self.homes.request_full_loads()
-        elif taken is usages.Taken.GOOD and digest.whole:
+        elif taken is usages.DigestResult.APPLIED and digest.whole:
             self.timeline.record("loads.whole", keeper=digest.keeper, sequence=digest.sequence)
 
     async def _send_loads(self) -> None:
@@ -509,15 +513,15 @@
             await self._wait_for_loads()
             now = self._loop.time()
             self.directory.expire_old(now)
-            self.limits.forget_unknown(self.directory.targets, now)
-            if self.usage.forget_others(now):
-                self.timeline.record("loads.lost", after_s=usages.OTHERS_SECONDS)
+            self.limits.expire_unknown(self.directory.targets, now)
+            if self.usage.expire_others(now):
+                self.timeline.record("loads.lost", after_s=usages.DIGEST_TTL_SECONDS)
             link = self.homes.get_primary()
             is_due = link is not reported_to or now - reported_at > MAX_LOADS_INTERVAL_SECONDS
             if link is None or not (self.usage.changed or is_due):
                 continue
             reported_at, reported_to = now, link
-            links.try_send(link, self.usage.write(self._started_ms, now))
+            links.try_send(link, self.usage.build_report(self._started_ms, now))
 
     async def _wait_for_loads(self) -> None:
         """Wait until the next load report may be sent."""
@@ -531,12 +535,12 @@
     async def _answer_ready(
         self, request: http_server.Request, responder: http_server.Responder
     ) -> None:
-        table = self._gate.table
+        table = self._admission_control.table
         is_ready = table is not None and not self._stopping
         if is_ready and table is not None and table.workspaces:
             is_ready = self._is_fresh()
-        head = http_head.AnswerHead(200 if is_ready else 503, [])
-        await responder.send_whole(head, b"")
+        head = http_head.ResponseHead(200 if is_ready else 503, [])
+        await responder.send_response(head, b"")
 
     def _log_error(self, error: Exception) -> None:
         links.log_exception("gateway", error)
--- a/tillerlane/gateway/feedback.py
+++ b/tillerlane/gateway/feedback.py
@@ -60,31 +60,31 @@
         self._timeline = timeline
         self._metrics = metrics
         self._now = now
-        self.notify_limit: Callable[[limits.Word], None] = lambda record: None
+        self.notify_limit: Callable[[limits.LimitRecord], None] = lambda record: None
         self.notify_leaving: Callable[[directories.Target], None] = lambda target: None
-        self.notify_backoff: Callable[[backoffs.Word], None] = lambda record: None
+        self.notify_backoff: Callable[[backoffs.BackoffRecord], None] = lambda record: None
 
     def handle_response(
         self,
         request_id: str,
         target: directories.Target,
-        facts: dialects.AnswerFacts,
+        facts: dialects.ResponseFacts,
         sent_at: float,
     ) -> None:
         """Handle the response to a request that was sent at `sent_at` (event-loop time).
 
         Headers that cannot be parsed change nothing.
         """
-        for unread in facts.unread:
-            self._metrics.target_reports.labels(unread.word, "unread").inc()
+        for header in facts.invalid:
+            self._metrics.target_reports.labels(header.name, "unread").inc()
             self._timeline.record(
                 "target.unread",
                 request_id=request_id,
                 target=target.target_id,
-                word=unread.word,
-                text=unread.text,
+                word=header.name,
+                text=header.text,
             )
-        if not facts.has_unread("limit"):
+        if not facts.has_invalid("limit"):
             self._handle_limit(request_id, target, facts.rate_limit)
         if facts.is_leaving:
             self._handle_leaving(request_id, target)
@@ -96,7 +96,7 @@
     def _handle_limit(
         self, request_id: str, target: directories.Target, limit: float | None
     ) -> None:
-        record = self._limits.note_answer(target.target_id, limit, self._now())
+        record = self._limits.record_response(target.target_id, limit, self._now())
         if record is None:
             return
         is_named = record.unnamed_since is None
@@ -132,7 +132,7 @@
         under_way = self._usage.count_own_at(target.address) - 1
         even_share = target.slots / max(1, self._usage.entries)
         sustained = max(under_way, even_share)
-        record = self._backoffs.note(target.target_id, seconds, request_id, sustained)
+        record = self._backoffs.record(target.target_id, seconds, request_id, sustained)
         self._metrics.target_reports.labels(
             "backoff", "ignored" if record is None else "taken"
         ).inc()
@@ -149,7 +149,7 @@
 
     def _end_backoff(self, request_id: str, target: directories.Target, sent_at: float) -> None:
         """End a target's back-off if it accepted a request that was sent after its start."""
-        record = self._backoffs.note_taken(target.target_id, sent_at)
+        record = self._backoffs.record_accepted(target.target_id, sent_at)
         if record is None:
             return
         self._metrics.target_reports.labels("backoff", "ended").inc()
@@ -158,5 +158,5 @@
             request_id=request_id,
             target=target.target_id,
             asked_by=record.request_id,
-            after_ms=int((self._now() - record.told_at) * 1000),
+            after_ms=int((self._now() - record.requested_at) * 1000),
         )
--- a/tillerlane/gateway/homes.py
+++ b/tillerlane/gateway/homes.py
@@ -223,7 +223,7 @@
         return bool(self._entry_count) or subscribed < HOME_COUNT
 
     async def _query(self, home: _Home, link: links.Link, queried_at: float) -> None:
-        reply = await freshness.ask(link, max(0, self._get_version()))
+        reply = await freshness.request_freshness(link, max(0, self._get_version()))
         if reply is None:
             return
         if not self._known.issuperset(reply.keepers):
--- a/tillerlane/gateway/tests/test_handover_second_look.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -11,7 +11,7 @@
 from typing import Any
 from unittest import mock
 
-from tillerlane.gateway import dialect, handovers, http_head, http_server, relayed
+from tillerlane.gateway import dialect, handovers, http_head, http_server, stream_relay
 from tillerlane.gateway import directory as directories
 from tillerlane.gateway.tests import test_handover, test_handover_orders
 from tillerlane.testing import gateway_lab, gateway_scenes, lab, platform_runner
@@ -33,7 +33,7 @@
             return False
         asked.append(order)
         await asyncio.sleep(0.005)
-        await responder.send_whole(http_head.AnswerHead(status, []), b"")
+        await responder.send_response(http_head.ResponseHead(status, []), b"")
         return True
 
     test_handover_orders.intercept(runner, take)
@@ -129,15 +129,15 @@
             stage.beat("t2", "llm")
             second.loses_copies = True
             lost = test_handover_orders.lose_first_stop(first)
-            pass_on = relayed.Relayed._pass_on
+            pass_on = stream_relay.StreamRelay._pass_on
 
-            async def pass_on_slowly(stream: relayed.Relayed, data: bytes) -> bool:
+            async def pass_on_slowly(stream: stream_relay.StreamRelay, data: bytes) -> bool:
                 good = await pass_on(stream, data)
                 if stream.events > 29:
                     await asyncio.sleep(0.5)
                 return good
 
-            with mock.patch.object(relayed.Relayed, "_pass_on", pass_on_slowly):
+            with mock.patch.object(stream_relay.StreamRelay, "_pass_on", pass_on_slowly):
                 stage.beat("t1", "llm", phase=directories.Phase.DRAINING)
                 while not first.ran[0].ended:
                     await asyncio.sleep(0.005)
@@ -181,13 +181,13 @@
             await asyncio.sleep(0.5)
             available = stage.entries["entry-1"]._relay._streams._available
             looks: list[float] = []
-            is_held_up = available.is_held_up
+            is_blocked = available.is_blocked
 
             def count(pool: Any, target: Any) -> bool:
                 looks.append(asyncio.get_running_loop().time())
-                return is_held_up(pool, target)
+                return is_blocked(pool, target)
 
-            available.is_held_up = count  # type: ignore[method-assign]
+            available.is_blocked = count  # type: ignore[method-assign]
             await stage.add_runner("t2", "llm", length=LENGTH)
             stage.beat("t2", "llm", cold_seconds=4.0)
             await asyncio.sleep(0.2)
@@ -235,54 +235,54 @@
     def test_call_under_way_that_is_no_order_of_ours_stops_no_run(self) -> None:
         self.play_silent(409)
 
-    def judge_orders(self, *outcomes: dialect.MoveOutcome, may_be_copying: bool) -> str:
+    def judge_orders(self, *outcomes: dialect.CopyOutcome, may_be_copying: bool) -> str:
         """What is known after orders with these outcomes, the last of which stays so."""
         left = list(outcomes)
 
-        async def stop_run(*order: Any) -> dialect.MoveResult:
-            return dialect.MoveResult(left.pop(0) if len(left) > 1 else left[0])
+        async def stop_run(*order: Any) -> dialect.CopyResult:
+            return dialect.CopyResult(left.pop(0) if len(left) > 1 else left[0])
 
         async def run() -> str:
-            orders = handovers.Handovers(
+            orders = handovers.StopOrders(
                 mock.Mock(stop_run=stop_run), mock.MagicMock(), mock.MagicMock()
             )
             target = mock.Mock(address="10.0.9.1:9000")
             moved = mock.Mock(target=target, request_id="r1", may_be_copying=may_be_copying)
-            stopping = orders.stop(moved, "10.0.9.2:9000", 100.0, is_stream_open=True)
+            stop_order = orders.stop(moved, "10.0.9.2:9000", 100.0, is_stream_open=True)
             await asyncio.sleep(3.0)
-            return stopping.evidence.value
+            return stop_order.evidence.value
 
         return lab.run_virtual(run())
 
     def test_order_under_way_is_ours_only_if_one_is_unanswered_and_no_copy_is(self) -> None:
-        lost, busy = dialect.MoveOutcome.LOST, dialect.MoveOutcome.BUSY
+        lost, busy = dialect.CopyOutcome.LOST, dialect.CopyOutcome.BUSY
         self.assertEqual(self.judge_orders(lost, busy, may_be_copying=False), "stopped")
         self.assertEqual(self.judge_orders(lost, busy, may_be_copying=True), "none")
         self.assertEqual(self.judge_orders(busy, may_be_copying=False), "none")
 
     def test_order_that_was_answered_is_none_that_may_be_carried_out(self) -> None:
         """An answer of 503 that names no memory says that the run was not stopped."""
-        no_room, busy = dialect.MoveOutcome.NO_ROOM, dialect.MoveOutcome.BUSY
+        no_room, busy = dialect.CopyOutcome.NO_ROOM, dialect.CopyOutcome.BUSY
         self.assertEqual(self.judge_orders(no_room, busy, may_be_copying=False), "none")
 
     def test_no_run_said_to_an_order_from_before_the_streams_end_proves_nothing(self) -> None:
-        outcomes = [dialect.MoveOutcome.NO_RUN, dialect.MoveOutcome.LOST]
+        outcomes = [dialect.CopyOutcome.NO_RUN, dialect.CopyOutcome.LOST]
 
-        async def stop_run(*order: Any) -> dialect.MoveResult:
+        async def stop_run(*order: Any) -> dialect.CopyResult:
             outcome = outcomes.pop(0) if len(outcomes) > 1 else outcomes[0]
             await asyncio.sleep(0.1)
-            return dialect.MoveResult(outcome)
+            return dialect.CopyResult(outcome)
 
         async def run() -> str:
-            orders = handovers.Handovers(
+            orders = handovers.StopOrders(
                 mock.Mock(stop_run=stop_run), mock.MagicMock(), mock.MagicMock()
             )
             moved = mock.Mock(target=mock.Mock(address="10.0.9.1:9000"), request_id="r1")
-            stopping = orders.stop(moved, "10.0.9.2:9000", 100.0, is_stream_open=True)
+            stop_order = orders.stop(moved, "10.0.9.2:9000", 100.0, is_stream_open=True)
             await asyncio.sleep(0.05)
-            orders.note_closed(stopping)
+            orders.record_stream_end(stop_order)
             await asyncio.sleep(0.5)
-            return stopping.evidence.value
+            return stop_order.evidence.value
 
         self.assertEqual(lab.run_virtual(run()), "none")
 
@@ -414,7 +414,7 @@
                 if order.get("last"):
                     orders.append(order)
                 if len(orders) > 1:
-                    await responder.send_whole(http_head.AnswerHead(429, []), b"")
+                    await responder.send_response(http_head.ResponseHead(429, []), b"")
                 return len(orders) > 1
 
             test_handover_orders.intercept(first, take)
--- a/tillerlane/gateway/tests/test_leaving_scale.py
+++ b/tillerlane/gateway/tests/test_leaving_scale.py
@@ -13,7 +13,7 @@
 
     keepers = 5
     entries = 68
-    wished_voters = 5
+    desired_voters = 5
 
     def test_leaving_reported_to_one_entry_reaches_the_others_in_time(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -27,20 +27,20 @@
     commands,
     elections,
     followers,
-    machine,
     pending,
     proposals,
     replication,
     snapshots,
+    state_machine,
 )
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Replica", "Standing"]
+__all__ = ["Replica", "Role"]
 
-COMMIT_SECONDS = 3.0
+COMMIT_TIMEOUT_SECONDS = 3.0
 """How long a proposal waits to be committed."""
 MAX_BATCH_ENTRIES = 512
 SNAPSHOT_ENTRIES = 4_000
@@ -48,9 +48,9 @@
 SNAPSHOT_BYTES = 8 * 1024 * 1024
 """Bytes of commands behind the last snapshot after which a new one is made: a sixteenth of the
 smallest disk that a keeper has had (128 MB), and bounded memory for the entries held."""
-CANCEL_SECONDS = 0.1
+CANCEL_RETRY_DELAY_SECONDS = 0.1
 """Pause before tasks that are still there are cancelled again."""
-STALL_SECONDS = 1.0
+DISK_STALL_TIMEOUT_SECONDS = 1.0
 """A leader whose disk has been silent in a write for so long lets another one lead: below the
 time after which callers of the log ask elsewhere, above a slow sync."""
 
@@ -60,7 +60,7 @@
 Run = Callable[..., Awaitable[Any]]
 
 
-class Standing(enum.StrEnum):
+class Role(enum.StrEnum):
     """What a keeper is at the moment."""
 
     FOLLOWER = "follower"
@@ -79,7 +79,7 @@
         Keepers of the settings: daemon id to peer address.
     storage : storages.Storage
         Its durable state.
-    state : machine.Machine
+    state : state_machine.StateMachine
         The replicated state.
     timeline : timelines.Timeline
         Takes the events.
@@ -89,7 +89,7 @@
         Runs a blocking function without holding the event loop.
     rng : random.Random
         Draws election timeouts.
-    list_founders : callable, optional
+    list_bootstrap_peers : callable, optional
         Gives the first voters, name to address, if this keeper may found the log now; empty
         otherwise.  By default the configured keepers, for the one of the lowest name.
     """
@@ -99,35 +99,35 @@
         name: str,
         configured: dict[str, str],
         storage: storages.Storage,
-        state: machine.Machine,
+        state: state_machine.StateMachine,
         timeline: timelines.Timeline,
         get_link: Callable[[str], links.Link | None],
         run_blocking: Run,
         rng: random.Random,
-        list_founders: Callable[[], dict[str, str]] | None = None,
+        list_bootstrap_peers: Callable[[], dict[str, str]] | None = None,
     ) -> None:
         self.name = name
-        self.machine = state
+        self.state_machine = state
         self.storage = storage
         self._configured = configured
         self._timeline = timeline
         self._run_blocking = run_blocking
-        self.standing = Standing.FOLLOWER
+        self.role = Role.FOLLOWER
         self.leader = ""
-        self.commit = storage.snapshot.last_index
-        self.applied = storage.snapshot.last_index
+        self.commit_index = storage.snapshot.last_index
+        self.applied_index = storage.snapshot.last_index
         self.elections = elections.Elections(
             self,
             len(configured),
             get_link,
             timeline,
             rng,
-            list_founders or self._list_configured,
+            list_bootstrap_peers or self._list_configured,
         )
         self.write_lock = asyncio.Lock()
         self.replication = replication.Replication(self, get_link)
-        self._pending = pending.Pending()
-        self._inbox = snapshots.Inbox()
+        self._pending = pending.PendingProposals()
+        self._snapshot_assembler = snapshots.SnapshotAssembler()
         self._noop_index = 0
         self._voters: dict[str, commands.Voter] = {}
         self._voters_mark: tuple[int, int, int] | None = None
@@ -135,17 +135,17 @@
         self._bytes_behind_snapshot = 0
         self._writing_since: float | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self.failed: faults.Fault | None = None
-        self.on_standing: Callable[[], None] = lambda: None
+        self.disk_fault: faults.Fault | None = None
+        self.on_role_change: Callable[[], None] = lambda: None
         self.on_commit: Callable[[], None] = lambda: None
         if storage.snapshot.data:
             state.load(storage.snapshot.data)
 
     # Life
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the keeper's tasks."""
-        self.elections.begin()
+        self.elections.start()
         self._tasks = [
             asyncio.create_task(self.elections.run()),
             asyncio.create_task(self._write_proposals()),
@@ -159,7 +159,7 @@
             # in the moment in which its work ends.
             for task in pending:
                 task.cancel()
-            _, pending = await asyncio.wait(pending, timeout=CANCEL_SECONDS)
+            _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_DELAY_SECONDS)
         self._pending.fail_all("the keeper stops")
 
     def _is_running(self, name: str) -> bool:
@@ -177,20 +177,20 @@
     @property
     def voters(self) -> dict[str, commands.Voter]:
         """Voters by the latest entry of the log, committed or not; empty before it is founded."""
-        mark = (self.applied, self.storage.last_index, self.storage.last_term)
+        mark = (self.applied_index, self.storage.last_index, self.storage.last_term)
         if mark != self._voters_mark:
             self._voters_mark = mark
             self._voters = self._read_voters()
         return self._voters
 
     def _read_voters(self) -> dict[str, commands.Voter]:
-        voters = dict(self.machine.voters)
-        ahead = self.storage.last_index - self.applied
+        voters = dict(self.state_machine.voters)
+        ahead = self.storage.last_index - self.applied_index
         for entry in self.storage.entries[len(self.storage.entries) - ahead :]:
             if not any(mark in entry.command for mark in _VOTER_MARKS):
                 continue
             command = commands.decode(entry.command)
-            if isinstance(command, commands.Found):
+            if isinstance(command, commands.Bootstrap):
                 voters = dict(command.voters)
             elif isinstance(command, commands.VoterAdd):
                 voters[command.name] = commands.Voter(command.address, command.disk_id)
@@ -209,31 +209,33 @@
         """Whether a leader was heard of lately."""
         if self.is_leading:
             return self.has_lease
-        return bool(self.leader) and self.elections.has_heard(elections.ELECTION_SECONDS[1])
+        return bool(self.leader) and self.elections.has_heard_leader(
+            elections.ELECTION_TIMEOUT_SECONDS[1]
+        )
 
     @property
     def has_lease(self) -> bool:
         """Whether no other keeper can be leader yet: a quorum answered lately."""
-        if not self.is_leading or self.failed is not None:
+        if not self.is_leading or self.disk_fault is not None:
             return False
         confirmed_at = self._read_quorum_time()
         return confirmed_at is not None and self._now() - confirmed_at < elections.LEASE_SECONDS
 
     def _read_quorum_time(self) -> float | None:
         """When the latest requests were sent that a quorum has answered; None without one."""
-        return self.replication.read_quorum_time(self.voters)
+        return self.replication.compute_quorum_time(self.voters)
 
-    def read_confirmed_at(self) -> float | None:
+    def get_confirmed_at(self) -> float | None:
         """Time of the event loop at which this keeper was surely the only leader.
 
         What is committed here now includes all that was committed anywhere by then.  None if this
         keeper does not lead, or has not yet committed an entry of its own term.
         """
-        if not self.has_lease or self.commit < self._noop_index:
+        if not self.has_lease or self.commit_index < self._noop_index:
             return None
         return self._read_quorum_time()
 
-    def read_answered_at(self, name: str) -> float:
+    def get_last_ack_at(self, name: str) -> float:
         """When the last request was sent that another keeper has answered; leaders only."""
         if name == self.name:
             return self._now()
@@ -242,14 +244,14 @@
 
     def _stand_down(self, fault: faults.Fault) -> None:
         """The disk failed: answer nothing more that depends on it."""
-        if self.failed is None:
-            self.failed = fault
+        if self.disk_fault is None:
+            self.disk_fault = fault
             self._timeline.record("keeper.disk_failed", message=fault.message)
             self.become_follower(self.storage.term, "")
 
     def _check_disk(self) -> None:
-        if self.failed is not None:
-            raise faults.FaultError(self.failed)
+        if self.disk_fault is not None:
+            raise faults.FaultError(self.disk_fault)
 
     async def write(self, work: Callable[..., None], *arguments: Any) -> None:
         """Run a blocking write of the storage; one at a time is the callers' lock."""
@@ -264,14 +266,14 @@
 
     @property
     def is_stalled(self) -> bool:
-        """Whether a write has been with the disk for longer than `STALL_SECONDS`."""
+        """Whether a write has been with the disk for longer than `DISK_STALL_TIMEOUT_SECONDS`."""
         since = self._writing_since
-        return since is not None and self._now() - since > STALL_SECONDS
+        return since is not None and self._now() - since > DISK_STALL_TIMEOUT_SECONDS
 
-    async def take_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
+    async def handle_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
         """Answer a candidate."""
         self._check_disk()
-        return await self.elections.answer(request)
+        return await self.elections.handle_vote_request(request)
 
     def _list_configured(self) -> dict[str, str]:
         """All configured keepers, for the one of the lowest name: so two never found at once."""
@@ -281,12 +283,12 @@
 
     def become_candidate(self) -> None:
         """Stand for election in the term that the disk names."""
-        self.standing = Standing.CANDIDATE
+        self.role = Role.CANDIDATE
         self.leader = ""
 
     def become_leader(self) -> None:
         """Lead the term that the disk names; an entry of the term is the first to be committed."""
-        self.standing = Standing.LEADER
+        self.role = Role.LEADER
         self.leader = self.name
         self.elections.heard_at = self._now()
         self._adding_voter = False
@@ -294,20 +296,20 @@
         self._pending.fail_all("a new term began")
         self._pending.add(commands.encode(commands.Noop()), first=True)
         self._noop_index = self.storage.last_index + 1
-        self.replication.begin(self.voters)
-        self.on_standing()
+        self.replication.start(self.voters)
+        self.on_role_change()
 
     def become_follower(self, term: int, leader: str) -> None:
         """Lead no more, or follow another leader."""
-        was = (self.standing, self.leader)
-        self.standing = Standing.FOLLOWER
+        was = (self.role, self.leader)
+        self.role = Role.FOLLOWER
         self.leader = leader
-        if was[0] is Standing.LEADER:
+        if was[0] is Role.LEADER:
             self._timeline.record("keeper.follow", term=term, leader=leader)
-            self.replication.end()
+            self.replication.stop()
             self._pending.fail_all("another keeper leads")
-        if was != (self.standing, self.leader):
-            self.on_standing()
+        if was != (self.role, self.leader):
+            self.on_role_change()
 
     async def follow_term(self, term: int, leader: str = "") -> None:
         """Enter a later term, or take its leader's name to the disk.
@@ -336,14 +338,14 @@
         """
         self._check_disk()
         if not self.has_lease:
-            message = f"{self.name} is {self.standing} without a lease"
+            message = f"{self.name} is {self.role} without a lease"
             detail = {"leader": self.leader}
             raise proposals.build_no_quorum(message, detail=detail)
         proposal = self._pending.add(command)
         try:
-            return await asyncio.wait_for(asyncio.shield(proposal.answer), COMMIT_SECONDS)
+            return await asyncio.wait_for(asyncio.shield(proposal.answer), COMMIT_TIMEOUT_SECONDS)
         except TimeoutError as error:
-            raise pending.build_undecided("not committed in time") from error
+            raise pending.build_outcome_unknown("not committed in time") from error
 
     async def _write_proposals(self) -> None:
         """Append what is queued; all that gathers during one sync shares the next."""
@@ -358,13 +360,13 @@
     async def _append_batch(self) -> None:
         if not self.is_leading:
             return
-        batch = self._pending.take_batch(MAX_BATCH_ENTRIES)
+        batch = self._pending.pop_batch(MAX_BATCH_ENTRIES)
         term = self.storage.term
         first = self.storage.last_index + 1
         entries = []
         for position, proposal in enumerate(batch):
             entries.append(messages.LogEntry(term, first + position, proposal.command))
-            self._pending.note_appended(first + position, proposal)
+            self._pending.record_appended(first + position, proposal)
         try:
             await self.write(self.storage.append, entries)
         except faults.FaultError:
@@ -380,30 +382,30 @@
         index = self.replication.find_quorum_index(self.voters)
         if index is None:
             return
-        if index > self.commit and self.storage.get_term(index) == self.storage.term:
-            self.commit = index
+        if index > self.commit_index and self.storage.get_term(index) == self.storage.term:
+            self.commit_index = index
             self._apply_committed()
             self.replication.wake_all()
 
     def _apply_committed(self) -> None:
-        while self.applied < self.commit:
-            entries = self.storage.get_entries(self.applied + 1, 1_000, 1 << 30)
+        while self.applied_index < self.commit_index:
+            entries = self.storage.get_entries(self.applied_index + 1, 1_000, 1 << 30)
             if not entries:
                 return
             for entry in entries:
-                if entry.index > self.commit:
+                if entry.index > self.commit_index:
                     return self._after_apply()
                 self._apply_entry(entry)
         return self._after_apply()
 
     def _apply_entry(self, entry: messages.LogEntry) -> None:
-        answer = self.machine.apply(entry.term, entry.index, commands.decode(entry.command))
-        self.applied = entry.index
+        answer = self.state_machine.apply(entry.term, entry.index, commands.decode(entry.command))
+        self.applied_index = entry.index
         self._bytes_behind_snapshot += len(entry.command)
-        self._pending.answer(entry.index, {**answer, "index": entry.index, "term": entry.term})
+        self._pending.resolve(entry.index, {**answer, "index": entry.index, "term": entry.term})
 
     def _after_apply(self) -> None:
-        if self.voters == self.machine.voters:
+        if self.voters == self.state_machine.voters:
             self._adding_voter = False
         if self.is_leading:
             if self.name not in self.voters:
@@ -411,7 +413,7 @@
                 return
             self.replication.follow(self.voters)
         self.on_commit()
-        behind = self.applied - self.storage.snapshot.last_index
+        behind = self.applied_index - self.storage.snapshot.last_index
         if behind >= SNAPSHOT_ENTRIES or self._bytes_behind_snapshot >= SNAPSHOT_BYTES:
             self._start_snapshot()
 
@@ -419,9 +421,9 @@
         """Write a snapshot in the background; a few entries in front of it are kept."""
         if self._is_running("snapshot"):
             return
-        index = self.applied
+        index = self.applied_index
         term = self.storage.get_term(index)
-        snapshot = storages.Snapshot(index, term or 0, self.machine.dump())
+        snapshot = storages.Snapshot(index, term or 0, self.state_machine.dump())
         self._bytes_behind_snapshot = 0
         self._run_beside("snapshot", self._save_snapshot(snapshot))
 
@@ -440,7 +442,7 @@
     @property
     def is_leading(self) -> bool:
         """Whether this keeper leads; it may have lost its lease."""
-        return self.standing is Standing.LEADER
+        return self.role is Role.LEADER
 
     def add_learner(self, name: str, address: str) -> None:
         """Bring a keeper up to date and then make it a voter."""
@@ -448,7 +450,7 @@
         if self.is_leading:
             self.replication.follow(self.voters)
 
-    def note_progress(self, name: str, address: str) -> None:
+    def record_progress(self, name: str, address: str) -> None:
         """Commit what a quorum holds now, and give a keeper that has caught up its vote.
 
         It is the vote of the disk that the keeper has now.  The proposal runs beside the
@@ -464,8 +466,8 @@
             self.replication.learners.pop(name, None)
             return
         if voter is None and name not in self.replication.learners:
-            return  # a standby; `keeper.turnover` decides
-        is_ready = progress.disk_id and progress.match_index >= max(self.commit, 1)
+            return  # a standby; `keeper.reconfiguration` decides
+        is_ready = progress.disk_id and progress.match_index >= max(self.commit_index, 1)
         is_changing = self._adding_voter or self._is_running("promote")
         if not is_ready or is_changing or not self.has_lease:
             return
@@ -489,17 +491,17 @@
         faults.FaultError
             ``no_quorum`` if another change is still on its way.
         """
-        if self._adding_voter or self.commit < self._noop_index:
+        if self._adding_voter or self.commit_index < self._noop_index:
             raise proposals.build_no_quorum("another change of voters is on its way")
         self._adding_voter = True
         try:
             return await self.propose(commands.encode(command))
         finally:
-            self._adding_voter = self.voters != self.machine.voters
+            self._adding_voter = self.voters != self.state_machine.voters
 
     # The follower's side of replication
 
-    async def take_append(self, request: messages.AppendRequest) -> messages.AppendReply:
+    async def handle_append(self, request: messages.AppendRequest) -> messages.AppendReply:
         """Take entries from the leader."""
         self._check_disk()
         if not await self._take_leader(request.term, request.leader):
@@ -517,7 +519,7 @@
             if request.entries:
                 await self.write(storage.append, request.entries)
         known = request.prev_index + len(request.entries)
-        self.commit = max(self.commit, min(request.commit, known))
+        self.commit_index = max(self.commit_index, min(request.commit, known))
         self._apply_committed()
         return self._reply_append(True, known)
 
@@ -531,28 +533,28 @@
             return False
         if term > self.storage.term or self.storage.voted_for != leader:
             await self.follow_term(term, leader)
-        self.elections.note_leader()
-        if self.leader != leader or self.standing is not Standing.FOLLOWER:
+        self.elections.record_leader_contact()
+        if self.leader != leader or self.role is not Role.FOLLOWER:
             self.become_follower(term, leader)
         return True
 
-    async def take_snapshot_piece(self, piece: messages.SnapshotPiece) -> messages.SnapshotReply:
+    async def handle_snapshot_piece(self, piece: messages.SnapshotPiece) -> messages.SnapshotReply:
         """Take a piece of the leader's snapshot; the last one puts it in force."""
         self._check_disk()
         storage = self.storage
         if not await self._take_leader(piece.term, piece.leader):
             return messages.SnapshotReply(storage.term, 0, storage.disk_id)
-        received = self._inbox.take(piece)
+        received = self._snapshot_assembler.add(piece)
         if received == piece.total:
-            await self._install(self._inbox.finish())
+            await self._install(self._snapshot_assembler.finish())
         return messages.SnapshotReply(storage.term, received, storage.disk_id)
 
     async def _install(self, snapshot: storages.Snapshot) -> None:
-        if snapshot.last_index <= self.applied:
+        if snapshot.last_index <= self.applied_index:
             return
         async with self.write_lock:
             await self.write(self.storage.save_snapshot, snapshot)
-        self.machine.load(snapshot.data)
-        self.commit = max(self.commit, snapshot.last_index)
-        self.applied = snapshot.last_index
+        self.state_machine.load(snapshot.data)
+        self.commit_index = max(self.commit_index, snapshot.last_index)
+        self.applied_index = snapshot.last_index
         self._timeline.record("keeper.install", index=snapshot.last_index)
--- a/tillerlane/keeper/tests/test_publications.py
+++ b/tillerlane/keeper/tests/test_publications.py
@@ -6,7 +6,7 @@
 from hypothesis import given, strategies
 
 from tillerlane.faults import core as faults
-from tillerlane.keeper import commands, machine, publications
+from tillerlane.keeper import commands, publications, state_machine
 from tillerlane.testing import gateway_lab, gateway_scenes, profiles
 
 
@@ -15,32 +15,32 @@
     return commands.Publish(version, content or f"content {version}".encode(), 0)
 
 
-class PublisherTest(unittest.TestCase):
+class PublicationRegisterTest(unittest.TestCase):
     """The state alone."""
 
     @profiles.choose(100)
     @given(strategies.lists(strategies.integers(0, 20), max_size=30))
     def test_highest_version_holds_in_any_order(self, versions: list[int]) -> None:
-        publisher = publications.Publisher()
+        register = publications.PublicationRegister()
         seen: list[int] = []
-        publisher.listen(lambda publication: seen.append(publication.version))
+        register.add_listener(lambda publication: seen.append(publication.version))
         for version in versions:
-            publisher.publish(build_command(version))
-        self.assertEqual(publisher.version, max(versions, default=-1))
+            register.publish(build_command(version))
+        self.assertEqual(register.version, max(versions, default=-1))
         self.assertEqual(seen, sorted(set(seen)))
 
     def test_other_content_under_the_version_held_changes_nothing(self) -> None:
-        publisher = publications.Publisher()
-        publisher.publish(build_command(3, b"first"))
-        answer = publisher.publish(build_command(3, b"second"))
+        register = publications.PublicationRegister()
+        register.publish(build_command(3, b"first"))
+        answer = register.publish(build_command(3, b"second"))
         self.assertEqual(answer, {"taken": False, "version": 3})
-        self.assertEqual(publisher.current.content, b"first")
+        self.assertEqual(register.current.content, b"first")
 
     def test_snapshot_keeps_it_and_an_older_one_takes_nothing_back(self) -> None:
-        old, new = machine.Machine(), machine.Machine()
+        old, new = state_machine.StateMachine(), state_machine.StateMachine()
         old.apply(1, 1, build_command(3))
         new.apply(1, 1, build_command(9))
-        restored = machine.Machine()
+        restored = state_machine.StateMachine()
         restored.load(new.dump())
         self.assertEqual(restored.published.version, 9)
         restored.load(old.dump())
@@ -52,11 +52,11 @@
 
     keepers = 5
     entries = 2
-    wished_voters = 5
+    desired_voters = 5
 
     def read_versions(self, stage: gateway_lab.GatewayLab) -> set[int]:
         """Versions that the live keepers hold."""
-        return {item.replica.machine.published.version for item in stage.keepers.values()}
+        return {item.replica.state_machine.published.version for item in stage.keepers.values()}
 
     def test_acknowledged_outlives_power_off_for_all(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -132,7 +132,7 @@
     """A keeper that goes for good, and an empty one at another address."""
 
     keepers = 4
-    wished_voters = 3
+    desired_voters = 3
 
     def test_spare_keeper_takes_the_vote_of_one_that_is_gone(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -172,7 +172,7 @@
             leader = next(
                 item
                 for item in stage.keepers.values()
-                if item.replica.read_confirmed_at() is not None
+                if item.replica.get_confirmed_at() is not None
             )
             healed = asyncio.Event()
 
@@ -194,7 +194,7 @@
             self.assertTrue(taken)
             healed.set()
             await asyncio.sleep(2)
-            self.assertEqual(leader.replica.machine.published.version, 5)
+            self.assertEqual(leader.replica.state_machine.published.version, 5)
 
         self.play(scene)
 
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -20,7 +20,7 @@
 def register_queries(daemon: daemons.Daemon) -> None:
     """Have the daemon answer the queries of this module."""
     daemon.queries["timeline"] = lambda arguments: _read_timeline(daemon, arguments)
-    daemon.queries["status"] = lambda arguments: read_status(daemon)
+    daemon.queries["status"] = lambda arguments: get_status(daemon)
     daemon.queries["cancel"] = lambda arguments: _cancel(daemon, arguments)
     daemon.queries["demand"] = lambda arguments: _read_demand(daemon)
     daemon.queries["order"] = lambda arguments: _obey(daemon, arguments)
@@ -57,14 +57,14 @@
     if daemon.keeper is None or daemon.placement is None:
         return {}
     own = daemon.keeper.replica
-    leader = daemon.members.read(own.leader)
+    leader = daemon.members.find(own.leader)
     if own.has_lease or leader is None or own.leader == own.name:
-        return daemon.placement.read_status()
+        return daemon.placement.get_status()
     return await daemon.ask(leader, "placement", {})
 
 
 def _read_history(daemon: daemons.Daemon) -> list[dict[str, Any]]:
-    return list(daemon.keeper.replica.machine.history) if daemon.keeper else []
+    return list(daemon.keeper.replica.state_machine.history) if daemon.keeper else []
 
 
 def _cancel(daemon: daemons.Daemon, arguments: dict[str, Any]) -> dict[str, bool]:
@@ -79,7 +79,7 @@
     return {"found": False}
 
 
-def read_status(daemon: daemons.Daemon) -> dict[str, Any]:
+def get_status(daemon: daemons.Daemon) -> dict[str, Any]:
     """State of one daemon, as operators see it."""
     own = daemon.settings
     status: dict[str, Any] = {
@@ -96,7 +96,7 @@
     if daemon.callers is not None:
         status["requests"] = daemon.callers.dispatcher.active
     if daemon.keeper is not None:
-        status["keeper"] = daemon.keeper.read_status()
+        status["keeper"] = daemon.keeper.get_status()
     if daemon.agent is not None:
         status["targets"] = _read_targets(daemon)
     return status
@@ -146,7 +146,7 @@
 ) -> tuple[dict[str, Any], list[str]]:
     """Ask every daemon at once; what each said, and who did not answer."""
     gate = asyncio.Semaphore(MAX_QUERIES_AT_ONCE)
-    members = {member.daemon_id: member for member in daemon.members.read_all()}
+    members = {member.daemon_id: member for member in daemon.members.list_all()}
     members.setdefault(daemon.settings.daemon, daemon.announcer.member)
 
     async def ask_one(member: messages.Member) -> Any:
--- a/tillerlane/platform/adapter.py
+++ b/tillerlane/platform/adapter.py
@@ -9,11 +9,11 @@
 def build_dialect() -> dialect.Dialect:
     """The protocol of the platform's callers and targets."""
     return dialect.Dialect(
-        read_request=wire.decode_request,
-        write_forward=wire.build_forward,
-        read_answer=wire.decode_response,
-        write_refusal=wire.build_refusal,
-        read_table=wire.parse_table,
+        decode_request=wire.decode_request,
+        build_forward=wire.build_forward,
+        decode_response=wire.decode_response,
+        build_refusal=wire.build_refusal,
+        parse_table=wire.parse_table,
         copy_run=calls.copy_run,
         stop_run=calls.stop_run,
         drop_copy=calls.drop_copy,
--- a/tillerlane/platform/settings.py
+++ b/tillerlane/platform/settings.py
@@ -158,11 +158,11 @@
         peer_listen_address=settings.listen.peer or settings.peer_address,
         metrics_address=f"{settings.ip}:{METRICS_PORT}",
         data_folder=settings.data_dir,
-        plan=formation.Plan(
+        plan=formation.FormationSettings(
             seeds=settings.seed_peers,
-            wished_voters=2 * losses + 1,
-            patience_seconds=settings.bounds.catch_up_s * VOTER_TIMEOUT_SHARE,
-            may_found=settings.bootstrap and is_first_seed,
+            desired_voters=2 * losses + 1,
+            voter_timeout_seconds=settings.bounds.catch_up_s * VOTER_TIMEOUT_SHARE,
+            can_bootstrap=settings.bootstrap and is_first_seed,
         ),
         heartbeat_timeout_seconds=settings.heartbeat_ms / 1000 * HEARTBEAT_TIMEOUT_INTERVALS,
         max_read_lag_seconds=settings.bounds.config_ms / 1000 * READ_LAG_SHARE,
--- a/tillerlane/platform/tests/test_wire.py
+++ b/tillerlane/platform/tests/test_wire.py
@@ -29,8 +29,8 @@
     def test_valid_document_is_decoded_completely(self) -> None:
         table = read(gateway_lab.build_document(7))
         route = table.find_route(caller.HOST, "/record/x")
-        self.assertEqual((table.version, route.repeat), (7, routes.Repeat.STREAM))
-        self.assertEqual((route.timeout_seconds, route.aim_seconds), (20.0, 0.5))
+        self.assertEqual((table.version, route.repeat), (7, routes.RepeatPolicy.STREAM))
+        self.assertEqual((route.timeout_seconds, route.objective_seconds), (20.0, 0.5))
         engine = table.pools["llm"].engine
         self.assertEqual((engine.memory_tokens, engine.event_tokens), (34_000, 4))
         self.assertEqual(table.find_workspace(caller.KEY).name, "workspace-a")
@@ -143,7 +143,7 @@
     def test_only_the_targets_own_header_means_not_run(self) -> None:
         def decode_did_run(status: int, **headers: str) -> bool:
             found = build_head(**headers).headers
-            return wire.decode_response(http_head.AnswerHead(status, found)).did_run
+            return wire.decode_response(http_head.ResponseHead(status, found)).did_run
 
         self.assertTrue(decode_did_run(503))
         self.assertFalse(decode_did_run(503, Not_Run="1"))
@@ -153,8 +153,8 @@
     def read_limit(self, *values: bytes) -> tuple[float | None, str | None]:
         """Limit and unparsed text of an answer with these header values."""
         headers = [(b"server-limit", value) for value in values]
-        facts = wire.decode_response(http_head.AnswerHead(200, headers))
-        texts = [unread.text for unread in facts.unread if unread.word == "limit"]
+        facts = wire.decode_response(http_head.ResponseHead(200, headers))
+        texts = [item.text for item in facts.invalid if item.name == "limit"]
         return facts.rate_limit, texts[0] if texts else None
 
     def test_limit_that_a_target_names_is_a_plain_decimal_number(self) -> None:
@@ -167,17 +167,17 @@
         bad = (b"-1", b"+2", b"nan", b"inf", b"", b" ", b"1e308", b"1e3", b"0x1f", b"1_0", b"1.")
         for value in (*bad, b"9" * 10_000, b"1,9", "\u0661".encode()):
             with self.subTest(value=value[:20]):
-                limit, unread = self.read_limit(value)
+                limit, invalid = self.read_limit(value)
                 self.assertIsNone(limit)
-                self.assertIsNotNone(unread)
-                self.assertLessEqual(len(unread or ""), wire.MAX_NAME_CHARACTERS)
+                self.assertIsNotNone(invalid)
+                self.assertLessEqual(len(invalid or ""), wire.MAX_NAME_CHARACTERS)
         self.assertEqual(self.read_limit(b"1.9", b"2.5"), (None, "1.9, 2.5"))
 
     def test_target_leaves_only_by_the_exact_header_value(self) -> None:
         def read_leaving(*values: bytes) -> tuple[bool, bool]:
             headers = [(b"Server-Leaving", value) for value in values]
-            facts = wire.decode_response(http_head.AnswerHead(200, headers))
-            return facts.is_leaving, facts.has_unread("leaving")
+            facts = wire.decode_response(http_head.ResponseHead(200, headers))
+            return facts.is_leaving, facts.has_invalid("leaving")
 
         self.assertEqual(read_leaving(), (False, False))
         self.assertEqual(read_leaving(b" 1 "), (True, False))
@@ -188,8 +188,8 @@
     def read_backoff(self, status: int, *values: bytes) -> tuple[float | None, bool]:
         """Back-off of an answer with these header values, and whether any could not be parsed."""
         headers = [(b"Retry-After", value) for value in values]
-        facts = wire.decode_response(http_head.AnswerHead(status, headers))
-        return facts.backoff_seconds, facts.has_unread("backoff")
+        facts = wire.decode_response(http_head.ResponseHead(status, headers))
+        return facts.backoff_seconds, facts.has_invalid("backoff")
 
     def test_only_a_503_requests_backoff(self) -> None:
         self.assertEqual(self.read_backoff(503), (None, False))
