--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -24,8 +24,9 @@
     suspects,
 )
 from tillerlane.gateway import directory as directories
-from tillerlane.keeper import commands, formation, freshness, proposals, replica, server
+from tillerlane.keeper import commands, freshness, proposals, replica, server
 from tillerlane.keeper import disk as disks
+from tillerlane.keeper import formation as formations
 from tillerlane.keeper import state_machine as state_machines
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
@@ -76,7 +77,7 @@
         Listen addresses for peers and for metrics.
     data_folder : str
         Its folder on disk.
-    plan : formation.FormationSettings
+    formation : formations.FormationSettings
         How keepers find each other and form the log.
     heartbeat_timeout_seconds : float
         A target whose last heartbeat is older gets work only if no other target is left.
@@ -89,7 +90,7 @@
     peer_listen_address: str
     metrics_address: str
     data_folder: str
-    plan: formation.FormationSettings
+    formation: formations.FormationSettings
     heartbeat_timeout_seconds: float
     max_read_lag_seconds: float
 
@@ -151,8 +152,8 @@
             open_connection=self._dependencies.open_connection,
             dialing=homes.DIALING,
         )
-        self.formation = formation.Formation(
-            settings.plan, settings.name, settings.peer_address, self.node, self.timeline
+        self.formation = formations.Formation(
+            settings.formation, settings.name, settings.peer_address, self.node, self.timeline
         )
         storage = storages.Storage(
             self._dependencies.open_disk(settings.data_folder), settings.name
@@ -246,8 +247,8 @@
         self.timeline.record(
             "daemon.start",
             role="keeper",
-            seeds=list(self._settings.plan.seeds),
-            may_found=self._settings.plan.can_bootstrap,
+            seeds=list(self._settings.formation.seeds),
+            may_found=self._settings.formation.can_bootstrap,
             last_index=self.replica.storage.last_index,
             version=self.replica.state_machine.published.version,
         )
--- a/tillerlane/platform/settings.py
+++ b/tillerlane/platform/settings.py
@@ -158,7 +158,7 @@
         peer_listen_address=settings.listen.peer or settings.peer_address,
         metrics_address=f"{settings.ip}:{METRICS_PORT}",
         data_folder=settings.data_dir,
-        plan=formation.FormationSettings(
+        formation=formation.FormationSettings(
             seeds=settings.seed_peers,
             desired_voters=2 * losses + 1,
             voter_timeout_seconds=settings.bounds.catch_up_s * VOTER_TIMEOUT_SHARE,
--- a/tillerlane/platform/tests/test_settings.py
+++ b/tillerlane/platform/tests/test_settings.py
@@ -38,12 +38,12 @@
 
     def test_first_seed_bootstraps_on_the_first_start_only(self) -> None:
         own = settings.build_control_settings(self.read(TEXT))
-        self.assertEqual(own.plan.seeds, ("10.1.0.20:7200", "10.2.0.14:7200"))
-        self.assertEqual((own.plan.desired_voters, own.plan.can_bootstrap), (5, True))
+        self.assertEqual(own.formation.seeds, ("10.1.0.20:7200", "10.2.0.14:7200"))
+        self.assertEqual((own.formation.desired_voters, own.formation.can_bootstrap), (5, True))
         later = self.read(TEXT.replace("bootstrap = true", "bootstrap = false"))
-        self.assertFalse(settings.build_control_settings(later).plan.can_bootstrap)
+        self.assertFalse(settings.build_control_settings(later).formation.can_bootstrap)
         other = self.read(TEXT.replace('ip = "10.1.0.20"', 'ip = "10.2.0.14"'))
-        self.assertFalse(settings.build_control_settings(other).plan.can_bootstrap)
+        self.assertFalse(settings.build_control_settings(other).formation.can_bootstrap)
 
     def test_lease_ends_before_a_revoked_key_must_fail(self) -> None:
         own = settings.build_entry_settings(self.read(TEXT))
--- a/tillerlane/testing/gateway_lab.py
+++ b/tillerlane/testing/gateway_lab.py
@@ -149,7 +149,7 @@
             peer_listen_address=address,
             metrics_address=address.replace(":7000", ":9464"),
             data_folder=name,
-            plan=formation.FormationSettings(
+            formation=formation.FormationSettings(
                 self.seeds,
                 self._wished,
                 voter_timeout_seconds=2.0,
