--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -435,31 +435,33 @@
 
     async def _send_loads(self) -> None:
         """Pass entries' load reports on to other keepers, and send the sums to subscribers."""
-        whole_at = paced_at = 0.0
+        last_due_at = last_paced_at = 0.0
         while True:
-            told = sum(asked.loads for asked in self._subscribers.values())
-            await asyncio.sleep(max(URGENT_LOADS_INTERVAL_SECONDS, told / MAX_DIGESTS_PER_SECOND))
+            subscriptions = sum(subscription.loads for subscription in self._subscribers.values())
+            await asyncio.sleep(
+                max(URGENT_LOADS_INTERVAL_SECONDS, subscriptions / MAX_DIGESTS_PER_SECOND)
+            )
             now = self._loop.time()
             dropped = self._loads.expire(now)
             if dropped:
                 self.timeline.record(
                     "loads.expired", entries=dropped, after_s=loads.REPORT_TTL_SECONDS
                 )
-            passed = self._loads.build_forwarded()
-            if passed is not None:
-                self._send_to_keepers(passed)
-            is_due = now - whole_at > MAX_LOADS_INTERVAL_SECONDS
-            is_paced = now - paced_at > LOADS_INTERVAL_SECONDS
-            least = loads.MIN_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
-            digest = self._loads.build_delta_digest(least, is_due=is_due)
+            forwarded = self._loads.build_forwarded()
+            if forwarded is not None:
+                self._send_to_keepers(forwarded)
+            is_due = now - last_due_at > MAX_LOADS_INTERVAL_SECONDS
+            is_paced = now - last_paced_at > LOADS_INTERVAL_SECONDS
+            min_change = loads.MIN_CHANGE_TOKENS if is_paced else loads.URGENT_CHANGE_TOKENS
+            digest = self._loads.build_delta_digest(min_change, is_due=is_due)
             if is_due:
-                whole_at = now
+                last_due_at = now
             if is_paced:
-                paced_at = now
+                last_paced_at = now
             if digest is None:
                 continue
-            for link, asked in list(self._subscribers.items()):
-                if asked.loads:
+            for link, subscription in list(self._subscribers.items()):
+                if subscription.loads:
                     self._send_digest(link, digest)
 
     def _send_digest(self, link: links.Link, digest: messages.LoadDigest) -> None:
--- a/tillerlane/gateway/entry.py
+++ b/tillerlane/gateway/entry.py
@@ -374,22 +374,22 @@
     def _handle_link_up(self, link: links.Link) -> None:
         """Check a new link soon, and send what a restarted keeper has lost about targets."""
         self.homes.check_soon()
-        ends = self.quarantine.suspects.list_all()
-        if ends:
-            links.try_send(link, suspects.encode_exits(ends))
+        exits = self.quarantine.suspects.list_all()
+        if exits:
+            links.try_send(link, suspects.encode_exits(exits))
         leaving = self.directory.list_leaving()
         if leaving:
             links.try_send(link, directories.encode_states(leaving))
         if len(self.limits):
             links.try_send(link, limits.encode_records(self.limits.list_all()))
 
-    def _send_exits(self, ends: list[suspects.TargetExit]) -> None:
+    def _send_exits(self, exits: list[suspects.TargetExit]) -> None:
         """Send target exits to all home keepers, since any of them may be cut off."""
-        self._send_to_keepers(suspects.encode_exits(ends))
+        self._send_to_keepers(suspects.encode_exits(exits))
 
-    def _notify_limit(self, word: limits.LimitRecord) -> None:
+    def _notify_limit(self, record: limits.LimitRecord) -> None:
         """Send the limit that a target has named to all home keepers."""
-        self._send_to_keepers(limits.encode_records([word]))
+        self._send_to_keepers(limits.encode_records([record]))
 
     def _notify_leaving(self, target: directories.Target) -> None:
         """Report to all home keepers that a target leaves."""
@@ -399,17 +399,17 @@
         for link in self.homes.list_links():
             links.try_send(link, message)
 
-    def _notify_backoff(self, word: backoffs.BackoffRecord) -> None:
+    def _notify_backoff(self, record: backoffs.BackoffRecord) -> None:
         """Report to one keeper that a target requested back-off; a hint may be lost."""
         link = self.homes.get_primary()
         if link is not None:
-            links.try_send(link, backoffs.encode_hints([(word.target_id, word.until)]))
+            links.try_send(link, backoffs.encode_hints([(record.target_id, record.until)]))
 
     def _log_permits(self, is_answered: bool, reason: str) -> None:
         self.timeline.record("permits.owner", answers=is_answered, reason=reason)
 
     async def _request_permits(
-        self, wishes: list[messages.PermitWish]
+        self, requests: list[messages.PermitWish]
     ) -> list[messages.PermitGrant]:
         """Request permits through the primary keeper.
 
@@ -421,7 +421,7 @@
         link = self.homes.get_primary()
         if link is None:
             raise links.LinkLost("no keeper to request permits from")
-        reply = await link.call(messages.PermitRequest(wishes), permits.REPLY_TIMEOUT_SECONDS)
+        reply = await link.call(messages.PermitRequest(requests), permits.REPLY_TIMEOUT_SECONDS)
         assert isinstance(reply, messages.PermitReply)
         return reply.grants
 
@@ -464,16 +464,16 @@
                 cold_ms=max(0, int((target.warm_at - now) * 1000)),
             )
 
-    def _merge_limits(self, words: list[limits.LimitRecord]) -> None:
+    def _merge_limits(self, records: list[limits.LimitRecord]) -> None:
         """Merge the limits that targets have named, as passed on by keepers."""
-        for word in self.limits.merge(words):
+        for record in self.limits.merge(records):
             self.timeline.record(
                 "target.limit",
-                target=word.target_id,
-                limit=word.limit,
-                version=word.version,
-                is_named=word.unnamed_since is None,
-                age_ms=int((self._loop.time() - word.named_at) * 1000),
+                target=record.target_id,
+                limit=record.limit,
+                version=record.version,
+                is_named=record.unnamed_since is None,
+                age_ms=int((self._loop.time() - record.named_at) * 1000),
             )
 
     def _handle_target_change(
--- a/tillerlane/gateway/tests/test_rules.py
+++ b/tillerlane/gateway/tests/test_rules.py
@@ -131,8 +131,8 @@
     def test_load_of_other_entries_counts_until_it_expires(self) -> None:
         self.usage.add("a1", requests=1, tokens=9_000)
         ledger = loads.LoadAggregator("keeper-1", 1)
-        word = messages.EntryLoads("entry-1", 1, [messages.TargetUse("a2", 3, 20_000)])
-        ledger.handle_report(word, 9.0)
+        report = messages.EntryLoads("entry-1", 1, [messages.TargetUse("a2", 3, 20_000)])
+        ledger.handle_report(report, 9.0)
         ledger.build_delta_digest()
         self.usage.handle_digest(ledger.build_full_digest(), 9.0)
         self.assertEqual(self.choose(), "t3")
@@ -159,10 +159,10 @@
         self.assertEqual(self.choose(), "t2")
 
     def test_runs_without_a_copy_are_counted_over_all_entries(self) -> None:
-        told = [messages.TargetUse("a1", 1, 3_625, 0, 3_625)]
+        reported = [messages.TargetUse("a1", 1, 3_625, 0, 3_625)]
         ledger = loads.LoadAggregator("keeper-1", 1)
         for entry in ("entry-1", "entry-3"):
-            ledger.handle_report(messages.EntryLoads(entry, 1, told), 10.0)
+            ledger.handle_report(messages.EntryLoads(entry, 1, reported), 10.0)
         ledger.build_delta_digest()
         self.usage.handle_digest(ledger.build_full_digest(), 10.0)
         target = self.directory.targets["t1"]
