--- a/tillerlane/gateway/control.py
+++ b/tillerlane/gateway/control.py
@@ -267,12 +267,14 @@
 
     def _set_quorum_gauges(self) -> None:
         """Have the gauges show this keeper's view of the quorum."""
-        seen = self.formation.quorum_monitor
-        self.metrics.voters.set_function(lambda: len(seen.view.voters) if seen.view else 0)
-        self.metrics.live_voters.set_function(lambda: len(seen.view.live) if seen.view else 0)
-        self.metrics.tolerable_losses.set_function(lambda: seen.view.bears if seen.view else 0)
-        self.metrics.degraded_seconds.set_function(seen.compute_degraded_seconds)
-        self.metrics.voteless_seconds.set_function(seen.compute_voteless_seconds)
+        monitor = self.formation.quorum_monitor
+        self.metrics.voters.set_function(lambda: len(monitor.view.voters) if monitor.view else 0)
+        self.metrics.live_voters.set_function(lambda: len(monitor.view.live) if monitor.view else 0)
+        self.metrics.tolerable_losses.set_function(
+            lambda: monitor.view.bears if monitor.view else 0
+        )
+        self.metrics.degraded_seconds.set_function(monitor.compute_degraded_seconds)
+        self.metrics.voteless_seconds.set_function(monitor.compute_voteless_seconds)
         self.metrics.lost_elections.set_function(lambda: self.replica.elections.lost_elections)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
--- a/tillerlane/platform/tests/test_suspension.py
+++ b/tillerlane/platform/tests/test_suspension.py
@@ -1,9 +1,10 @@
 """Suspended hosts: the monotonic clock stops while the rest of the fleet continues.
 
-A resumed process holds its former state, and only the wall clock shows how long it was suspended.
-By the monotonic clock a lease that has expired elsewhere still looks valid, so that an entry would
-accept a revoked key, and a former leader would answer as if it led.  The programs run here as
-processes that are stopped and whose monotonic clock is set back.
+A resumed process holds its former state, and only a clock that includes the suspension
+(CLOCK_BOOTTIME) shows how long it lasted.  By the monotonic clock a lease that has expired
+elsewhere still looks valid, so that an entry would accept a revoked key, and a former leader would
+answer as if it led.  The programs run here as processes that are stopped and whose monotonic clock
+is set back.
 """
 
 import asyncio
