--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -33,7 +33,7 @@
 from tillerlane.timeline import clock as clocks
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Daemon", "Surroundings"]
+__all__ = ["Daemon", "Dependencies"]
 
 PULL_SECONDS = 0.2
 """Least time between two pulls of the configuration on one link."""
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class Dependencies:
     """What a daemon needs of the world; tests put stand-ins here.
 
     Attributes
@@ -91,15 +91,15 @@
     ----------
     own : settings.Settings
         Its settings.
-    around : Surroundings, optional
+    dependencies : Dependencies, optional
         What it needs of the world.
     """
 
-    def __init__(self, own: settings.Settings, around: Surroundings | None = None) -> None:
+    def __init__(self, own: settings.Settings, dependencies: Dependencies | None = None) -> None:
         self.settings = own
-        self._around = around or Surroundings()
-        self.started_at = self._around.now()
-        self.clock = clocks.HybridClock(self._around.now)
+        self._dependencies = dependencies or Dependencies()
+        self.started_at = self._dependencies.now()
+        self.clock = clocks.HybridClock(self._dependencies.now)
         self.timeline = timelines.Timeline(own.daemon, self.clock)
         self.metrics = metrics.open_metrics(own.statsd, own.daemon)
         self.members = views.MemberView(own.keepers.values())
@@ -110,7 +110,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         server_tls, client_tls = tls.build_contexts(own.tls)
         self.node = nodes.Node(
-            self._build_local(), server_tls, client_tls, self._around.open_connection
+            self._build_local(), server_tls, client_tls, self._dependencies.open_connection
         )
         self.keeper: server.Keeper | None = None
         self.placement: leader.PlacementLeader | None = None
@@ -128,12 +128,12 @@
         if settings.Role.AGENT in own.roles:
             self.agent = agents.Agent(
                 own.targets,
-                self._around.connect,
+                self._dependencies.connect,
                 self.store,
                 self.timeline,
                 self._get_report_links,
                 self.metrics.count,
-                self._around.decide,
+                self._dependencies.decide,
             )
         self.view: fleet.FleetView | None = None
         self.callers: api.Callers | None = None
@@ -176,7 +176,7 @@
     def _build_keeper(self) -> None:
         own = self.settings
         assert own.data_folder is not None
-        storage = storages.Storage(self._around.open_disk(own.data_folder), own.daemon)
+        storage = storages.Storage(self._dependencies.open_disk(own.data_folder), own.daemon)
         state = state_machines.StateMachine()
         self.store = state.store
         part = replica.Replica(
@@ -186,8 +186,8 @@
             state,
             self.timeline,
             self._get_keeper_link,
-            self._around.run_blocking,
-            self._around.rng,
+            self._dependencies.run_blocking,
+            self._dependencies.rng,
         )
         part.on_role_change = self._note_standing
         self.keeper = server.Keeper(
@@ -201,7 +201,7 @@
         )
 
     def _read_ms(self) -> int:
-        return int(self._around.now() * 1000)
+        return int(self._dependencies.now() * 1000)
 
     def _build_entry(self) -> None:
         near = self.settings.near_halls
@@ -209,8 +209,8 @@
         router = routing.Router(
             self.view,
             self.settings.data_hall,
-            self._around.rng,
-            self._around.choose,
+            self._dependencies.rng,
+            self._dependencies.choose,
             lambda: self.store.current.evacuated,
         )
         dispatcher = dispatch.Dispatcher(
