--- a/tillerlane/keeper/__init__.py
+++ b/tillerlane/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""The keepers: a replicated log on a few disks, and the state that it agrees on."""
+"""Keepers: a replicated log on a few disks, and the state machine that it drives."""
--- a/tillerlane/keeper/followers.py
+++ b/tillerlane/keeper/followers.py
@@ -1,4 +1,4 @@
-"""How far the other keepers have got, as the leader knows it."""
+"""Replication progress of the other keepers, as known to the leader."""
 
 import asyncio
 import dataclasses
@@ -12,23 +12,23 @@
 Value = typing.TypeVar("Value", int, float)
 
 NEVER = -1e9
-"""A time of the event loop before everything."""
+"""An event loop time that precedes all others."""
 
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """How far one other keeper has got.
+    """Replication progress of one follower.
 
     Attributes
     ----------
     next_index : int
-        Index of the entry to send next.
+        Index of the next entry to send.
     match_index : int
-        Up to here its log is the leader's.
+        Index up to which its log is known to match the leader's.
     disk_id : str
-        Disk that it answered with last.
+        Disk named in its latest reply.
     acked_at : float
-        When the last request that it answered was sent.
+        Time at which the latest acknowledged request was sent.
     wake : asyncio.Event
         Set when there is something to send.
     """
@@ -41,62 +41,62 @@
 
 
 class Followers:
-    """Progress by keeper, and what a quorum of voters has reached.
+    """Progress by keeper, and the progress of a quorum of voters.
 
     Parameters
     ----------
-    own : str
+    leader : str
         The leader's name.
     """
 
-    def __init__(self, own: str) -> None:
-        self._own = own
+    def __init__(self, leader: str) -> None:
+        self._leader = leader
         self._progress: dict[str, Progress] = {}
 
     def clear(self) -> None:
-        """Forget all, as at the beginning of a term."""
+        """Discard all progress, as at the start of a term."""
         self._progress = {}
 
     def add(self, name: str, next_index: int) -> None:
-        """Follow a keeper from the entry at an index on."""
+        """Start tracking a keeper that needs the entries from `next_index` on."""
         self._progress[name] = Progress(next_index)
 
     def remove(self, name: str) -> None:
-        """Follow a keeper no more."""
+        """Stop tracking a keeper."""
         self._progress.pop(name, None)
 
     def get(self, name: str) -> Progress | None:
-        """Progress of a keeper, if it is followed."""
+        """Return the progress of a keeper; None if it is not tracked."""
         return self._progress.get(name)
 
     def wake_all(self) -> None:
-        """Have something sent to each."""
+        """Wake the replication tasks of all followers."""
         for progress in self._progress.values():
             progress.wake.set()
 
     def compute_quorum_time(self, voters: dict[str, commands.Voter], now: float) -> float | None:
-        """When the latest requests were sent that a quorum has answered; None without one."""
+        """Latest time at or after which a quorum was sent requests that it acknowledged; or None."""
         times = [progress.acked_at for progress in self._list_on_record(voters)]
-        return _find_quorum(times, now, voters, self._own)
+        return _find_quorum(times, now, voters, self._leader)
 
     def find_quorum_index(self, voters: dict[str, commands.Voter], last_index: int) -> int | None:
-        """Index of the last entry that a quorum has synced; None without one."""
+        """Index of the last entry that a quorum has synced; None if no quorum has replied."""
         matches = [progress.match_index for progress in self._list_on_record(voters)]
-        return _find_quorum(matches, last_index, voters, self._own)
+        return _find_quorum(matches, last_index, voters, self._leader)
 
     def _list_on_record(self, voters: dict[str, commands.Voter]) -> list[Progress]:
-        """Progress of those other voters that answered with the disk the log has on record."""
-        found = []
+        """List the progress of the other voters that replied with their disk on record."""
+        progresses = []
         for name, voter in voters.items():
             progress = self._progress.get(name)
-            if name != self._own and progress is not None and progress.disk_id == voter.disk_id:
-                found.append(progress)
-        return found
+            if name != self._leader and progress is not None and progress.disk_id == voter.disk_id:
+                progresses.append(progress)
+        return progresses
 
 
 def _find_quorum(
-    others: list[Value], own: Value, voters: dict[str, commands.Voter], own_name: str
+    others: list[Value], leader_value: Value, voters: dict[str, commands.Voter], leader: str
 ) -> Value | None:
-    values = sorted([*others, own] if own_name in voters else others, reverse=True)
+    values = sorted([*others, leader_value] if leader in voters else others, reverse=True)
     needed = voter_rules.count_quorum(len(voters))
     return values[needed - 1] if len(values) >= needed else None
--- a/tillerlane/keeper/votes.py
+++ b/tillerlane/keeper/votes.py
@@ -1,4 +1,4 @@
-"""Asking voters for their votes."""
+"""Requests for votes, and the result of an election."""
 
 import asyncio
 import dataclasses
@@ -21,13 +21,13 @@
 ]
 
 CALL_TIMEOUT_SECONDS = 0.6
-"""Longest wait for a keeper's answer: below the shortest election timeout (1 s)."""
+"""Kept below the shortest election timeout (1 s)."""
 
 GetLink = Callable[[str], links.Link | None]
 
 
 class VoteRefusal(enum.StrEnum):
-    """Why a voter refuses its vote."""
+    """Reasons for which a voter refuses its vote."""
 
     LEADER_LIVES = "it hears a leader, or one may still hold a lease"
     SHORTER_LOG = "the candidate's log is shorter"
@@ -36,7 +36,7 @@
 
 
 class VoteOutcome(enum.StrEnum):
-    """What became of the question to one voter; a refusal's reason stands behind it."""
+    """Outcome of the request to one voter; the reason is appended to a refusal."""
 
     GRANTED = "granted"
     REFUSED = "refused"
@@ -47,12 +47,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VoteResult:
-    """How a vote ended; `later_term` is that of a voter in a later one, 0 without.
+    """Result of an election or a pre-vote.
 
     Attributes
     ----------
+    is_won : bool
+        Whether a quorum granted its votes.
+    later_term : int
+        Latest term that a voter replied with; 0 if the vote was won.
     verdicts : dict
-        Voter's name to its `VoteOutcome`, for the log.
+        Voter name to `VoteOutcome`, for the log.
     """
 
     is_won: bool
@@ -63,7 +67,7 @@
 async def request_vote(
     get_link: GetLink, address: str, request: messages.VoteRequest
 ) -> messages.VoteReply | None:
-    """Ask one keeper; None if it did not answer."""
+    """Request the vote of one keeper; None if it does not reply."""
     link = get_link(address)
     if link is None:
         return None
@@ -80,28 +84,30 @@
     others: dict[str, commands.Voter],
     needed: int,
 ) -> VoteResult:
-    """Ask all other voters until `needed` votes, the own one included, are granted.
+    """Request the votes of `others` until `needed` votes are granted, including the candidate's.
 
-    Only the vote of the disk that the log has on record for a voter counts.  A later term ends
-    the vote.  A pre-vote goes on, since others may grant it; one that is not won tells the later
-    term too.  A voter that once stood in vain keeps its later term for good; if its log is the
-    shorter one it can't lead, and it refuses all who ask in earlier terms: where its vote is
-    needed, nobody would ever lead unless they learn that term.
+    Only the vote of the disk that the log has on record for a voter counts.
+
+    A reply with a later term ends an election.  A pre-vote continues, since other voters may still
+    grant it, but a lost one reports the later term as well.  A voter that lost an election keeps
+    its later term permanently and refuses candidates of earlier terms; if its log is shorter, it
+    can't lead either.  Where its vote is needed, no leader could be elected unless the candidates
+    adopt that term.
     """
-    calls = {
+    requests = {
         asyncio.create_task(request_vote(get_link, voter.address, request)): name
         for name, voter in others.items()
     }
     verdicts: dict[str, str] = dict.fromkeys(others, VoteOutcome.OPEN.value)
     latest_term = 0
     granted = 1
-    pending = set(calls)
+    pending = set(requests)
     try:
         while granted < needed and pending:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
-            for call in done:
-                reply = call.result()
-                name = calls[call]
+            for task in done:
+                reply = task.result()
+                name = requests[task]
                 verdicts[name] = _classify_reply(reply, others[name])
                 if reply is None:
                     continue
@@ -110,14 +116,14 @@
                 latest_term = max(latest_term, reply.term)
                 granted += verdicts[name] == VoteOutcome.GRANTED
     finally:
-        for call in pending:
-            call.cancel()
+        for task in pending:
+            task.cancel()
     is_won = granted >= needed
     return VoteResult(is_won, 0 if is_won else latest_term, verdicts)
 
 
 def _classify_reply(reply: messages.VoteReply | None, voter: commands.Voter) -> str:
-    """What a voter's answer is worth, in words."""
+    """Classify a voter's reply as a `VoteOutcome`, with the reason of a refusal."""
     if reply is None:
         return VoteOutcome.NO_ANSWER.value
     if not reply.granted:
