--- a/tillerlane/keeper/claims.py
+++ b/tillerlane/keeper/claims.py
@@ -1,7 +1,7 @@
-"""Claims: which request that may not be repeated was given to which generation, and its end.
+"""Claims of requests that must not be repeated: the generation that holds each, and its outcome.
 
-A claim is opened before the request is sent.  It moves to another generation only after the
-former one truly did not run, and is dropped only then or by age.
+A claim is opened before the request is sent.  It moves to another generation, or is released, only
+after the previous generation is known not to have run; otherwise it expires by age.
 """
 
 import collections
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """One claimed request; ``state`` is ``open``, ``ended`` or ``fault``."""
+    """A claimed request; ``state`` is ``open``, ``ended`` or ``fault``."""
 
     digest: str
     generation_id: str
@@ -28,7 +28,7 @@
 
 
 class ClaimTable:
-    """All claims, by workspace and key, in order of their opening."""
+    """Claims by workspace and key, in the order in which they were opened."""
 
     def __init__(self) -> None:
         self._claims: collections.OrderedDict[tuple[str, str], Claim] = collections.OrderedDict()
@@ -37,33 +37,33 @@
         return len(self._claims)
 
     def open(self, command: commands.ClaimOpen) -> dict[str, Any]:
-        """Grant a claim, or give the one that exists."""
+        """Grant a new claim, or return the existing one."""
         self._expire(command.at_ms)
         key = (command.workspace, command.key)
         known = self._claims.get(key)
         if known is not None and known.expires_ms > command.at_ms:
             is_own = known.generation_id == command.generation_id and known.state == "open"
-            return _answer(known, is_own)
+            return _build_reply(known, is_own)
         claim = Claim(command.digest, command.generation_id, 1, command.expires_ms)
         self._claims[key] = claim
         self._claims.move_to_end(key)
-        return _answer(claim, True)
+        return _build_reply(claim, True)
 
     def move(self, command: commands.ClaimMove) -> dict[str, Any]:
-        """Give an open claim to its next attempt."""
+        """Transfer an open claim to its next attempt."""
         claim = self._claims.get((command.workspace, command.key))
         if claim is None:
             return {"granted": False, "claim": None}
         if claim.generation_id == command.generation_id:
-            return _answer(claim, True)
+            return _build_reply(claim, True)
         granted = claim.state == "open" and claim.attempt == command.attempt
         if granted:
             claim.generation_id = command.generation_id
             claim.attempt += 1
-        return _answer(claim, granted)
+        return _build_reply(claim, granted)
 
     def settle(self, command: commands.ClaimSettle) -> dict[str, Any]:
-        """Store an end; the first one stays."""
+        """Store an outcome; the first one is final."""
         claim = self._claims.get((command.workspace, command.key))
         if claim is None or claim.attempt != command.attempt or claim.state != "open":
             return {"settled": False}
@@ -74,7 +74,7 @@
         return {"settled": True}
 
     def release(self, command: commands.ClaimRelease) -> dict[str, Any]:
-        """Drop an open claim whose generation truly did not run."""
+        """Release an open claim whose generation did not run."""
         key = (command.workspace, command.key)
         claim = self._claims.get(key)
         if claim is None or claim.generation_id != command.generation_id or claim.state != "open":
@@ -83,7 +83,7 @@
         return {"released": True}
 
     def _expire(self, now_ms: int) -> None:
-        """Drop claims past their age, oldest first."""
+        """Drop expired claims, oldest first."""
         while self._claims:
             key = next(iter(self._claims))
             if self._claims[key].expires_ms > now_ms:
@@ -91,15 +91,15 @@
             del self._claims[key]
 
     def dump(self) -> list[Any]:
-        """All claims as JSON values."""
+        """Return all claims as JSON values."""
         return [[*key, dataclasses.asdict(claim)] for key, claim in self._claims.items()]
 
     def load(self, values: list[Any]) -> None:
-        """Take over what `dump` gave."""
+        """Restore the output of `dump`."""
         self._claims.clear()
         for workspace, key, claim in values:
             self._claims[workspace, key] = Claim(**claim)
 
 
-def _answer(claim: Claim, granted: bool) -> dict[str, Any]:
+def _build_reply(claim: Claim, granted: bool) -> dict[str, Any]:
     return {"granted": granted, "claim": dataclasses.asdict(claim)}
--- a/tillerlane/keeper/commands.py
+++ b/tillerlane/keeper/commands.py
@@ -1,7 +1,7 @@
-"""Commands of the replicated log, and what they answer.
+"""Commands of the replicated log.
 
-Each is a tagged struct, written as JSON: a later version may add fields with defaults.  Answers
-are plain JSON objects, since they also go to operators.
+Each command is a tagged struct encoded as JSON; later versions may add fields with defaults.
+Replies are plain JSON objects, since they are also shown to operators.
 """
 
 import msgspec
@@ -13,7 +13,7 @@
 
 
 class EntityPut(msgspec.Struct, frozen=True):
-    """An entity of the configuration with its new body."""
+    """A configuration entity with its new body."""
 
     kind: str
     name: str
@@ -21,18 +21,18 @@
 
 
 class EntityKey(msgspec.Struct, frozen=True):
-    """Names an entity of the configuration."""
+    """Kind and name of a configuration entity."""
 
     kind: str
     name: str
 
 
 class Noop(msgspec.Struct, frozen=True, tag="noop"):
-    """First entry of each term: commits what former terms left."""
+    """First entry of each term; committing it commits the entries of earlier terms."""
 
 
 class Change(msgspec.Struct, frozen=True, tag="change"):
-    """A change of configuration, made against a version."""
+    """A change of the configuration, made against a version of it."""
 
     change_id: str
     against: int
@@ -44,7 +44,7 @@
 
 
 class Drain(msgspec.Struct, frozen=True, tag="drain"):
-    """Tells a target or daemon to leave, or to come back."""
+    """Drains a target or daemon, or ends its drain."""
 
     change_id: str
     name: str
@@ -56,8 +56,8 @@
 class Evacuate(msgspec.Struct, frozen=True, tag="evacuate"):
     """Closes a data hall to new work or opens it again, by an order made against a version.
 
-    Sent again it finds what holds already; one that is still on its way when a later order has
-    been committed is made against an older version, and changes nothing any more.
+    The command is idempotent.  An order that is delayed until a later one has been committed was
+    made against an older version, and changes nothing.
     """
 
     data_hall: str
@@ -68,18 +68,18 @@
 
 
 class Quarantine(msgspec.Struct, frozen=True, tag="quarantine"):
-    """Holds a request back from all targets by its fingerprint, or lets it run again."""
+    """Quarantines a request by its fingerprint on all targets, or releases it."""
 
     fingerprint: str
     held: bool
     actor: str
     at_ms: int
     target_ids: list[str] = []
-    """Targets that ended under it: the evidence."""
+    """Evidence: the targets that exited while running it."""
 
 
 class ClaimOpen(msgspec.Struct, frozen=True, tag="claim_open"):
-    """Claims a request that may not be repeated, before it is sent."""
+    """Claims a request that must not be repeated, before it is sent."""
 
     workspace: str
     key: str
@@ -90,7 +90,7 @@
 
 
 class ClaimMove(msgspec.Struct, frozen=True, tag="claim_move"):
-    """Gives a claim to another attempt, after one that truly did not run."""
+    """Transfers a claim to another attempt, after one that is known not to have run."""
 
     workspace: str
     key: str
@@ -99,7 +99,7 @@
 
 
 class ClaimSettle(msgspec.Struct, frozen=True, tag="claim_settle"):
-    """Stores how a claimed request ended."""
+    """Stores the outcome of a claimed request."""
 
     workspace: str
     key: str
@@ -108,14 +108,14 @@
     """``ended`` or ``fault``."""
     tokens: int = 0
     texts: list[str] | None = None
-    """The answer, where it is small enough to be kept."""
+    """The generated texts, if they are small enough to be stored."""
     fault: str = ""
 
 
 class ClaimRelease(msgspec.Struct, frozen=True, tag="claim_release"):
-    """Drops the claim of a request that truly did not run.
+    """Releases the claim of a request that is known not to have run.
 
-    It names the generation, since the answer to its opening may have been lost.
+    It identifies the claim by generation, since the reply to the opening may have been lost.
     """
 
     workspace: str
@@ -124,20 +124,20 @@
 
 
 class Voter(msgspec.Struct, frozen=True):
-    """A keeper that votes; its identity is its disk's."""
+    """A voting keeper, identified by its disk."""
 
     address: str
     disk_id: str
 
 
 class Bootstrap(msgspec.Struct, frozen=True, tag="found"):
-    """First entry of a fleet's log: the voters with their disks."""
+    """First entry of a fleet's log: the initial voters with their disks."""
 
     voters: dict[str, Voter]
 
 
 class VoterAdd(msgspec.Struct, frozen=True, tag="voter_add"):
-    """Makes a keeper a voter, or gives a voter its new disk; one change at a time."""
+    """Adds a voter, or records the new disk of one; voters change one at a time."""
 
     name: str
     address: str
@@ -145,13 +145,13 @@
 
 
 class VoterRemove(msgspec.Struct, frozen=True, tag="voter_remove"):
-    """Takes a keeper's vote away."""
+    """Removes a voter."""
 
     name: str
 
 
 class Order(msgspec.Struct, frozen=True, tag="order"):
-    """An order to a runner; its fence is the entry's term and index."""
+    """An order to a runner, fenced by the term and index of its entry."""
 
     order_id: str
     target: str
@@ -162,14 +162,14 @@
 
 
 class OrderDone(msgspec.Struct, frozen=True, tag="order_done"):
-    """Takes note that an order was obeyed, or given up."""
+    """Records that an order was carried out, or given up."""
 
     order_id: str
     outcome: str
 
 
 class Pin(msgspec.Struct, frozen=True, tag="pin"):
-    """Keeps a model on a runner whatever demand says, or ends that."""
+    """Keeps a model on a runner regardless of demand, or ends that."""
 
     target: str
     model: str
@@ -177,11 +177,11 @@
 
 
 class Publish(msgspec.Struct, frozen=True, tag="publish"):
-    """Publishes a whole document under a version of its own; the highest version holds."""
+    """Publishes a complete document under its own version; the highest version is in force."""
 
     version: int
     content: bytes
-    """The document, compressed; the log does not look into it."""
+    """The compressed document, opaque to the log."""
     at_ms: int
 
 
@@ -208,20 +208,20 @@
 
 
 def encode(command: Command) -> bytes:
-    """Write a command."""
+    """Encode a command."""
     return msgspec.json.encode(command)
 
 
 def decode(data: bytes) -> Command:
-    """Read a command.
+    """Decode a command.
 
     Raises
     ------
     faults.FaultError
-        Of kind ``bad_request`` if it is none.
+        Of kind ``bad_request`` if `data` is not a valid command.
     """
     try:
         return _decode(data)
     except msgspec.MsgspecError as error:
-        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"no command: {error}")
+        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"invalid command: {error}")
         raise faults.FaultError(fault) from error
