--- a/tillerlane/keeper/client.py
+++ b/tillerlane/keeper/client.py
@@ -1,4 +1,4 @@
-"""A daemon's way to the keepers: one home keeper at a time, another when it falls silent."""
+"""A daemon's connection to the keepers: one home keeper, with fail-over to another."""
 
 import asyncio
 import dataclasses
@@ -17,27 +17,27 @@
 
 CHECK_INTERVAL_SECONDS = 0.25
 HOME_TIMEOUT_SECONDS = 0.75
-"""How long a home keeper may be without a link before the next one is tried."""
+"""How long the home keeper may be without a link before the next one is tried."""
 CALL_TIMEOUT_SECONDS = 5.0
 PROPOSE_TIMEOUT_SECONDS = 6.0
 RETRY_DELAY_SECONDS = 0.1
 
 
 class KeeperClient:
-    """One daemon's link to the keepers.
+    """Connection of one daemon to its home keeper.
 
     Parameters
     ----------
     daemon_id : str
-        This daemon; it decides which keeper comes first, so that homes are spread.
+        This daemon; its hash determines the order of keepers, so that daemons spread over them.
     keepers : dict
-        Keepers of the settings: daemon id to peer address.
+        Keepers from the settings: daemon id to peer address.
     node : nodes.Node
-        Dials them.
+        Dials the keepers.
     members : views.MemberView
-        Tells which keepers are ready.
+        Reports which keepers are ready.
     on_home : callable
-        Called with the link when there is a new home.
+        Called with the link whenever a new home is connected.
     """
 
     def __init__(
@@ -56,19 +56,19 @@
         self._order = self._sort(keepers)
         self._position = 0
         self._peer: nodes.Peer | None = None
-        self._linkless_since = 0.0
-        self._known_link: links.Link | None = None
+        self._unlinked_since = 0.0
+        self._last_link: links.Link | None = None
         self.last_contact_at = -1e9
         self._task: asyncio.Task[None] | None = None
 
     def _sort(self, keepers: dict[str, str]) -> list[str]:
-        def weigh(name: str) -> bytes:
+        def hash_name(name: str) -> bytes:
             return hashlib.blake2b(f"{self._daemon_id}:{name}".encode()).digest()
 
-        return sorted(keepers, key=weigh)
+        return sorted(keepers, key=hash_name)
 
     def update_keepers(self, keepers: dict[str, str]) -> None:
-        """Take over the present keepers; those of the settings may be long gone."""
+        """Add the current keepers; those of the settings may no longer exist."""
         merged = {**self._keepers, **keepers}
         if merged != self._keepers:
             self._keepers = merged
@@ -76,17 +76,17 @@
             self._members.keeper_addresses.update(merged.values())
 
     def start(self) -> None:
-        """Start looking for a home."""
-        self._task = asyncio.create_task(self._keep_home())
+        """Start the task that keeps a home connected."""
+        self._task = asyncio.create_task(self._maintain_home())
 
     def stop(self) -> None:
-        """Stop looking."""
+        """Stop that task."""
         if self._task is not None:
             self._task.cancel()
 
     @property
     def home(self) -> links.Link | None:
-        """Link to the home keeper."""
+        """Link to the home keeper; None while there is none."""
         return self._peer.link if self._peer is not None else None
 
     @property
@@ -94,7 +94,7 @@
         """Daemon id of the home keeper."""
         return self._order[self._position % len(self._order)]
 
-    async def _keep_home(self) -> None:
+    async def _maintain_home(self) -> None:
         loop = asyncio.get_running_loop()
         self._dial(loop.time())
         while True:
@@ -102,16 +102,16 @@
             link = self.home
             if link is not None and self._is_ready():
                 self.last_contact_at = now
-                self._linkless_since = now
-                if link is not self._known_link:
-                    self._known_link = link
+                self._unlinked_since = now
+                if link is not self._last_link:
+                    self._last_link = link
                     self._on_home(link)
-            elif now - self._linkless_since > HOME_TIMEOUT_SECONDS:
-                self._move_on(now)
+            elif now - self._unlinked_since > HOME_TIMEOUT_SECONDS:
+                self._switch_home(now)
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _is_ready(self) -> bool:
-        """Whether the home keeper hears a leader, as far as is known; or no other does."""
+        """Whether the home keeper may be ready, or no other keeper is known to be."""
         if self._is_known_ready(self.home_name):
             return True
         return not any(self._is_known_ready(name) for name in self._order)
@@ -120,24 +120,24 @@
         member = self._members.read(name)
         return member is None or (member.ready and member.state == views.LIVE)
 
-    def _move_on(self, now: float) -> None:
-        former = self._keepers[self.home_name]
+    def _switch_home(self, now: float) -> None:
+        previous = self._keepers[self.home_name]
         self._position = (self._position + 1) % len(self._order)
-        if self._keepers[self.home_name] != former:
-            self._node.hang_up(former)
+        if self._keepers[self.home_name] != previous:
+            self._node.hang_up(previous)
         self._dial(now)
 
     def _dial(self, now: float) -> None:
         address = self._keepers[self.home_name]
         self._peer = self._node.dial(address, pace=links.SLOW_PACE_SECONDS)
-        self._linkless_since = now
+        self._unlinked_since = now
 
     async def propose(self, command: commands.Command) -> dict[str, Any]:
-        """Put a command into the replicated log and give its answer.
+        """Commit a command to the replicated log and return its reply.
 
-        A proposal that was not taken is tried again for some seconds, since a new leader may be
-        on its way; one whose fate is not known is tried again only if that is harmless, which
-        it is for every command: all of them answer a second arrival with the first's answer.
+        A proposal that was not accepted, or whose outcome is unknown, is retried for up to
+        `PROPOSE_TIMEOUT_SECONDS`, since an election may be in progress.  Retrying is safe because
+        every command is idempotent: a repeated command gets the reply of the first.
 
         Raises
         ------
@@ -145,7 +145,7 @@
             ``no_quorum`` after `PROPOSE_TIMEOUT_SECONDS`.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + PROPOSE_TIMEOUT_SECONDS
+        deadline = loop.time() + PROPOSE_TIMEOUT_SECONDS
         encoded = commands.encode(command)
         ran = kinds.Ran.NO
         while True:
@@ -155,7 +155,7 @@
                 fault = error.fault
                 if fault.ran is not kinds.Ran.NO:
                     ran = kinds.Ran.UNKNOWN
-                if fault.kind is not kinds.ErrorKind.NO_QUORUM or loop.time() >= until:
+                if fault.kind is not kinds.ErrorKind.NO_QUORUM or loop.time() >= deadline:
                     raise faults.FaultError(dataclasses.replace(fault, ran=ran)) from error
             await asyncio.sleep(RETRY_DELAY_SECONDS)
 
--- a/tillerlane/keeper/disk.py
+++ b/tillerlane/keeper/disk.py
@@ -1,6 +1,6 @@
-"""What the keeper's storage needs of a disk, and the real disk.
+"""Disk operations used by the keeper's storage, and their implementation on a real directory.
 
-Writes last only once they are synced; whatever was not may be lost or torn.
+Only synced writes are durable; any other write may be lost or torn by a crash.
 """
 
 import dataclasses
@@ -13,24 +13,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disk:
-    """Functions of one folder; names are plain file names, errors are `OSError`.
+    """Operations on one directory; names are plain file names, errors are `OSError`.
 
     Attributes
     ----------
     list_names : callable
-        () gives the names of all files.
+        () returns the names of all files.
     read : callable
-        (name) gives the bytes, or None if there is no such file.
+        (name) returns the content, or None if there is no such file.
     replace : callable
-        (name, bytes) writes a file whole or not at all; it lasts on return.
+        (name, bytes) writes a file atomically; durable on return.
     append : callable
-        (name, bytes) adds to a file; it lasts after `sync`.
+        (name, bytes) appends to a file; durable after `sync`.
     sync : callable
-        (name) makes what was appended last.
+        (name) makes appended data durable.
     truncate : callable
-        (name, size) cuts a file; it lasts on return.
+        (name, size) truncates a file; durable on return.
     remove : callable
-        (name) removes a file.
+        (name) removes a file; durable on return.
     """
 
     list_names: Callable[[], list[str]]
@@ -43,22 +43,22 @@
 
 
 def open_folder(folder: pathlib.Path | str) -> Disk:
-    """The disk's folder as a `Disk`; it is made if it does not exist."""
+    """Open a directory as a `Disk`, and create it if it does not exist."""
     root = pathlib.Path(folder)
     root.mkdir(parents=True, exist_ok=True)
-    files: dict[str, int] = {}
+    descriptors: dict[str, int] = {}
 
     def sync_folder() -> None:
-        number = os.open(root, os.O_RDONLY)
+        descriptor = os.open(root, os.O_RDONLY)
         try:
-            os.fsync(number)
+            os.fsync(descriptor)
         finally:
-            os.close(number)
+            os.close(descriptor)
 
     def close(name: str) -> None:
-        number = files.pop(name, None)
-        if number is not None:
-            os.close(number)
+        descriptor = descriptors.pop(name, None)
+        if descriptor is not None:
+            os.close(descriptor)
 
     def list_names() -> list[str]:
         return sorted(path.name for path in root.iterdir() if path.is_file())
@@ -80,27 +80,27 @@
         sync_folder()
 
     def open_for_append(name: str) -> int:
-        number = files.get(name)
-        if number is None:
+        descriptor = descriptors.get(name)
+        if descriptor is None:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
-            number = os.open(root / name, flags, 0o600)
-            files[name] = number
+            descriptor = os.open(root / name, flags, 0o600)
+            descriptors[name] = descriptor
             sync_folder()
-        return number
+        return descriptor
 
     def append(name: str, data: bytes) -> None:
-        number = open_for_append(name)
+        descriptor = open_for_append(name)
         view = memoryview(data)
         while view:
-            view = view[os.write(number, view) :]
+            view = view[os.write(descriptor, view) :]
 
     def sync(name: str) -> None:
         os.fdatasync(open_for_append(name))
 
     def truncate(name: str, size: int) -> None:
-        number = open_for_append(name)
-        os.ftruncate(number, size)
-        os.fsync(number)
+        descriptor = open_for_append(name)
+        os.ftruncate(descriptor, size)
+        os.fsync(descriptor)
 
     def remove(name: str) -> None:
         close(name)
--- a/tillerlane/keeper/known_keepers.py
+++ b/tillerlane/keeper/known_keepers.py
@@ -1,4 +1,4 @@
-"""Which other keepers a keeper knows, and when it last heard of each from itself."""
+"""Table of the other keepers known to a keeper, and when each last announced itself."""
 
 import dataclasses
 from collections.abc import Callable
@@ -8,23 +8,24 @@
 __all__ = ["ALIVE_TIMEOUT_SECONDS", "KnownKeeper", "KnownKeepers"]
 
 ALIVE_TIMEOUT_SECONDS = 3.0
-"""How long a keeper counts as alive after its last announcement: seven of them."""
+"""How long a keeper counts as alive after its last announcement: about seven intervals."""
 RETENTION_SECONDS = 30.0
-"""Silence after which a keeper without a vote is no longer dialed: its address may be another's."""
+"""A keeper without a vote that has not been reported for so long is no longer dialed, since its
+address may have been reused."""
 
 
 @dataclasses.dataclass(slots=True)
 class KnownKeeper:
-    """Another keeper.
+    """A known keeper.
 
     Attributes
     ----------
     seen : messages.KeeperSeen
-        What was told of it last.
+        Latest report of it.
     heard_at : float or None
-        When it last told so itself; None while others only tell of it.
+        When it last announced itself; None if only others have reported it.
     reported_at : float
-        When it was last told of, by itself or by others.
+        When it was last reported, by itself or by others.
     """
 
     seen: messages.KeeperSeen
@@ -33,14 +34,14 @@
 
 
 class KnownKeepers:
-    """The other keepers that one keeper knows.
+    """The other keepers that are known to one keeper.
 
     Parameters
     ----------
     name : str
         This keeper.
     now : callable
-        Steady time in seconds.
+        Monotonic time in seconds.
     """
 
     def __init__(self, name: str, now: Callable[[], float]) -> None:
@@ -49,18 +50,18 @@
         self._known: dict[str, KnownKeeper] = {}
 
     def merge(self, announced: messages.KeeperAnnounce) -> bool:
-        """Take an announcement; whether it names a keeper that was not known.
+        """Merge an announcement; whether a keeper is announced for the first time.
 
-        Only what a keeper says of itself shows that it lives; what it says of others is a reason
-        to speak to them.
+        Only a keeper's report of itself shows that it is alive.  Its reports of others are a reason
+        to contact them.
         """
         if not announced.keepers:
             return False
-        own_word, *others = announced.keepers
+        sender, *others = announced.keepers
         now = self._now()
-        former = self._known.get(own_word.name)
-        self._known[own_word.name] = KnownKeeper(own_word, now, now)
-        is_new = former is None or former.heard_at is None
+        previous = self._known.get(sender.name)
+        self._known[sender.name] = KnownKeeper(sender, now, now)
+        is_new = previous is None or previous.heard_at is None
         for other in others:
             if other.name == self._name:
                 continue
@@ -73,7 +74,7 @@
         return is_new
 
     def list_alive(self) -> list[messages.KeeperSeen]:
-        """Keepers that have told of themselves lately, by name."""
+        """List the keepers that have announced themselves recently, by name."""
         since = self._now() - ALIVE_TIMEOUT_SECONDS
         alive = (
             item.seen
@@ -83,21 +84,21 @@
         return sorted(alive, key=lambda seen: seen.name)
 
     def list_addresses(self) -> set[str]:
-        """Addresses of all keepers known, whoever told of them."""
+        """List the addresses of all known keepers, even if only others have reported them."""
         return {item.seen.address for item in self._known.values()}
 
     def get_heard_at(self, name: str) -> float | None:
-        """When a keeper last told of itself; None if it never did."""
+        """When a keeper last announced itself; None if it never did."""
         contact = self._known.get(name)
         return contact.heard_at if contact is not None else None
 
     def is_leaving(self, name: str) -> bool:
-        """Whether a keeper's last word of itself is that it stops."""
+        """Whether a keeper's last announcement says that it is leaving."""
         contact = self._known.get(name)
         return contact is not None and contact.heard_at is not None and contact.seen.leaving
 
     def expire(self) -> None:
-        """Forget who has not been told of for long."""
+        """Remove the keepers that have not been reported within the retention period."""
         since = self._now() - RETENTION_SECONDS
         for name in [name for name, item in self._known.items() if item.reported_at < since]:
             del self._known[name]
