--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -1,4 +1,4 @@
-"""Who leads: standing for election, answering candidates, founding the first log."""
+"""Leader election: campaigns, votes, and the bootstrap of the first log."""
 
 import asyncio
 import math
@@ -17,26 +17,27 @@
 __all__ = ["ELECTION_TIMEOUT_SECONDS", "LEASE_SECONDS", "Elections", "Participant"]
 
 ELECTION_TIMEOUT_SECONDS = (1.0, 1.6)
-"""Silence of the leader after which a voter stands for election, drawn anew each time."""
+"""Range of the election timeout, from which each timeout is sampled."""
 ELECTION_CHECK_INTERVAL_SECONDS = 0.1
 MIN_CHECK_INTERVAL_SECONDS = 0.005
-"""Shortest pause between two looks at elections, so that they never hold the event loop."""
+"""Lower bound of the interval between two checks, so that they never hog the event loop."""
 ELECTION_RETRY_DELAY_SECONDS = (0.05, 0.15)
-"""Pause after an election that was not won: keepers that start together find the others' links
-missing or votes split, and each tenth of a second is one without service.  Pre-votes change
-nothing, so asking often costs a keeper that is cut off some 40 small messages a second at most."""
+"""Range of the delay after a lost election.  It is short because keepers that start together often
+lack links or split the vote, and there is no service until one is elected.  Pre-votes change no
+state, so a keeper that is cut off only sends at most about 40 small messages a second."""
 LEASE_SECONDS = 0.8
-"""Shorter than the shortest election timeout, with room for clocks that drift."""
+"""Shorter than the shortest election timeout, with a margin for clock drift."""
 STARTUP_ELECTION_TIMEOUT_SECONDS = (LEASE_SECONDS, LEASE_SECONDS + 0.3)
-"""After its start a voter that followed a leader stands once that leader's lease has surely ended,
-by lot, so that votes seldom split; the former leader itself stands at once."""
+"""Range of the first election timeout of a restarted voter that followed a leader: that leader's
+lease has ended by then, and the randomization makes split votes rare.  A restarted leader
+campaigns without this delay."""
 LOST_ELECTION_LOG_INTERVAL_SECONDS = 5.0
-"""A keeper that can't win elections says so again after so long, though nothing has changed: often
-enough for a log that is cut to some lines, 720 lines an hour at most."""
+"""Interval at which a keeper that keeps losing elections logs this again although the replies are
+unchanged: at most 720 lines an hour, yet often enough to appear in a short excerpt of the log."""
 
 
 class Participant(Protocol):
-    """What elections need of the replica that they are a part of."""
+    """Interface of the replica that elections act for."""
 
     name: str
     storage: storages.Storage
@@ -46,7 +47,7 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether it leads; it may have lost its lease."""
+        """Whether it leads; its lease may have expired."""
 
     @property
     def has_lease(self) -> bool:
@@ -54,30 +55,30 @@
 
     @property
     def is_stalled(self) -> bool:
-        """Whether its disk has been silent for too long."""
+        """Whether a write has been blocked on its disk for too long."""
 
     @property
     def is_voter(self) -> bool:
-        """Whether it may vote, with the disk that it has."""
+        """Whether it is a voter with its present disk."""
 
     @property
     def voters(self) -> dict[str, commands.Voter]:
-        """Voters by the latest entry of its log."""
+        """Voters according to the latest entry of its log."""
 
     async def write(self, work: Callable[..., None], *arguments: Any) -> None:
-        """Run a blocking write of the storage, under `write_lock`."""
+        """Run a blocking write of the storage; the caller holds `write_lock`."""
 
     async def follow_term(self, term: int, leader: str = "") -> None:
         """Enter a later term."""
 
     def become_candidate(self) -> None:
-        """Stand for election in the term that the disk names."""
+        """Become a candidate in the term on the disk."""
 
     def become_leader(self) -> None:
-        """Lead the term that the disk names."""
+        """Become the leader of the term on the disk."""
 
     def become_follower(self, term: int, leader: str) -> None:
-        """Lead no more, or follow another leader."""
+        """Step down, or follow another leader."""
 
 
 class Elections:
@@ -86,89 +87,90 @@
     Parameters
     ----------
     participant : Participant
-        The replica that this is a part of.
-    configured : int
-        How many keepers the settings name.
+        The replica that elections act for.
+    configured_count : int
+        Number of keepers in the settings.
     get_link : callable
-        (address) gives the link to a keeper, or None.
+        (address) returns the link to a keeper, or None.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     rng : random.Random
-        Draws election timeouts.
+        Samples election timeouts.
     list_bootstrap_peers : callable
-        Gives the first voters, name to address, if this keeper may found the log now.
+        Returns the initial voters, name to address, if this keeper may bootstrap the log now;
+        empty otherwise.
 
     Attributes
     ----------
     heard_at : float
-        When a leader was last heard of, or this keeper's own lease last held.
+        Time of the last contact with a leader, or at which this keeper last held the lease.
     lost_elections : int
-        Elections and pre-votes that this keeper stood in and did not win.
+        Number of elections and pre-votes that this keeper campaigned in and lost.
     """
 
     def __init__(
         self,
         participant: Participant,
-        configured: int,
+        configured_count: int,
         get_link: Callable[[str], links.Link | None],
         timeline: timelines.Timeline,
         rng: random.Random,
         list_bootstrap_peers: Callable[[], dict[str, str]],
     ) -> None:
         self._participant = participant
-        self._configured = configured
+        self._configured_count = configured_count
         self._get_link = get_link
         self._timeline = timeline
         self._rng = rng
         self._list_bootstrap_peers = list_bootstrap_peers
         self.heard_at = -1e9
         self._election_at = 0.0
-        self._began_at = math.inf
-        """Time of the event loop at which its tasks began; until then it helps no leader."""
+        self._started_at = math.inf
+        """Event loop time of the start; before it, this keeper supports no candidate."""
         self.lost_elections = 0
-        self._told_lost: tuple[dict[str, str], float] | None = None
+        self._last_logged_loss: tuple[dict[str, str], float] | None = None
 
     # Time
 
     def start(self) -> None:
-        """Take note that the keeper begins now."""
-        self._began_at = _now()
-        self._election_at = self._began_at + self._draw_start_timeout()
+        """Start the first election timeout."""
+        self._started_at = _now()
+        self._election_at = self._started_at + self._sample_startup_timeout()
 
     def record_leader_contact(self) -> None:
-        """Take note that the leader was heard of; it is given time anew."""
+        """Record a message from the leader, and restart the election timeout."""
         self.heard_at = _now()
-        self._election_at = self.heard_at + self._draw_timeout()
+        self._election_at = self.heard_at + self._sample_timeout()
 
     def has_heard_leader(self, seconds: float) -> bool:
-        """Whether a leader was heard of within the last seconds."""
+        """Whether there was contact with a leader within the last `seconds`."""
         return _now() - self.heard_at < seconds
 
-    def _read_pause(self) -> float:
-        """Seconds until the next look at elections."""
+    def _compute_check_delay(self) -> float:
+        """Compute the seconds until the next check."""
         until_election = self._election_at - _now()
         if until_election <= 0:
             return ELECTION_CHECK_INTERVAL_SECONDS
         return min(ELECTION_CHECK_INTERVAL_SECONDS, max(MIN_CHECK_INTERVAL_SECONDS, until_election))
 
-    def _draw_timeout(self) -> float:
+    def _sample_timeout(self) -> float:
         return self._rng.uniform(*ELECTION_TIMEOUT_SECONDS)
 
-    def _draw_start_timeout(self) -> float:
-        """Seconds from the start to the first election that this keeper stands in."""
+    def _sample_startup_timeout(self) -> float:
+        """Sample the seconds from the start to this keeper's first campaign."""
         own = self._participant
-        if not own.voters and self._configured > 1:
-            return self._draw_timeout()
+        if not own.voters and self._configured_count > 1:
+            return self._sample_timeout()
         if own.storage.voted_for in ("", own.name):
             return self._rng.uniform(*ELECTION_RETRY_DELAY_SECONDS)
         return self._rng.uniform(*STARTUP_ELECTION_TIMEOUT_SECONDS)
 
-    # Standing
+    # Campaigning
 
     async def run(self) -> None:
-        """Stand for election whenever it is time, until cancelled."""
+        """Campaign whenever the election timeout expires, until cancelled."""
         while True:
-            await asyncio.sleep(self._read_pause())
+            await asyncio.sleep(self._compute_check_delay())
             own = self._participant
             if own.disk_fault is not None:
                 continue
@@ -178,18 +180,18 @@
                     own.become_follower(own.storage.term, "")
                 continue
             if own.is_leading:
-                self._keep_lease()
+                self._check_lease()
                 continue
             if _now() >= self._election_at:
                 try:
-                    await self._stand()
+                    await self._campaign()
                 except faults.FaultError as error:
                     self._timeline.record("keeper.no_election", reason=error.fault.message)
                 retry = _now() + self._rng.uniform(*ELECTION_RETRY_DELAY_SECONDS)
                 self._election_at = max(self._election_at, retry)
 
-    def _keep_lease(self) -> None:
-        """Lead no more once the lease has been gone for long."""
+    def _check_lease(self) -> None:
+        """Step down if the lease has not been renewed for twice its duration."""
         own = self._participant
         if own.has_lease:
             self.heard_at = _now()
@@ -197,12 +199,12 @@
             self._timeline.record("keeper.lease_lost", term=own.storage.term)
             own.become_follower(own.storage.term, "")
 
-    async def _stand(self) -> None:
+    async def _campaign(self) -> None:
         own = self._participant
         if not own.voters:
             await self._try_bootstrap()
             return
-        if not own.is_voter or self._may_support_leader(own.name):
+        if not own.is_voter or self._may_back_lease(own.name):
             return
         if not await self._collect_votes(own.storage.term + 1, pre=True):
             return
@@ -220,30 +222,30 @@
         )
 
     async def _collect_votes(self, term: int, *, pre: bool) -> bool:
-        """Ask all voters; whether a quorum granted."""
+        """Request the votes of all voters; whether a quorum grants them."""
         own = self._participant
         request = self._build_vote_request(term, pre=pre)
         others = {name: voter for name, voter in own.voters.items() if name != own.name}
         needed = voter_rules.count_quorum(len(own.voters))
         result = await votes.collect_votes(self._get_link, request, others, needed)
         if not result.is_won:
-            self._note_lost(request, needed, result)
+            self._record_loss(request, needed, result)
         if result.later_term > own.storage.term:
             await own.follow_term(result.later_term)
         return result.is_won
 
-    def _note_lost(
+    def _record_loss(
         self, request: messages.VoteRequest, needed: int, result: votes.VoteResult
     ) -> None:
-        """Say why an election was not won: once, and again when the reasons change.
+        """Log why an election was lost, if the reasons differ from those last logged.
 
-        A keeper without a quorum asks some ten times a second, and the answers are the same.
+        A keeper without a quorum campaigns about ten times a second, mostly with the same replies.
         """
         self.lost_elections += 1
-        told = (result.verdicts, _now() // LOST_ELECTION_LOG_INTERVAL_SECONDS)
-        if told == self._told_lost:
+        loss = (result.verdicts, _now() // LOST_ELECTION_LOG_INTERVAL_SECONDS)
+        if loss == self._last_logged_loss:
             return
-        self._told_lost = told
+        self._last_logged_loss = loss
         self._timeline.record(
             "keeper.not_elected",
             term=request.term,
@@ -255,7 +257,7 @@
         )
 
     async def _try_bootstrap(self) -> None:
-        """Found the log, if every founder is there with a fresh disk."""
+        """Bootstrap the log, if every bootstrap peer replies with a fresh disk."""
         own = self._participant
         bootstrap_peers = self._list_bootstrap_peers() if own.storage.is_fresh else {}
         if own.name not in bootstrap_peers:
@@ -271,18 +273,18 @@
             voters[name] = commands.Voter(address, reply.disk_id)
         async with own.write_lock:
             await own.write(own.storage.save_vote, 1, own.name)
-            found = messages.LogEntry(1, 1, commands.encode(commands.Bootstrap(voters)))
-            await own.write(own.storage.append, [found])
+            entry = messages.LogEntry(1, 1, commands.encode(commands.Bootstrap(voters)))
+            await own.write(own.storage.append, [entry])
         self._timeline.record("keeper.found", voters=sorted(voters))
         own.become_leader()
 
     # Voting
 
     async def handle_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
-        """Answer a candidate."""
+        """Grant or refuse a vote."""
         own = self._participant
         is_later = not request.pre and request.term > own.storage.term
-        if is_later and not self._hears_leader(request.candidate):
+        if is_later and not self._has_live_leader(request.candidate):
             await own.follow_term(request.term)
         refusal = self._find_refusal(request)
         if refusal is None and not request.pre:
@@ -291,7 +293,7 @@
                 if refusal is None and own.storage.voted_for != request.candidate:
                     await own.write(own.storage.save_vote, request.term, request.candidate)
             if refusal is None:
-                self._election_at = _now() + self._draw_timeout()
+                self._election_at = _now() + self._sample_timeout()
         storage = own.storage
         return messages.VoteReply(
             storage.term,
@@ -301,33 +303,33 @@
             refusal.value if refusal else "",
         )
 
-    def _may_support_leader(self, candidate: str) -> bool:
-        """Whether a leader may hold a lease that rests on this keeper's word before its restart.
+    def _may_back_lease(self, candidate: str) -> bool:
+        """Whether a leader may hold a lease that depends on a reply from before this restart.
 
-        A restarted voter has forgotten when it last answered its leader, but its disk names that
-        leader (`Participant.follow_term`).  The lease has ended when `LEASE_SECONDS` have passed
-        since the start, or when that leader stands for election itself.  Without this a voter that
-        restarts helps a second leader while the first one still answers reads.
+        A restarted voter does not know when it last replied to its leader, but its disk names that
+        leader (`Participant.follow_term`).  The lease has ended once `LEASE_SECONDS` have passed
+        since the start, or when that leader campaigns itself.  Without this check, a restarted
+        voter could help to elect a second leader while the first one still answers reads.
         """
-        if _now() - self._began_at >= LEASE_SECONDS:
+        if _now() - self._started_at >= LEASE_SECONDS:
             return False
         return self._participant.storage.voted_for not in ("", self._participant.name, candidate)
 
-    def _hears_leader(self, candidate: str) -> bool:
-        """Whether a leader lives or may live: then nobody else is helped to replace it."""
+    def _has_live_leader(self, candidate: str) -> bool:
+        """Whether a leader is or may be alive, so that no other candidate is supported."""
         own = self._participant
         if own.is_leading:
             return own.has_lease
-        if self._may_support_leader(candidate):
+        if self._may_back_lease(candidate):
             return True
-        # A leader that stands for a later term leads no more.
+        # A leader that campaigns for a later term no longer leads.
         has_other_leader = own.leader not in ("", candidate)
         return has_other_leader and self.has_heard_leader(ELECTION_TIMEOUT_SECONDS[0])
 
     def _find_refusal(self, request: messages.VoteRequest) -> votes.VoteRefusal | None:
-        """Why a candidate gets no vote here; None if it gets one."""
+        """Find the reason to refuse a candidate; None if its vote is granted."""
         storage = self._participant.storage
-        if self._hears_leader(request.candidate):
+        if self._has_live_leader(request.candidate):
             return votes.VoteRefusal.LEADER_LIVES
         if (request.last_term, request.last_index) < (storage.last_term, storage.last_index):
             return votes.VoteRefusal.SHORTER_LOG
--- a/tillerlane/keeper/followers.py
+++ b/tillerlane/keeper/followers.py
@@ -75,7 +75,7 @@
             progress.wake.set()
 
     def compute_quorum_time(self, voters: dict[str, commands.Voter], now: float) -> float | None:
-        """Latest time at or after which a quorum was sent requests that it acknowledged; or None."""
+        """Send time of the newest requests that a quorum has acknowledged; None without one."""
         times = [progress.acked_at for progress in self._list_on_record(voters)]
         return _find_quorum(times, now, voters, self._leader)
 
--- a/tillerlane/keeper/quorum.py
+++ b/tillerlane/keeper/quorum.py
@@ -1,4 +1,4 @@
-"""What one keeper sees of the quorum, for its log and its figures."""
+"""One keeper's view of the quorum, for its log lines and metrics."""
 
 import dataclasses
 from collections.abc import Callable
@@ -10,30 +10,31 @@
 __all__ = ["QuorumMonitor", "QuorumView", "build_view"]
 
 REPEAT_INTERVAL_SECONDS = 5.0
-"""A view that bears fewer losses than wished is told again after so long, changed or not: whoever
-reads a log that was cut to some lines finds it, at 720 lines an hour at most."""
+"""Interval at which a view that tolerates fewer losses than desired is logged again although it is
+unchanged: at most 720 lines an hour, yet often enough to appear in a short excerpt of the log."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuorumView:
-    """The voters as one keeper counts them.
+    """The voters as seen by one keeper.
 
     Attributes
     ----------
     voters : tuple of str
-        Names of the voters on this keeper's record.
+        Names of the voters in this keeper's log.
     live : tuple of str
-        Those heard of lately, with the disk that is on record, this keeper among them.
+        Live voters with their disk on record, including this keeper.
     other_disk : tuple of str
-        Those heard of lately with another disk than that on record.
+        Live voters with a disk other than that on record.
     waiting : tuple of str
-        Keepers heard of lately that have no vote.
+        Live keepers without a vote.
     votes : bool
-        Whether this keeper has a vote, for the disk that it has.
+        Whether this keeper is a voter with its present disk.
     leader : str
-        Whom it follows; empty without one.
+        Leader that it follows; empty without one.
     bears : int
-        Disks that may be lost next (`decisions.voters.count_bearable_losses`).
+        Number of further disk losses that the quorum tolerates
+        (`decisions.voters.count_bearable_losses`).
     """
 
     voters: tuple[str, ...]
@@ -46,22 +47,26 @@
 
 
 def build_view(
-    own: str, own_disk: str, leader: str, voters: dict[str, commands.Voter], heard: dict[str, str]
+    own_name: str,
+    own_disk_id: str,
+    leader: str,
+    voters: dict[str, commands.Voter],
+    heard: dict[str, str],
 ) -> QuorumView:
-    """Count the voters.
+    """Build a keeper's view of the quorum.
 
     Parameters
     ----------
-    own, own_disk : str
+    own_name, own_disk_id : str
         This keeper and its disk.
     leader : str
-        Whom it follows.
+        Leader that it follows; empty without one.
     voters : dict
-        Voters on its record, by name.
+        Voters in its log, by name.
     heard : dict
-        Other keepers heard of lately, by name, and the disks that they told.
+        Other live keepers: name to the disk that they announced.
     """
-    disks = {**heard, own: own_disk}
+    disks = {**heard, own_name: own_disk_id}
     present = sorted(name for name in voters if name in disks)
     live = tuple(name for name in present if disks[name] == voters[name].disk_id)
     return QuorumView(
@@ -69,23 +74,23 @@
         live=live,
         other_disk=tuple(name for name in present if name not in live),
         waiting=tuple(sorted(set(disks) - set(voters))),
-        votes=own in live,
+        votes=own_name in live,
         leader=leader,
         bears=voter_rules.count_bearable_losses(len(voters), len(live)),
     )
 
 
 class QuorumMonitor:
-    """Tells changes of the view, and repeats one that is short of what is wished.
+    """Logs changes of the view, and repeats a degraded one.
 
     Parameters
     ----------
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     desired_losses : int
-        Disks that the fleet is meant to bear the loss of.
+        Number of disk losses that the fleet should tolerate.
     now : callable
-        Steady time in seconds.
+        Monotonic time in seconds.
 
     Attributes
     ----------
@@ -105,7 +110,7 @@
         self.view: QuorumView | None = None
 
     def update(self, view: QuorumView) -> None:
-        """Take the present view."""
+        """Set the current view, and log it if it changed or is due again."""
         now = self._now()
         is_degraded = view.bears < self._desired_losses
         self._degraded_since = (self._degraded_since or now) if is_degraded else None
@@ -123,9 +128,9 @@
         )
 
     def compute_degraded_seconds(self) -> float:
-        """How long fewer losses than wished have been bearable; 0 while it is as wished."""
+        """Seconds for which fewer losses than desired have been tolerated; 0 if none."""
         return 0.0 if self._degraded_since is None else self._now() - self._degraded_since
 
     def compute_voteless_seconds(self) -> float:
-        """How long this keeper has been without a vote; 0 while it has one."""
+        """Seconds for which this keeper has had no vote; 0 while it has one."""
         return 0.0 if self._voteless_since is None else self._now() - self._voteless_since
