--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -1,10 +1,11 @@
-"""How keepers find each other from a few seed addresses, found their log and keep its size.
-
-Nobody tells a keeper how many others there are.  Each one dials the seeds and whoever it hears of,
-and says whom it knows.  Seeds are where it begins to ask, never the only ones that it speaks to:
-whoever leads must hear of a newcomer, wherever that one came in.  On the very first start one of
-them, the lowest seed address, founds the log as soon as it knows enough fresh keepers; which they
-are then stands in the log, and the leader turns votes over (`keeper.reconfiguration`).
+"""Cluster formation: discovery of keepers from seed addresses, and the bootstrap of their log.
+
+The settings do not list all keepers.  Each keeper dials the seeds and every keeper that it learns
+of, and announces itself and the keepers that it hears.  Seeds are only the starting points: the
+leader must learn of a new keeper whichever keeper that one contacted first.  On the first start of
+a fleet, the keeper with the lowest seed address bootstraps the log once it knows enough fresh
+keepers.  From then on the log records the voters, and the leader replaces them
+(`keeper.reconfiguration`).
 """
 
 import asyncio
@@ -20,33 +21,34 @@
 __all__ = ["Formation", "FormationSettings"]
 
 ANNOUNCE_INTERVAL_SECONDS = 0.4
-"""Pause between two announcements; they are small and only go between keepers."""
+"""Interval of announcements, which are small and only exchanged between keepers."""
 FIRST_CONTACT_INTERVAL_SECONDS = 0.1
-"""Pause between two announcements to a keeper that has not told of itself yet: three of them, by
-way of a keeper that both know, bring a newcomer and the leader together."""
+"""Interval of announcements to a keeper that has not announced itself yet.  A new keeper and the
+leader find each other within three of them, through a keeper that both know."""
 BOOTSTRAP_TIMEOUT_SECONDS = 5.0
-"""How long the founder waits for the wished number before it begins with fewer."""
+"""How long the bootstrapping keeper waits for all desired voters before it accepts fewer."""
 MIN_BOOTSTRAP_PEERS = 3
 LEAVE_TIMEOUT_SECONDS = 1.0
-"""How long a planned stop waits for the vote to be turned over, which takes 0.02 to 0.12 s (40
-stops in virtual time, half of them of the leader).  Who is not done then is silent soon after."""
+"""How long a planned stop waits for the keeper's vote to be transferred, which takes 0.02 to 0.12 s
+(40 stops in virtual time, half of them of the leader).  A keeper whose vote is not transferred by
+then stops anyway, and counts as unreachable soon after."""
 LEAVE_CHECK_INTERVAL_SECONDS = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FormationSettings:
-    """What a keeper is told of its fleet.
+    """Settings of how a keeper's fleet forms.
 
     Attributes
     ----------
     seeds : tuple of str
-        Peer addresses to begin with; some may be down.
+        Peer addresses to dial first; some may be down.
     desired_voters : int
-        Odd; one more than twice the disks that may be lost at once.
+        Odd: twice the number of disks that may be lost at once, plus one.
     voter_timeout_seconds : float
-        Silence of a voter after which another keeper takes its vote.
+        Time without a reply after which a voter is replaced.
     can_bootstrap : bool
-        Whether this keeper founds the log if it is not founded yet.
+        Whether this keeper bootstraps the log if there is none yet.
     """
 
     seeds: tuple[str, ...]
@@ -56,7 +58,7 @@
 
 
 class Formation:
-    """The keepers that one keeper knows, and what it does about them.
+    """Discovery of other keepers, announcements, and the keeper's departure.
 
     Parameters
     ----------
@@ -65,9 +67,9 @@
     address : str
         This keeper's peer address.
     node : nodes.Node
-        Dials the others.
+        Dials the other keepers.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     """
 
     def __init__(
@@ -84,17 +86,17 @@
         self._node = node
         self._timeline = timeline
         self._known_keepers = known_keepers.KnownKeepers(name, self._now)
-        self._began_at = 0.0
+        self._started_at = 0.0
         self._replica: replicas.Replica | None = None
         self._is_leaving = False
-        self._is_due = asyncio.Event()
-        """Set when all are to be spoken to before the next pause ends."""
+        self._announcement_due = asyncio.Event()
+        """Set when an announcement to all is due before the interval ends."""
         self.quorum_monitor = quorum.QuorumMonitor(
             timeline, settings.desired_voters // 2, self._now
         )
 
     def attach(self, replica: replicas.Replica) -> None:
-        """Take the keeper's part in the log, which itself asks `list_bootstrap_peers`."""
+        """Set the replica, which itself calls `list_bootstrap_peers`."""
         self._replica = replica
         self.reconfiguration = reconfiguration.Reconfiguration(
             replica,
@@ -103,64 +105,65 @@
             self._settings.voter_timeout_seconds,
             self._timeline,
             self._now,
-            self._reads_as_leaving,
+            self._is_keeper_leaving,
         )
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Take other seeds; keepers known already stay known."""
+        """Replace the seeds; known keepers stay known."""
         self._settings = dataclasses.replace(self._settings, seeds=seeds)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
     def list_addresses(self) -> set[str]:
-        """Peer addresses of all other keepers worth a link: seeds, voters and those heard of.
+        """List the peer addresses to dial: seeds, voters and all known keepers.
 
-        Who is known from others only is spoken to as well.  A leader that is no seed and a newcomer
-        know each other just so; when each waited for the other's word, the newcomer never got the
-        vote of a keeper that was lost, and two more lost disks stopped the log.
+        Keepers that only others have reported are included.  A new keeper and a leader that is no
+        seed know each other only in this way.  If each waited for an announcement of the other,
+        the new keeper would never get the vote of a lost one, and losing two more disks would stop
+        the log.
         """
-        found = set(self._settings.seeds) | self._known_keepers.list_addresses()
+        addresses = set(self._settings.seeds) | self._known_keepers.list_addresses()
         if self._replica is not None:
-            found.update(voter.address for voter in self._replica.voters.values())
-        found.discard(self._address)
-        return found
+            addresses.update(voter.address for voter in self._replica.voters.values())
+        addresses.discard(self._address)
+        return addresses
 
     def list_query_addresses(self) -> list[str]:
-        """Peer addresses that an entry may turn to: the voters, or who is heard of without a log.
+        """List the addresses that an entry may query: the voters, or live keepers without a log.
 
-        A keeper that is new names others too.  An entry that starts knows its seeds only, and where
-        those are all new it would find no configuration.
+        A new keeper lists others too.  An entry that starts knows only its seeds, and if these were
+        all new it would otherwise find no configuration.
         """
         if self._replica is not None and self._replica.voters:
             return sorted(voter.address for voter in self._replica.voters.values())
         return sorted(seen.address for seen in self._known_keepers.list_alive())
 
     def list_bootstrap_peers(self) -> dict[str, str]:
-        """First voters, name to address; empty while this keeper may not found the log."""
+        """List the initial voters, name to address; empty while this keeper may not bootstrap."""
         if not self._settings.can_bootstrap:
             return {}
         alive = self._known_keepers.list_alive()[: self._settings.desired_voters - 1]
         fresh = {seen.name: seen.address for seen in alive}
-        is_late = self._now() - self._began_at > BOOTSTRAP_TIMEOUT_SECONDS
-        wanted = min(MIN_BOOTSTRAP_PEERS, self._settings.desired_voters) if is_late else None
-        if len(fresh) + 1 < (wanted or self._settings.desired_voters):
+        is_late = self._now() - self._started_at > BOOTSTRAP_TIMEOUT_SECONDS
+        min_count = min(MIN_BOOTSTRAP_PEERS, self._settings.desired_voters) if is_late else None
+        if len(fresh) + 1 < (min_count or self._settings.desired_voters):
             return {}
         return {self._name: self._address, **fresh}
 
     def handle_announcement(self, link: links.Link, announced: messages.KeeperAnnounce) -> None:
-        """Take a keeper's announcement."""
+        """Handle a keeper's announcement."""
         if self._known_keepers.merge(announced):
-            self._is_due.set()
+            self._announcement_due.set()
         self.dial_all()
 
     def dial_all(self) -> None:
-        """Keep links to all keepers known."""
+        """Dial all keepers to which a link is needed."""
         for address in self.list_addresses():
             self._node.dial(address)
 
     def _expire(self) -> None:
-        """Stop dialing who is neither seed nor voter and has not been told of for long."""
+        """Stop dialing keepers that are neither seeds nor voters and have expired."""
         self._known_keepers.expire()
         for address in self._node.get_dialed() - self.list_addresses():
             self._node.hang_up(address)
@@ -174,32 +177,33 @@
         return messages.KeeperAnnounce([own, *self._known_keepers.list_alive()])
 
     async def run(self) -> None:
-        """Announce this keeper, until cancelled."""
-        self._began_at = self._now()
+        """Announce this keeper until cancelled."""
+        self._started_at = self._now()
         announced_at = 0.0
         while True:
             self._expire()
             self.dial_all()
-            is_due = (
-                self._is_due.is_set() or self._now() - announced_at >= ANNOUNCE_INTERVAL_SECONDS
+            is_announcement_due = (
+                self._announcement_due.is_set()
+                or self._now() - announced_at >= ANNOUNCE_INTERVAL_SECONDS
             )
-            self._is_due.clear()
-            if is_due:
+            self._announcement_due.clear()
+            if is_announcement_due:
                 announced_at = self._now()
                 self._update_quorum()
-            self._announce(self.list_addresses() if is_due else self._list_unheard())
+            self._announce(self.list_addresses() if is_announcement_due else self._list_unheard())
             try:
                 async with asyncio.timeout(FIRST_CONTACT_INTERVAL_SECONDS):
-                    await self._is_due.wait()
+                    await self._announcement_due.wait()
             except TimeoutError:
                 continue
 
     def _list_unheard(self) -> set[str]:
-        """Addresses of those who have not told of themselves lately."""
+        """List the addresses of keepers that have not announced themselves recently."""
         return self.list_addresses() - {seen.address for seen in self._known_keepers.list_alive()}
 
     def _announce(self, addresses: set[str]) -> None:
-        """Tell of this keeper, and of those that it hears, wherever there is a link."""
+        """Announce this keeper, and the live keepers that it knows, to connected addresses."""
         if not addresses:
             return
         announcement = self._build_announcement()
@@ -208,15 +212,15 @@
             if link is not None:
                 links.try_send(link, announcement)
 
-    def _reads_as_leaving(self, name: str) -> bool:
-        """Whether a voter says that it stops."""
+    def _is_keeper_leaving(self, name: str) -> bool:
+        """Whether a voter has announced that it is leaving."""
         return self._is_leaving if name == self._name else self._known_keepers.is_leaving(name)
 
     async def leave(self) -> None:
-        """Have this keeper's vote turned over to one that stands by; without one, do nothing.
+        """Wait for this keeper's vote to be transferred to a standby; without one, return at once.
 
-        A keeper that is exchanged as planned counts as gone the moment it stops, since its
-        successor has been there for long; the next disks may be lost then.
+        In a planned replacement the successor has been present for some time, so the fleet must
+        tolerate further losses of disks from the moment at which this keeper stops.
         """
         own = self._replica
         assert own is not None
@@ -224,16 +228,16 @@
         if not own.is_voter or others <= set(own.voters):
             return
         self._is_leaving = True
-        self._is_due.set()
-        began = self._now()
-        while own.is_voter and self._now() - began < LEAVE_TIMEOUT_SECONDS:
+        self._announcement_due.set()
+        started_at = self._now()
+        while own.is_voter and self._now() - started_at < LEAVE_TIMEOUT_SECONDS:
             await asyncio.sleep(LEAVE_CHECK_INTERVAL_SECONDS)
         self._timeline.record(
-            "keeper.left_vote", done=not own.is_voter, took_s=round(self._now() - began, 3)
+            "keeper.left_vote", done=not own.is_voter, took_s=round(self._now() - started_at, 3)
         )
 
     def _update_quorum(self) -> None:
-        """Say whom this keeper counts and hears, when that changes."""
+        """Update the monitor with this keeper's view of the quorum."""
         own = self._replica
         assert own is not None
         heard = {seen.name: seen.disk_id for seen in self._known_keepers.list_alive()}
--- a/tillerlane/keeper/reconfiguration.py
+++ b/tillerlane/keeper/reconfiguration.py
@@ -1,4 +1,4 @@
-"""The leader's part in who votes: it keeps standbys up to date and turns votes over to them."""
+"""Replacement of voters by the leader: it keeps standbys up to date and gives them votes."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,48 +12,48 @@
 __all__ = ["Reconfiguration"]
 
 CHECK_INTERVAL_SECONDS = 0.1
-"""Pause between two looks at the voters."""
 NEW_LEADER_GRACE_SECONDS = 1.0
-"""How long a new leader asks the voters, four times each, before it counts one as silent; the
-silence itself counts from when it last heard of the voter, also as a follower.  Without that a
-leader that replaces a lost one waits for the same silence again: two disks lost once the newcomer
-counted as whole then stopped the log (`keeper/tests/test_exchange.py`)."""
+"""Time during which a new leader contacts each voter, four times each, before it considers one
+unreachable.  The silence itself counts from the last contact with the voter, including contacts as
+a follower.  Otherwise the successor of a lost leader would wait for the full time-out again, and
+two disks lost after a new keeper counts as caught up would stop the log
+(`keeper/tests/test_replacement.py`)."""
 READY_TIMEOUT_SECONDS = 1.0
-"""A standby that answered so long ago at most may get a vote."""
+"""A standby gets a vote only if it replied to a request at most this long ago."""
 MAX_STANDBYS = 4
-"""Keepers without a vote that follow the log: as many as may be lost at once, twice over.  Each
-costs the leader what a voter costs."""
+"""Keepers without a vote that follow the log: twice as many as may be lost at once.  Each costs the
+leader as much as a voter does."""
 
 
 class Reconfiguration:
-    """Who votes, looked after while this keeper leads.
+    """Adjusts the set of voters while this keeper leads.
 
-    Every keeper that is alive follows the log, with or without a vote.  So a vote that is free
-    finds a keeper that holds all that is committed, and whoever asks a keeper without a vote learns
-    from it who votes and what is in force.
+    Live keepers follow the log with or without a vote.  So there is a standby that holds everything
+    committed when a vote becomes free, and a keeper without a vote can also tell who votes and what
+    is in force.
 
     Parameters
     ----------
     replica : replicas.Replica
-        This keeper's part in the log.
-    known : known_keepers.KnownKeepers
-        The other keepers.
+        This keeper's replica.
+    keepers : known_keepers.KnownKeepers
+        The other known keepers.
     desired_voters : int
-        How many voters there should be.
+        Desired number of voters.
     voter_timeout : float
-        Seconds of silence after which a voter counts as lost.
+        Seconds without a reply after which a voter counts as lost.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     now : callable
-        Steady time in seconds.
+        Monotonic time in seconds.
     is_leaving : callable
-        (name) tells whether a voter says that it stops.
+        (name) returns whether a voter has announced that it is leaving.
     """
 
     def __init__(
         self,
         replica: replicas.Replica,
-        known: known_keepers.KnownKeepers,
+        keepers: known_keepers.KnownKeepers,
         desired_voters: int,
         voter_timeout: float,
         timeline: timelines.Timeline,
@@ -61,52 +61,52 @@
         is_leaving: Callable[[str], bool],
     ) -> None:
         self._replica = replica
-        self._known = known
+        self._known_keepers = keepers
         self._desired_voters = desired_voters
         self._voter_timeout = voter_timeout
         self._timeline = timeline
         self._now = now
         self._is_leaving = is_leaving
-        self._began_at = now()
-        self._led_since: float | None = None
+        self._started_at = now()
+        self._leading_since: float | None = None
 
     async def run(self) -> None:
-        """Look after the voters, until cancelled."""
+        """Check the voters periodically, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
-            if not self._leads():
+            if not self._check_leading():
                 continue
-            self._follow_standbys()
+            self._update_standbys()
             step = self._choose_step()
-            while step is not None and await self._take(step):
+            while step is not None and await self._apply_step(step):
                 step = self._choose_step()
 
-    def _leads(self) -> bool:
+    def _check_leading(self) -> bool:
         own = self._replica
         if not own.is_leading or not own.has_lease:
-            self._led_since = None
+            self._leading_since = None
             return False
-        if self._led_since is None:
-            self._led_since = self._now()
+        if self._leading_since is None:
+            self._leading_since = self._now()
         return True
 
     # Standbys
 
-    def _follow_standbys(self) -> None:
-        """Have keepers that are alive and don't vote follow the log."""
+    def _update_standbys(self) -> None:
+        """Choose the standbys among the live keepers without a vote, and replicate to them."""
         own = self._replica
-        former = own.replication.standbys
-        alive = self._known.list_alive()
-        waiting = [seen for seen in alive if seen.name not in own.voters]
-        waiting.sort(key=lambda seen: (seen.name not in former, seen.name))
-        standbys = {seen.name: seen.address for seen in waiting[:MAX_STANDBYS]}
-        if standbys != former:
+        previous = own.replication.standbys
+        alive = self._known_keepers.list_alive()
+        candidates = [seen for seen in alive if seen.name not in own.voters]
+        candidates.sort(key=lambda seen: (seen.name not in previous, seen.name))
+        standbys = {seen.name: seen.address for seen in candidates[:MAX_STANDBYS]}
+        if standbys != previous:
             self._timeline.record("keeper.standbys", standbys=sorted(standbys))
             own.replication.standbys = standbys
             own.replication.follow(own.voters)
 
     def _is_ready(self, name: str) -> bool:
-        """Whether a standby holds all that is committed, and answers."""
+        """Whether a standby holds everything committed, and replies."""
         own = self._replica
         progress = own.replication.get(name)
         return (
@@ -121,7 +121,7 @@
     def _choose_step(self) -> voter_rules.Step | None:
         own = self._replica
         voters = [
-            voter_rules.Voter(name, self._read_silence(name), self._is_leaving(name))
+            voter_rules.Voter(name, self._compute_silence(name), self._is_leaving(name))
             for name in own.voters
         ]
         names = sorted(set(own.replication.standbys) - set(own.voters))
@@ -129,21 +129,23 @@
         standbys = [voter_rules.Standby(name, self._is_ready(name)) for name in names]
         return voter_rules.choose_step(voters, standbys, self._desired_voters, self._voter_timeout)
 
-    def _read_silence(self, name: str) -> float:
-        """Seconds for which a voter has been silent; 0 while this leader has not asked for long."""
-        assert self._led_since is not None
+    def _compute_silence(self, name: str) -> float:
+        """Seconds since the last contact with a voter; 0 during the grace time of a new leader."""
+        assert self._leading_since is not None
         now = self._now()
-        if name == self._replica.name or now - self._led_since < NEW_LEADER_GRACE_SECONDS:
+        if name == self._replica.name or now - self._leading_since < NEW_LEADER_GRACE_SECONDS:
             return 0.0
-        answered_at = self._replica.get_last_ack_at(name)
-        if answered_at > followers.NEVER:
-            return now - answered_at
-        # A voter may still tell of itself though its disk answers nothing.
-        heard_at = self._known.get_heard_at(name)
-        return now - min(self._led_since, heard_at if heard_at is not None else self._began_at)
-
-    async def _take(self, step: voter_rules.Step) -> bool:
-        """Change the voters; False if that is not committed."""
+        acked_at = self._replica.get_last_ack_at(name)
+        if acked_at > followers.NEVER:
+            return now - acked_at
+        # A voter may still announce itself although its disk does not respond.
+        heard_at = self._known_keepers.get_heard_at(name)
+        return now - min(
+            self._leading_since, heard_at if heard_at is not None else self._started_at
+        )
+
+    async def _apply_step(self, step: voter_rules.Step) -> bool:
+        """Change the voters; False if the change was not committed, or the lease was lost."""
         own = self._replica
         command: commands.VoterAdd | commands.VoterRemove
         if isinstance(step, voter_rules.Remove):
@@ -169,4 +171,4 @@
                 "keeper.not_changed", keeper=step.name, reason=error.fault.message
             )
             return False
-        return self._leads()
+        return self._check_leading()
