--- a/tillerlane/keeper/freshness.py
+++ b/tillerlane/keeper/freshness.py
@@ -1,9 +1,10 @@
-"""Up to when a daemon's publication is known to be the newest one.
+"""Bounds on the age of a daemon's publication.
 
-Each daemon asks the next one closer to the leader and reckons on its own steady clock from the
-moment *before* it asked, so that neither a delayed message nor a pause of any process can make
-old word look fresh.  A leader answers from its lease (a read index, as Raft calls it), a follower
-from what it last heard of the leader, an entry from what it last heard of a keeper.
+Each daemon queries the next one closer to the leader.  It measures the age of the reply on its own
+monotonic clock from the moment *before* the request, so that neither a delayed message nor a pause
+of any process can make stale data look fresh.  A leader replies from its lease (a read index, in
+Raft's terms), a follower from its last reply of the leader, and an entry from its last reply of a
+keeper.
 """
 
 import asyncio
@@ -17,52 +18,51 @@
 __all__ = ["FreshnessClock", "KeeperFreshness", "request_freshness"]
 
 REQUEST_INTERVAL_SECONDS = 0.3
-"""Pause between two questions of a follower: an eighth of the shortest bound met so far on how
-long a revoked key may work (5 s, of which 3 s may be spent out of touch)."""
+"""Interval of a follower's requests: an eighth of the shortest bound in use on how long a revoked
+key may still work (5 s, of which 3 s may pass without contact)."""
 REQUEST_TIMEOUT_SECONDS = 0.6
 HOLD_TIMEOUT_SECONDS = 0.4
-"""How long a keeper holds a question that it cannot answer yet, below
-`REQUEST_TIMEOUT_SECONDS`: during an election the answer comes with the first commit, not with the
-next question.  Together with
-questions that are asked as soon as there is a link or a leader, entries trust keys 0.1 to 0.2 s
-after a leader was elected, where it was 0.1 to 1.2 s (log lines of two days with a fleet that was
-stopped whole); `gateway/tests/test_life.py` holds it."""
+"""How long a keeper holds a request that it cannot answer yet; below `REQUEST_TIMEOUT_SECONDS`.
+During an election the reply is then sent upon the first commit instead of with the next request.
+Since requests are also sent as soon as there is a link or a leader, entries trust keys 0.1 to 0.2 s
+after an election instead of 0.1 to 1.2 s (log lines of two days on which the whole fleet was
+stopped); `gateway/tests/test_life.py` tests this."""
 UNKNOWN = -1e9
 
 
 class FreshnessClock:
-    """The latest moment at which the held version was surely the newest.
+    """The latest time at which the held version is known to have been the newest.
 
     Attributes
     ----------
     fresh_at : float
-        Time of the event loop.
+        Event loop time.
     """
 
     def __init__(self) -> None:
         self.fresh_at = UNKNOWN
 
     def observe(
-        self, asked_at: float, reply: messages.FreshnessReply, held: int, held_orders: int
+        self, sent_at: float, reply: messages.FreshnessReply, held: int, held_orders: int
     ) -> bool:
-        """Take an answer to a question asked at `asked_at`.
+        """Apply the reply to a request sent at `sent_at`.
 
-        False if the publication held, or the operators' orders, are too old for it.
+        False if the held publication or the held operators' orders are older than the reply's.
         """
         if not reply.known:
             return True
         if held < reply.version or held_orders < reply.orders_version:
             return False
-        self.fresh_at = max(self.fresh_at, asked_at - reply.age_ms / 1000)
+        self.fresh_at = max(self.fresh_at, sent_at - reply.age_ms / 1000)
         return True
 
     def compute_age(self, now: float) -> float:
-        """Seconds since the held version was surely the newest."""
+        """Seconds since the held version was last known to be the newest."""
         return now - self.fresh_at
 
 
 async def request_freshness(link: links.Link, have: int) -> messages.FreshnessReply | None:
-    """Ask a keeper; None if it did not answer."""
+    """Request the freshness of a keeper; None if it does not reply."""
     try:
         reply = await link.call(messages.FreshnessRequest(have), REQUEST_TIMEOUT_SECONDS)
     except (links.LinkLost, faults.FaultError):
@@ -71,18 +71,18 @@
 
 
 class KeeperFreshness:
-    """A keeper's own freshness, and its answers to others.
+    """A keeper's own freshness, and its replies to others.
 
     Parameters
     ----------
     replica : replicas.Replica
-        Its part in the log.
+        The keeper's replica.
     get_link : callable
-        (address) gives the link to a keeper, or None.
+        (address) returns the link to a keeper, or None.
     count_entries : callable
-        Gives how many entries are known to be subscribed.
+        Returns the number of entries known to be subscribed.
     list_keepers : callable
-        Gives the peer addresses of keepers worth asking.
+        Returns the peer addresses of keepers that an entry may query.
     """
 
     def __init__(
@@ -98,37 +98,37 @@
         self._list_keepers = list_keepers
         self._clock = FreshnessClock()
         self._waiting: set[asyncio.Event] = set()
-        self._is_due = asyncio.Event()
-        """Set when the leader is to be asked before the next pause ends."""
+        self._request_due = asyncio.Event()
+        """Set when a request to the leader is due before the interval ends."""
         self._is_behind = False
-        """Whether the leader's last answer was ahead of what is held here."""
-        replica.on_role_change = self._is_due.set
+        """Whether the leader's last reply was ahead of the state held here."""
+        replica.on_role_change = self._request_due.set
         replica.on_commit = self._wake_waiting
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
     def get_fresh_at(self) -> float | None:
-        """The latest moment up to which all that was committed is surely held here."""
+        """Latest time at which this keeper is known to have held everything committed; or None."""
         confirmed_at = self._replica.get_confirmed_at()
         if confirmed_at is not None:
             return confirmed_at
         return self._clock.fresh_at if self._clock.fresh_at > UNKNOWN else None
 
     def compute_age(self) -> float | None:
-        """Seconds since `get_fresh_at`; None if that is unknown."""
+        """Seconds since `get_fresh_at`; None if unknown."""
         fresh_at = self.get_fresh_at()
         return None if fresh_at is None else self._now() - fresh_at
 
     def _wake_waiting(self) -> None:
-        """Have held questions looked at again, and the leader asked if it was ahead."""
+        """Re-evaluate the held requests, and query the leader if its last reply was ahead."""
         if self._is_behind:
-            self._is_due.set()
+            self._request_due.set()
         for event in self._waiting:
             event.set()
 
     async def wait_until_known(self) -> None:
-        """Wait a while for fresh word, if there is none."""
+        """Wait up to `HOLD_TIMEOUT_SECONDS` for this keeper's freshness to be known."""
         event = asyncio.Event()
         self._waiting.add(event)
         try:
@@ -150,7 +150,7 @@
         )
 
     def build_reply(self) -> messages.FreshnessReply:
-        """Answer to whoever asks this keeper."""
+        """Build the reply to a freshness request."""
         own = self._replica
         age = self.compute_age()
         return messages.FreshnessReply(
@@ -164,14 +164,14 @@
         )
 
     async def run(self) -> None:
-        """Keep asking the leader while another keeper leads."""
+        """Query the leader periodically while another keeper leads."""
         while True:
             try:
                 async with asyncio.timeout(REQUEST_INTERVAL_SECONDS):
-                    await self._is_due.wait()
+                    await self._request_due.wait()
             except TimeoutError:
-                pass  # the next question is due by its time
-            self._is_due.clear()
+                pass  # the interval has ended
+            self._request_due.clear()
             await self._query_leader()
 
     async def _query_leader(self) -> None:
@@ -182,13 +182,13 @@
         link = self._get_link(leader.address)
         if link is None:
             return
-        asked_at = self._now()
+        sent_at = self._now()
         reply = await request_freshness(link, max(0, own.state_machine.published.version))
         if reply is None or own.leader == own.name:
             return
-        # The leader's index counts, since the log carries more than the publication.
+        # Compare the leader's index, since the log carries more than the publication.
         self._is_behind = reply.known and own.applied_index < reply.applied_index
         if reply.known and not self._is_behind:
             held = own.state_machine
-            self._clock.observe(asked_at, reply, held.published.version, held.store.version)
+            self._clock.observe(sent_at, reply, held.published.version, held.store.version)
             self._wake_waiting()
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -1,15 +1,16 @@
-"""One keeper's part in the replicated log: proposals, commit, a follower's entries and snapshots.
+"""One keeper's replica of the log: proposals, commits, and a follower's entries and snapshots.
 
-Elections (`keeper.elections`) and the leader's sending (`keeper.replication`) are parts of it.
+It is composed of elections (`keeper.elections`) and the leader's side of replication
+(`keeper.replication`).
 
-The algorithm is Raft with pre-vote and a leader lease.  What differs:
+The algorithm is Raft with pre-vote and a leader lease, with these differences:
 
-- A keeper's identity is its disk.  Every reply names the disk, and candidate and leader count
-  only replies of the disk that the log has on record for that voter, so a keeper whose disk is
-  new never votes with the old one's identity.  It is brought up to date as a learner and gets
-  its vote through the log.
-- The first log is founded only when every configured keeper says that its disk is fresh.
-- Voters change one at a time, and a change counts from when it stands in the log.
+- A keeper's identity is its disk.  Every reply names the disk, and candidates and leaders count
+  only replies from the disk that the log has on record for that voter.  So a keeper with a new disk
+  never votes with the identity of the old one: it catches up as a learner, and gets its vote
+  through the log.
+- The log is bootstrapped only if every initial voter reports that its disk is fresh.
+- Voters change one at a time, and a change takes effect once it is appended to the log.
 
 References
 ----------
@@ -41,27 +42,26 @@
 __all__ = ["Replica", "Role"]
 
 COMMIT_TIMEOUT_SECONDS = 3.0
-"""How long a proposal waits to be committed."""
 MAX_BATCH_ENTRIES = 512
 SNAPSHOT_ENTRIES = 4_000
-"""Entries behind the last snapshot after which a new one is made."""
+"""Entries after the last snapshot at which a new one is written."""
 SNAPSHOT_BYTES = 8 * 1024 * 1024
-"""Bytes of commands behind the last snapshot after which a new one is made: a sixteenth of the
-smallest disk that a keeper has had (128 MB), and bounded memory for the entries held."""
+"""Bytes of commands after the last snapshot at which a new one is written.  This bounds the memory
+for entries, and is a sixteenth of the smallest disk in use (128 MB)."""
 CANCEL_RETRY_DELAY_SECONDS = 0.1
-"""Pause before tasks that are still there are cancelled again."""
+"""Delay before tasks that are still running are cancelled again."""
 DISK_STALL_TIMEOUT_SECONDS = 1.0
-"""A leader whose disk has been silent in a write for so long lets another one lead: below the
-time after which callers of the log ask elsewhere, above a slow sync."""
+"""A leader steps down if a write has been blocked on its disk for so long.  This is less than the
+time-out of callers, and more than a slow sync takes."""
 
-_VOTER_MARKS = (b'"voter_add"', b'"voter_remove"', b'"found"')
-"""One of these stands in every command that changes the voters."""
+_VOTER_COMMAND_TAGS = (b'"voter_add"', b'"voter_remove"', b'"found"')
+"""Every encoded command that changes the voters contains one of these."""
 
 Run = Callable[..., Awaitable[Any]]
 
 
 class Role(enum.StrEnum):
-    """What a keeper is at the moment."""
+    """Role of a keeper in its term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -69,29 +69,29 @@
 
 
 class Replica:
-    """One keeper.
+    """A keeper's replica of the log.
 
     Parameters
     ----------
     name : str
-        Its daemon id.
+        The keeper's daemon id.
     configured : dict
-        Keepers of the settings: daemon id to peer address.
+        Keepers from the settings: daemon id to peer address.
     storage : storages.Storage
-        Its durable state.
+        Durable state.
     state : state_machine.StateMachine
-        The replicated state.
+        State machine to apply committed entries to.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     get_link : callable
-        (address) gives the link to a keeper, or None.
+        (address) returns the link to a keeper, or None.
     run_blocking : callable
-        Runs a blocking function without holding the event loop.
+        Runs a blocking function without blocking the event loop.
     rng : random.Random
-        Draws election timeouts.
+        Samples election timeouts.
     list_bootstrap_peers : callable, optional
-        Gives the first voters, name to address, if this keeper may found the log now; empty
-        otherwise.  By default the configured keepers, for the one of the lowest name.
+        Returns the initial voters, name to address, if this keeper may bootstrap the log now; empty
+        otherwise.  By default, the keeper with the lowest name bootstraps all configured keepers.
     """
 
     def __init__(
@@ -130,10 +130,10 @@
         self._snapshot_assembler = snapshots.SnapshotAssembler()
         self._noop_index = 0
         self._voters: dict[str, commands.Voter] = {}
-        self._voters_mark: tuple[int, int, int] | None = None
-        self._adding_voter = False
-        self._bytes_behind_snapshot = 0
-        self._writing_since: float | None = None
+        self._voters_cache_key: tuple[int, int, int] | None = None
+        self._is_changing_voters = False
+        self._bytes_since_snapshot = 0
+        self._write_started_at: float | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self.disk_fault: faults.Fault | None = None
         self.on_role_change: Callable[[], None] = lambda: None
@@ -141,7 +141,7 @@
         if storage.snapshot.data:
             state.load(storage.snapshot.data)
 
-    # Life
+    # Start and stop
 
     def start(self) -> None:
         """Start the keeper's tasks."""
@@ -152,22 +152,22 @@
         ]
 
     async def stop(self) -> None:
-        """End the keeper's tasks; what is synced stays."""
+        """Stop the keeper's tasks; synced data is kept."""
         pending = {*self._tasks, *self.replication.list_tasks()}
         while pending:
-            # More than once: `asyncio.wait_for` of Python 3.11 drops a cancellation that comes
-            # in the moment in which its work ends.
+            # Cancel repeatedly: `asyncio.wait_for` of Python 3.11 loses a cancellation that arrives
+            # at the moment at which its awaitable completes.
             for task in pending:
                 task.cancel()
             _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_DELAY_SECONDS)
         self._pending.fail_all("the keeper stops")
 
     def _is_running(self, name: str) -> bool:
-        """Whether something that `_run_beside` began under this name still runs."""
+        """Whether a task that `_start_task` started under this name is still running."""
         return any(task.get_name() == name and not task.done() for task in self._tasks)
 
-    def _run_beside(self, name: str, work: Coroutine[Any, Any, None]) -> None:
-        """Run something beside the keeper's tasks; it ends with them."""
+    def _start_task(self, name: str, work: Coroutine[Any, Any, None]) -> None:
+        """Start an additional task, which is stopped with the keeper."""
         self._tasks = [task for task in self._tasks if not task.done()]
         self._tasks.append(asyncio.create_task(work, name=name))
 
@@ -176,18 +176,18 @@
 
     @property
     def voters(self) -> dict[str, commands.Voter]:
-        """Voters by the latest entry of the log, committed or not; empty before it is founded."""
-        mark = (self.applied_index, self.storage.last_index, self.storage.last_term)
-        if mark != self._voters_mark:
-            self._voters_mark = mark
-            self._voters = self._read_voters()
+        """Voters by the latest entry of the log, committed or not; empty before the bootstrap."""
+        cache_key = (self.applied_index, self.storage.last_index, self.storage.last_term)
+        if cache_key != self._voters_cache_key:
+            self._voters_cache_key = cache_key
+            self._voters = self._compute_voters()
         return self._voters
 
-    def _read_voters(self) -> dict[str, commands.Voter]:
+    def _compute_voters(self) -> dict[str, commands.Voter]:
         voters = dict(self.state_machine.voters)
         ahead = self.storage.last_index - self.applied_index
         for entry in self.storage.entries[len(self.storage.entries) - ahead :]:
-            if not any(mark in entry.command for mark in _VOTER_MARKS):
+            if not any(tag in entry.command for tag in _VOTER_COMMAND_TAGS):
                 continue
             command = commands.decode(entry.command)
             if isinstance(command, commands.Bootstrap):
@@ -200,13 +200,13 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this keeper, with the disk that it has, may vote."""
+        """Whether this keeper is a voter with its present disk."""
         voter = self.voters.get(self.name)
         return voter is not None and voter.disk_id == self.storage.disk_id
 
     @property
     def has_leader(self) -> bool:
-        """Whether a leader was heard of lately."""
+        """Whether there was recent contact with a leader, or this keeper holds the lease."""
         if self.is_leading:
             return self.has_lease
         return bool(self.leader) and self.elections.has_heard_leader(
@@ -215,35 +215,35 @@
 
     @property
     def has_lease(self) -> bool:
-        """Whether no other keeper can be leader yet: a quorum answered lately."""
+        """Whether no other keeper can be leader yet, since a quorum replied recently."""
         if not self.is_leading or self.disk_fault is not None:
             return False
-        confirmed_at = self._read_quorum_time()
+        confirmed_at = self._compute_quorum_time()
         return confirmed_at is not None and self._now() - confirmed_at < elections.LEASE_SECONDS
 
-    def _read_quorum_time(self) -> float | None:
-        """When the latest requests were sent that a quorum has answered; None without one."""
+    def _compute_quorum_time(self) -> float | None:
+        """Send time of the newest requests that a quorum has acknowledged; None without one."""
         return self.replication.compute_quorum_time(self.voters)
 
     def get_confirmed_at(self) -> float | None:
-        """Time of the event loop at which this keeper was surely the only leader.
+        """Latest event loop time at which this keeper is known to have been the only leader.
 
-        What is committed here now includes all that was committed anywhere by then.  None if this
-        keeper does not lead, or has not yet committed an entry of its own term.
+        Everything that was committed anywhere by then is now committed here.  None if this keeper
+        does not lead, or has not yet committed an entry of its own term.
         """
         if not self.has_lease or self.commit_index < self._noop_index:
             return None
-        return self._read_quorum_time()
+        return self._compute_quorum_time()
 
     def get_last_ack_at(self, name: str) -> float:
-        """When the last request was sent that another keeper has answered; leaders only."""
+        """Send time of the newest request that another keeper has acknowledged; leaders only."""
         if name == self.name:
             return self._now()
         progress = self.replication.get(name)
         return progress.acked_at if progress is not None else followers.NEVER
 
-    def _stand_down(self, fault: faults.Fault) -> None:
-        """The disk failed: answer nothing more that depends on it."""
+    def _handle_disk_failure(self, fault: faults.Fault) -> None:
+        """Step down after a disk failure, and refuse everything that depends on the disk."""
         if self.disk_fault is None:
             self.disk_fault = fault
             self._timeline.record("keeper.disk_failed", message=fault.message)
@@ -254,44 +254,44 @@
             raise faults.FaultError(self.disk_fault)
 
     async def write(self, work: Callable[..., None], *arguments: Any) -> None:
-        """Run a blocking write of the storage; one at a time is the callers' lock."""
-        self._writing_since = self._now()
+        """Run a blocking write of the storage; the caller holds `write_lock`."""
+        self._write_started_at = self._now()
         try:
             await self._run_blocking(work, *arguments)
         except faults.FaultError as error:
-            self._stand_down(error.fault)
+            self._handle_disk_failure(error.fault)
             raise
         finally:
-            self._writing_since = None
+            self._write_started_at = None
 
     @property
     def is_stalled(self) -> bool:
-        """Whether a write has been with the disk for longer than `DISK_STALL_TIMEOUT_SECONDS`."""
-        since = self._writing_since
+        """Whether a write has been blocked for longer than `DISK_STALL_TIMEOUT_SECONDS`."""
+        since = self._write_started_at
         return since is not None and self._now() - since > DISK_STALL_TIMEOUT_SECONDS
 
     async def handle_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
-        """Answer a candidate."""
+        """Grant or refuse a vote."""
         self._check_disk()
         return await self.elections.handle_vote_request(request)
 
     def _list_configured(self) -> dict[str, str]:
-        """All configured keepers, for the one of the lowest name: so two never found at once."""
+        """List all configured keepers, but only on the one of the lowest name, which bootstraps."""
         return self._configured if self.name == min(self._configured) else {}
 
-    # Standing
+    # Roles
 
     def become_candidate(self) -> None:
-        """Stand for election in the term that the disk names."""
+        """Become a candidate in the term on the disk."""
         self.role = Role.CANDIDATE
         self.leader = ""
 
     def become_leader(self) -> None:
-        """Lead the term that the disk names; an entry of the term is the first to be committed."""
+        """Become the leader of the term on the disk, and propose a first entry in it."""
         self.role = Role.LEADER
         self.leader = self.name
         self.elections.heard_at = self._now()
-        self._adding_voter = False
+        self._is_changing_voters = False
         self._timeline.record("keeper.lead", term=self.storage.term)
         self._pending.fail_all("a new term began")
         self._pending.add(commands.encode(commands.Noop()), first=True)
@@ -300,23 +300,23 @@
         self.on_role_change()
 
     def become_follower(self, term: int, leader: str) -> None:
-        """Lead no more, or follow another leader."""
-        was = (self.role, self.leader)
+        """Step down, or follow another leader."""
+        previous = (self.role, self.leader)
         self.role = Role.FOLLOWER
         self.leader = leader
-        if was[0] is Role.LEADER:
+        if previous[0] is Role.LEADER:
             self._timeline.record("keeper.follow", term=term, leader=leader)
             self.replication.stop()
             self._pending.fail_all("another keeper leads")
-        if was != (self.role, self.leader):
+        if previous != (self.role, self.leader):
             self.on_role_change()
 
     async def follow_term(self, term: int, leader: str = "") -> None:
-        """Enter a later term, or take its leader's name to the disk.
+        """Enter a later term, or record the leader of the current one on the disk.
 
-        The name is written before the leader gets its first answer, so that after a restart this
-        keeper knows whose lease may rest on its word.  It may stand in the place of a vote: once
-        a term has a leader, no vote of that term matters.
+        The name is written before the leader gets its first reply, so that this keeper knows after
+        a restart whose lease may depend on its replies.  It may replace a vote, since votes no
+        longer matter once their term has a leader.
         """
         async with self.write_lock:
             is_later = term > self.storage.term
@@ -328,13 +328,13 @@
     # Proposals
 
     async def propose(self, command: bytes) -> dict[str, Any]:
-        """Commit a command and give its answer; only the leader can.
+        """Commit a command and return its reply; possible on the leader only.
 
         Raises
         ------
         faults.FaultError
-            ``no_quorum`` with ``ran: no`` if it was not taken at all, with ``ran: unknown`` if
-            it may still be committed.
+            ``no_quorum`` with ``ran: no`` if it was not accepted, with ``ran: unknown`` if it may
+            still be committed.
         """
         self._check_disk()
         if not self.has_lease:
@@ -348,7 +348,7 @@
             raise pending.build_outcome_unknown("not committed in time") from error
 
     async def _write_proposals(self) -> None:
-        """Append what is queued; all that gathers during one sync shares the next."""
+        """Append queued proposals in batches: all that queue up during one sync share the next."""
         while True:
             await self._pending.queued.wait()
             self._pending.queued.clear()
@@ -376,7 +376,7 @@
             self.replication.wake_all()
 
     def _advance_commit(self) -> None:
-        """Commit what a quorum of voters has synced, in this term."""
+        """Commit the entries of this term that a quorum of voters has synced."""
         if not self.is_leading:
             return
         index = self.replication.find_quorum_index(self.voters)
@@ -401,31 +401,34 @@
     def _apply_entry(self, entry: messages.LogEntry) -> None:
         answer = self.state_machine.apply(entry.term, entry.index, commands.decode(entry.command))
         self.applied_index = entry.index
-        self._bytes_behind_snapshot += len(entry.command)
+        self._bytes_since_snapshot += len(entry.command)
         self._pending.resolve(entry.index, {**answer, "index": entry.index, "term": entry.term})
 
     def _after_apply(self) -> None:
         if self.voters == self.state_machine.voters:
-            self._adding_voter = False
+            self._is_changing_voters = False
         if self.is_leading:
             if self.name not in self.voters:
                 self.become_follower(self.storage.term, "")
                 return
             self.replication.follow(self.voters)
         self.on_commit()
-        behind = self.applied_index - self.storage.snapshot.last_index
-        if behind >= SNAPSHOT_ENTRIES or self._bytes_behind_snapshot >= SNAPSHOT_BYTES:
+        entries_since_snapshot = self.applied_index - self.storage.snapshot.last_index
+        if (
+            entries_since_snapshot >= SNAPSHOT_ENTRIES
+            or self._bytes_since_snapshot >= SNAPSHOT_BYTES
+        ):
             self._start_snapshot()
 
     def _start_snapshot(self) -> None:
-        """Write a snapshot in the background; a few entries in front of it are kept."""
+        """Start writing a snapshot in the background."""
         if self._is_running("snapshot"):
             return
         index = self.applied_index
         term = self.storage.get_term(index)
         snapshot = storages.Snapshot(index, term or 0, self.state_machine.dump())
-        self._bytes_behind_snapshot = 0
-        self._run_beside("snapshot", self._save_snapshot(snapshot))
+        self._bytes_since_snapshot = 0
+        self._start_task("snapshot", self._save_snapshot(snapshot))
 
     async def _save_snapshot(self, snapshot: storages.Snapshot) -> None:
         async with self.write_lock:
@@ -441,21 +444,20 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether this keeper leads; it may have lost its lease."""
+        """Whether this keeper leads; its lease may have expired."""
         return self.role is Role.LEADER
 
     def add_learner(self, name: str, address: str) -> None:
-        """Bring a keeper up to date and then make it a voter."""
+        """Replicate to a keeper, and make it a voter once it has caught up."""
         self.replication.learners[name] = address
         if self.is_leading:
             self.replication.follow(self.voters)
 
     def record_progress(self, name: str, address: str) -> None:
-        """Commit what a quorum holds now, and give a keeper that has caught up its vote.
+        """Commit what a quorum holds, and give a caught-up keeper a vote for its present disk.
 
-        It is the vote of the disk that the keeper has now.  The proposal runs beside the
-        replication to that keeper, whose own acknowledgement may be needed to commit it.  It needs
-        a lease: a former leader may not give votes.
+        The proposal runs in a separate task, since the acknowledgement of that very keeper may be
+        needed to commit it.  It requires a lease, so that a former leader can't add voters.
         """
         self._advance_commit()
         progress = self.replication.get(name)
@@ -466,13 +468,13 @@
             self.replication.learners.pop(name, None)
             return
         if voter is None and name not in self.replication.learners:
-            return  # a standby; `keeper.reconfiguration` decides
+            return  # a standby, left to `keeper.reconfiguration`
         is_ready = progress.disk_id and progress.match_index >= max(self.commit_index, 1)
-        is_changing = self._adding_voter or self._is_running("promote")
+        is_changing = self._is_changing_voters or self._is_running("promote")
         if not is_ready or is_changing or not self.has_lease:
             return
         command = commands.VoterAdd(name, address, progress.disk_id)
-        self._run_beside("promote", self._promote(command))
+        self._start_task("promote", self._promote(command))
 
     async def _promote(self, command: commands.VoterAdd) -> None:
         self._timeline.record("keeper.promote", keeper=command.name, disk_id=command.disk_id)
@@ -484,51 +486,51 @@
     async def change_voters(
         self, command: commands.VoterAdd | commands.VoterRemove
     ) -> dict[str, Any]:
-        """Change one voter; the former change, and an entry of this term, are committed first.
+        """Change one voter, after the previous change and an entry of this term are committed.
 
         Raises
         ------
         faults.FaultError
-            ``no_quorum`` if another change is still on its way.
+            ``no_quorum`` if another change is in progress.
         """
-        if self._adding_voter or self.commit_index < self._noop_index:
-            raise proposals.build_no_quorum("another change of voters is on its way")
-        self._adding_voter = True
+        if self._is_changing_voters or self.commit_index < self._noop_index:
+            raise proposals.build_no_quorum("another change of voters is in progress")
+        self._is_changing_voters = True
         try:
             return await self.propose(commands.encode(command))
         finally:
-            self._adding_voter = self.voters != self.state_machine.voters
+            self._is_changing_voters = self.voters != self.state_machine.voters
 
     # The follower's side of replication
 
     async def handle_append(self, request: messages.AppendRequest) -> messages.AppendReply:
-        """Take entries from the leader."""
+        """Append entries from the leader."""
         self._check_disk()
-        if not await self._take_leader(request.term, request.leader):
-            return self._reply_append(False, self.storage.last_index)
+        if not await self._accept_leader(request.term, request.leader):
+            return self._build_append_reply(False, self.storage.last_index)
         async with self.write_lock:
             storage = self.storage
             if request.term < storage.term:
-                return self._reply_append(False, storage.last_index)
+                return self._build_append_reply(False, storage.last_index)
             prev_term = storage.get_term(request.prev_index)
             if request.prev_index < storage.snapshot.last_index:
                 prev_term = request.prev_term
             if prev_term != request.prev_term:
                 hint = min(storage.last_index, max(0, request.prev_index - 1))
-                return self._reply_append(False, hint)
+                return self._build_append_reply(False, hint)
             if request.entries:
                 await self.write(storage.append, request.entries)
         known = request.prev_index + len(request.entries)
         self.commit_index = max(self.commit_index, min(request.commit, known))
         self._apply_committed()
-        return self._reply_append(True, known)
+        return self._build_append_reply(True, known)
 
-    def _reply_append(self, success: bool, last_index: int) -> messages.AppendReply:
+    def _build_append_reply(self, success: bool, last_index: int) -> messages.AppendReply:
         storage = self.storage
         return messages.AppendReply(storage.term, success, last_index, storage.disk_id)
 
-    async def _take_leader(self, term: int, leader: str) -> bool:
-        """Follow the leader of a term; False for a former one."""
+    async def _accept_leader(self, term: int, leader: str) -> bool:
+        """Follow the leader of a term; False if the term has passed."""
         if term < self.storage.term:
             return False
         if term > self.storage.term or self.storage.voted_for != leader:
@@ -539,10 +541,10 @@
         return True
 
     async def handle_snapshot_piece(self, piece: messages.SnapshotPiece) -> messages.SnapshotReply:
-        """Take a piece of the leader's snapshot; the last one puts it in force."""
+        """Add a piece of the leader's snapshot, and install the snapshot after the last one."""
         self._check_disk()
         storage = self.storage
-        if not await self._take_leader(piece.term, piece.leader):
+        if not await self._accept_leader(piece.term, piece.leader):
             return messages.SnapshotReply(storage.term, 0, storage.disk_id)
         received = self._snapshot_assembler.add(piece)
         if received == piece.total:
