--- a/tillerlane/keeper/replication.py
+++ b/tillerlane/keeper/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication: one task for each keeper that follows the log."""
+"""The leader's side of replication, with one task for each follower."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class Leader(Protocol):
-    """What replication needs of the replica that leads."""
+    """Interface of the replica that replication acts for."""
 
     name: str
     storage: storages.Storage
@@ -27,29 +27,29 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether it leads; replication ends when it doesn't."""
+        """Whether it leads; replication ends when it no longer does."""
 
     async def follow_term(self, term: int) -> None:
-        """Enter a later term that a follower told."""
+        """Enter a later term that a follower replied with."""
 
     def record_progress(self, name: str, address: str) -> None:
-        """Take note that a keeper holds more, or answered."""
+        """Record that a follower acknowledged a request."""
 
 
 class Replication:
-    """What a leader sends to the others, and how far each has got.
+    """Sends entries and snapshots to the followers, and tracks their progress.
 
     Parameters
     ----------
     leader : Leader
-        The replica that this is a part of.
+        The replica that replication acts for.
     get_link : callable
-        (address) gives the link to a keeper, or None.
+        (address) returns the link to a keeper, or None.
 
     Attributes
     ----------
     learners : dict
-        Keepers to be brought up to date and made voters: name to address.
+        Keepers that become voters once they have caught up: name to address.
     standbys : dict
         Keepers that follow the log without a vote: name to address.
     """
@@ -62,53 +62,53 @@
         self.learners: dict[str, str] = {}
         self.standbys: dict[str, str] = {}
 
-    # Life
+    # Start and stop
 
     def start(self, voters: dict[str, commands.Voter]) -> None:
-        """Begin a term as its leader."""
+        """Start replication as the leader of a new term."""
         self._followers.clear()
         self.follow(voters)
 
     def stop(self) -> None:
-        """Send nothing more; progress is forgotten with the next term."""
+        """Stop sending; progress is discarded at the start of the next term."""
         for task in self._tasks.values():
             task.cancel()
         self._tasks = {}
 
     def list_tasks(self) -> list[asyncio.Task[None]]:
-        """Tasks to be waited for when the keeper stops."""
+        """List the tasks to wait for when the keeper stops."""
         return list(self._tasks.values())
 
     def follow(self, voters: dict[str, commands.Voter]) -> None:
-        """Have one task for each other voter, learner and standby."""
-        wanted = {name: voter.address for name, voter in voters.items()}
+        """Run one task for each other voter, learner and standby, and end all others."""
+        addresses = {name: voter.address for name, voter in voters.items()}
         for name, address in {**self.standbys, **self.learners}.items():
-            wanted.setdefault(name, address)
-        wanted.pop(self._leader.name, None)
-        for name, address in wanted.items():
+            addresses.setdefault(name, address)
+        addresses.pop(self._leader.name, None)
+        for name, address in addresses.items():
             if name not in self._tasks:
                 self._followers.add(name, self._leader.storage.last_index + 1)
                 self._tasks[name] = asyncio.create_task(self._replicate(name, address))
-        for name in set(self._tasks) - set(wanted):
+        for name in set(self._tasks) - set(addresses):
             self._tasks.pop(name).cancel()
             self._followers.remove(name)
 
-    # What is known of the others
+    # Progress
 
     def get(self, name: str) -> followers.Progress | None:
-        """Progress of a keeper, if it is followed."""
+        """Return the progress of a follower; None if it is not tracked."""
         return self._followers.get(name)
 
     def wake_all(self) -> None:
-        """Have something sent to each."""
+        """Wake the tasks of all followers."""
         self._followers.wake_all()
 
     def compute_quorum_time(self, voters: dict[str, commands.Voter]) -> float | None:
-        """When the latest requests were sent that a quorum has answered; None without one."""
+        """Send time of the newest requests that a quorum has acknowledged; None without one."""
         return self._followers.compute_quorum_time(voters, _now())
 
     def find_quorum_index(self, voters: dict[str, commands.Voter]) -> int | None:
-        """Index of the last entry that a quorum has synced; None without one."""
+        """Index of the last entry that a quorum has synced; None if no quorum has replied."""
         return self._followers.find_quorum_index(voters, self._leader.storage.last_index)
 
     # Sending
@@ -133,7 +133,7 @@
                     continue
 
     async def _send_next(self, progress: followers.Progress, link: links.Link) -> None:
-        """Send one request and take its answer."""
+        """Send one request and handle its reply."""
         storage = self._leader.storage
         prev_index = progress.next_index - 1
         prev_term = storage.get_term(prev_index)
@@ -149,7 +149,7 @@
         reply = await link.call(request, votes.CALL_TIMEOUT_SECONDS)
         if not isinstance(reply, messages.AppendReply) or storage.term != term:
             return
-        if not await self._note_answer(progress, reply, term, sent_at):
+        if not await self._record_reply(progress, reply, term, sent_at):
             return
         if reply.success:
             progress.match_index = prev_index + len(entries)
@@ -158,14 +158,14 @@
             progress.match_index = 0
             progress.next_index = max(1, min(reply.last_index + 1, progress.next_index - 1))
 
-    async def _note_answer(
+    async def _record_reply(
         self,
         progress: followers.Progress,
         reply: messages.AppendReply | messages.SnapshotReply,
         term: int,
         sent_at: float,
     ) -> bool:
-        """Take what each answer of a follower tells; False if a later term has begun."""
+        """Record the acknowledgement in a reply; False if the follower is in a later term."""
         if reply.term > term:
             await self._leader.follow_term(reply.term)
             return False
@@ -174,7 +174,7 @@
         return True
 
     async def _send_snapshot(self, progress: followers.Progress, link: links.Link) -> None:
-        """Send the last snapshot in bounded pieces."""
+        """Send the last snapshot in pieces of bounded size."""
         storage = self._leader.storage
         snapshot = storage.snapshot
         term = storage.term
@@ -193,7 +193,7 @@
             reply = await link.call(piece, votes.CALL_TIMEOUT_SECONDS * 4)
             if not isinstance(reply, messages.SnapshotReply) or storage.term != term:
                 return
-            if not await self._note_answer(progress, reply, term, sent_at):
+            if not await self._record_reply(progress, reply, term, sent_at):
                 return
             offset = reply.received
         progress.match_index = snapshot.last_index
--- a/tillerlane/keeper/snapshots.py
+++ b/tillerlane/keeper/snapshots.py
@@ -1,4 +1,4 @@
-"""A snapshot that arrives from the leader in pieces."""
+"""Assembly of a snapshot that the leader sends in pieces."""
 
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import messages
@@ -7,29 +7,30 @@
 
 
 class SnapshotAssembler:
-    """Gathers the pieces of one snapshot at a time."""
+    """Assembles the pieces of one snapshot at a time."""
 
     def __init__(self) -> None:
-        self._mark: tuple[int, int] | None = None
-        """Last index and term of the snapshot that is arriving."""
+        self._snapshot_key: tuple[int, int] | None = None
+        """Last index and term of the snapshot being assembled."""
         self._data = bytearray()
 
     def add(self, piece: messages.SnapshotPiece) -> int:
-        """Take a piece; gives how many bytes are there.  One that does not follow is passed over.
+        """Add a piece, and return the number of bytes assembled so far.
 
-        A piece of another snapshot, or a first one, begins anew.
+        A piece of another snapshot, or the first piece of any, discards the data so far.  Any other
+        piece that does not continue the data is ignored.
         """
-        mark = (piece.last_index, piece.last_term)
-        if self._mark != mark or piece.offset == 0:
-            self._mark, self._data = mark, bytearray()
+        key = (piece.last_index, piece.last_term)
+        if self._snapshot_key != key or piece.offset == 0:
+            self._snapshot_key, self._data = key, bytearray()
         if piece.offset == len(self._data):
             self._data += piece.data
         return len(self._data)
 
     def finish(self) -> storages.Snapshot:
-        """Give the whole snapshot and be empty again."""
-        assert self._mark is not None
-        index, term = self._mark
+        """Return the complete snapshot and reset the assembler."""
+        assert self._snapshot_key is not None
+        index, term = self._snapshot_key
         snapshot = storages.Snapshot(index, term, bytes(self._data))
-        self._mark, self._data = None, bytearray()
+        self._snapshot_key, self._data = None, bytearray()
         return snapshot
