--- a/tillerlane/keeper/pending.py
+++ b/tillerlane/keeper/pending.py
@@ -1,4 +1,4 @@
-"""Commands that wait to be appended to the log, or to be committed."""
+"""Proposals that wait to be appended to the log or committed."""
 
 import asyncio
 import dataclasses
@@ -13,19 +13,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Proposal:
-    """A command and who waits for its answer."""
+    """A command, and the future of its reply."""
 
     command: bytes
     answer: "asyncio.Future[dict[str, Any]]"
 
 
 class PendingProposals:
-    """A leader's proposals, in their order.
+    """Pending proposals of a leader, in order.
 
     Attributes
     ----------
     queued : asyncio.Event
-        Set while some may wait to be appended.
+        Set while proposals may be waiting to be appended.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
 
     @property
     def has_queued(self) -> bool:
-        """Whether some wait to be appended."""
+        """Whether any proposals wait to be appended."""
         return bool(self._queue)
 
     def add(self, command: bytes, *, first: bool = False) -> Proposal:
@@ -47,25 +47,25 @@
         self.queued.set()
         return proposal
 
-    def pop_batch(self, most: int) -> list[Proposal]:
-        """Take the first ones of the queue."""
-        batch, self._queue = self._queue[:most], self._queue[most:]
+    def pop_batch(self, limit: int) -> list[Proposal]:
+        """Remove and return the first proposals of the queue."""
+        batch, self._queue = self._queue[:limit], self._queue[limit:]
         if self._queue:
             self.queued.set()
         return batch
 
     def record_appended(self, index: int, proposal: Proposal) -> None:
-        """Take note of the index that a proposal is appended at."""
+        """Record the index at which a proposal was appended."""
         self._appended[index] = proposal
 
     def resolve(self, index: int, answer: dict[str, Any]) -> None:
-        """Answer whoever waits for the entry at an index."""
+        """Resolve the proposal of the entry at an index, if there is one."""
         proposal = self._appended.pop(index, None)
         if proposal is not None and not proposal.answer.done():
             proposal.answer.set_result(answer)
 
     def fail_all(self, reason: str) -> None:
-        """Nobody will tell these proposals' fate any more; they may still be committed."""
+        """Fail all proposals with an unknown outcome; they may still be committed."""
         for proposal in [*self._queue, *self._appended.values()]:
             if not proposal.answer.done():
                 proposal.answer.set_exception(build_outcome_unknown(reason))
@@ -74,6 +74,6 @@
 
 
 def build_outcome_unknown(reason: str) -> faults.FaultError:
-    """A fault that says that a command may or may not be committed later."""
-    message = f"{reason}; the outcome is not known, ask again with the same change id"
+    """Build the fault of a command that may or may not be committed later."""
+    message = f"{reason}; the outcome is unknown, retry with the same change id"
     return proposals.build_no_quorum(message, kinds.Ran.UNKNOWN)
--- a/tillerlane/keeper/publications.py
+++ b/tillerlane/keeper/publications.py
@@ -1,8 +1,8 @@
-"""A published document as replicated state: whole, under a version that its author chose.
+"""A published document as replicated state, under a version chosen by its author.
 
-Unlike a change of the entity store, which names the version it was made against, a publication
-replaces everything, and the highest version holds.  One that does not rise above the version
-held is acknowledged and changes nothing, whatever it contains.
+Unlike a change of the entity store, which names the version that it was made against, a publication
+replaces the whole document, and the highest version is in force.  A publication whose version is
+not higher is acknowledged and changes nothing, whatever its content.
 """
 
 import base64
@@ -23,7 +23,7 @@
     Attributes
     ----------
     current : messages.Publication or None
-        None before the first one.
+        None before the first publication.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
 
     @property
     def version(self) -> int:
-        """Version in force; -1 before there is one, since authors may begin with 0."""
+        """Version in force; -1 before the first one, since authors may start at 0."""
         return self.current.version if self.current is not None else -1
 
     def add_listener(self, listener: Listener) -> None:
@@ -40,12 +40,12 @@
         self._listeners.append(listener)
 
     def publish(self, command: commands.Publish) -> dict[str, Any]:
-        """Apply a committed publication; the answer gives the version then in force."""
-        taken = self.offer(messages.Publication(command.version, command.content))
-        return {"taken": taken, "version": self.version}
+        """Apply a committed publication; the reply names the version then in force."""
+        accepted = self.offer(messages.Publication(command.version, command.content))
+        return {"taken": accepted, "version": self.version}
 
     def offer(self, publication: messages.Publication) -> bool:
-        """Put a publication in force if its version is higher; whether it was."""
+        """Put a publication in force if its version is higher; whether it was put in force."""
         if publication.version <= self.version:
             return False
         self.current = publication
@@ -54,14 +54,14 @@
         return True
 
     def dump(self) -> dict[str, Any] | None:
-        """State for a snapshot, as JSON values."""
+        """Return the state for a snapshot as JSON values."""
         if self.current is None:
             return None
         content = base64.b64encode(self.current.content).decode()
         return {"version": self.current.version, "content": content}
 
     def load(self, values: dict[str, Any] | None) -> None:
-        """Take over a snapshot's state; it never goes back."""
+        """Restore the state of a snapshot, unless the version held is higher."""
         if values is not None:
             content = base64.b64decode(values["content"])
             self.offer(messages.Publication(values["version"], content))
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -1,4 +1,4 @@
-"""The keeper's side of its peer links: votes, entries, proposals, subscriptions."""
+"""Requests that a keeper serves over peer links: votes, entries, snapshots and proposals."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,19 +18,19 @@
 
 
 class Keeper:
-    """The keeper role of a daemon.
+    """Keeper role of a daemon.
 
     Parameters
     ----------
     node_replica : replica.Replica
-        Its part in the log.
+        The keeper's replica.
     get_link : callable
-        (address) gives the link to a keeper, or None.
+        (address) returns the link to a keeper, or None.
     get_subscribers : callable
-        Links of daemons that hear of each new configuration.
+        Returns the links of daemons to push each new configuration to.
     now_ms : callable
-        Wall time in milliseconds; the age of claims goes on from it in steady time, so that no
-        step of the clock makes a claim old.
+        Wall clock time in milliseconds.  It is read once, at the start; from then on the age of
+        claims follows monotonic time, so that a step of the clock can't expire a claim.
     """
 
     def __init__(
@@ -44,13 +44,13 @@
         self._get_link = get_link
         self._get_subscribers = get_subscribers
         self._now_ms = now_ms
-        self._began_ms = 0.0
-        """Wall time less the event loop's time, in milliseconds, when the keeper began."""
+        self._clock_offset_ms = 0.0
+        """Wall clock time minus event loop time at the start, in milliseconds."""
         node_replica.state_machine.store.listen(self._push)
 
     def start(self) -> None:
         """Start the keeper."""
-        self._began_ms = self._now_ms() - asyncio.get_running_loop().time() * 1000
+        self._clock_offset_ms = self._now_ms() - asyncio.get_running_loop().time() * 1000
         self.replica.start()
 
     async def stop(self) -> None:
@@ -58,13 +58,13 @@
         await self.replica.stop()
 
     def _push(self, store: stores.Store) -> None:
-        """Send the newest change to all subscribers; who lacks more pulls it."""
+        """Push the latest change to all subscribers; those that lack earlier ones pull them."""
         delta = store.build_delta(store.version - 1)
         for link in self._get_subscribers():
             links.try_send(link, delta)
 
     async def serve(self, exchange: links.Exchange, body: messages.Body) -> bool:
-        """Serve an exchange that a peer opened; False if it is not for a keeper."""
+        """Serve an exchange opened by a peer; False if the message is not for a keeper."""
         match body:
             case messages.VoteRequest():
                 exchange.send(await self.replica.handle_vote_request(body))
@@ -80,23 +80,23 @@
         return True
 
     async def propose(self, command: bytes, hops: int = 0) -> dict[str, Any]:
-        """Commit a command here or at the leader.
+        """Commit a command on this keeper or on the leader.
 
         Raises
         ------
         faults.FaultError
-            ``no_quorum`` if there is no leader, or its answer got lost (``ran: unknown``).
+            ``no_quorum`` if there is no leader, or its reply was lost (``ran: unknown``).
         """
         own = self.replica
         if own.is_leading and own.has_lease:
-            return await self._propose_here(command)
+            return await self._propose_as_leader(command)
         leader = own.voters.get(own.leader)
         link = self._get_link(leader.address) if leader and own.leader != own.name else None
         if link is None or hops >= MAX_HOPS:
             raise proposals.build_no_quorum(f"{own.name} knows no leader")
         return await proposals.send(link, command, hops + 1, FORWARD_TIMEOUT_SECONDS)
 
-    async def _propose_here(self, command: bytes) -> dict[str, Any]:
+    async def _propose_as_leader(self, command: bytes) -> dict[str, Any]:
         decoded = commands.decode(command)
         if isinstance(decoded, commands.ClaimOpen):
             command = commands.encode(self._restamp(decoded))
@@ -108,13 +108,13 @@
         return await self.replica.propose(command)
 
     def _restamp(self, command: commands.ClaimOpen) -> commands.ClaimOpen:
-        """Give a claim the leader's time, so that entries' clocks do not matter."""
-        now = int(self._began_ms + asyncio.get_running_loop().time() * 1000)
+        """Stamp a claim with the leader's time, so that the clocks of entries don't matter."""
+        now = int(self._clock_offset_ms + asyncio.get_running_loop().time() * 1000)
         age = command.expires_ms - command.at_ms
         return msgspec.structs.replace(command, at_ms=now, expires_ms=now + age)
 
     def get_status(self) -> dict[str, Any]:
-        """State of this keeper, for operators."""
+        """Build the status of this keeper for operators."""
         own = self.replica
         return {
             "standing": own.role.value,
