--- a/tillerlane/keeper/state_machine.py
+++ b/tillerlane/keeper/state_machine.py
@@ -1,6 +1,6 @@
-"""The replicated state: what the keepers agree on, changed only by applying log entries.
+"""The replicated state machine, changed only by applying log entries.
 
-Applying is deterministic: it reads no clock and draws no number.
+Applying an entry is deterministic: it reads no clock and uses no random numbers.
 """
 
 import collections
@@ -15,20 +15,20 @@
 
 __all__ = ["StateMachine"]
 
-MAX_REMEMBERED_CHANGES = 20_000
-"""Change ids whose first answer is remembered: over a week at 2,300 changes a day."""
+MAX_KEPT_REPLIES = 20_000
+"""Change ids whose first reply is kept: over a week at 2,300 changes a day."""
 MAX_HISTORY = 1_000
 MAX_ORDERS_KEPT = 500
 MAX_QUARANTINED = 1_000
-"""Requests held back at most: all of them, written as one delta, are 248 kB, which an entry's link
-of 5 Mbit/s carries in 0.4 s when it starts.  Daemons hold back further ones by what they hear,
-until all of them stop."""
+"""Maximum number of quarantined requests.  As one delta they are 248 kB, which takes 0.4 s on an
+entry's link of 5 Mbit/s at its start.  Daemons hold back further requests by the reports that they
+receive, until all of these daemons have stopped."""
 FORMAT = 1
 
 
 @dataclasses.dataclass(slots=True)
 class OrderRecord:
-    """An order to a runner; its fence is (term, index) of its entry."""
+    """An order to a runner, fenced by the (term, index) of its entry."""
 
     order_id: str
     target: str
@@ -47,13 +47,13 @@
     store : stores.Store
         Configuration in force.
     claims : claims.ClaimBook
-        Requests that may not be repeated.
+        Claims of requests that must not be repeated.
     voters : dict
         Keeper to `commands.Voter`.
     orders : dict
         Order id to `OrderRecord`.
     pins : set
-        (runner, model) that demand does not move.
+        (runner, model) pairs that stay loaded regardless of demand.
     published : publications.Publisher
         The published document of the highest version.
     """
@@ -66,15 +66,15 @@
         self.orders: collections.OrderedDict[str, OrderRecord] = collections.OrderedDict()
         self.pins: set[tuple[str, str]] = set()
         self.history: collections.deque[dict[str, Any]] = collections.deque(maxlen=MAX_HISTORY)
-        self._answers: collections.OrderedDict[str, dict[str, Any]] = collections.OrderedDict()
+        self._replies: collections.OrderedDict[str, dict[str, Any]] = collections.OrderedDict()
 
     def apply(self, term: int, index: int, command: commands.Command) -> dict[str, Any]:
-        """Apply one entry and give its answer."""
+        """Apply one entry and return its reply."""
         match command:
             case commands.Change():
-                return self._answer_once(command.change_id, lambda: self._change(command))
+                return self._apply_once(command.change_id, lambda: self._change(command))
             case commands.Drain():
-                return self._answer_once(command.change_id, lambda: self._drain(command))
+                return self._apply_once(command.change_id, lambda: self._drain(command))
             case commands.Evacuate():
                 return self._evacuate(command)
             case commands.Quarantine():
@@ -104,16 +104,16 @@
                 (self.pins.add if command.pinned else self.pins.discard)(pair)
         return {"done": True}
 
-    def _answer_once(self, change_id: str, work: Any) -> dict[str, Any]:
-        """Give the first answer again to a change that was resent."""
-        known = self._answers.get(change_id)
+    def _apply_once(self, change_id: str, apply: Any) -> dict[str, Any]:
+        """Apply a change once; a resent one gets the first reply."""
+        known = self._replies.get(change_id)
         if known is not None:
             return {**known, "resent": True}
-        answer = work()
-        self._answers[change_id] = answer
-        while len(self._answers) > MAX_REMEMBERED_CHANGES:
-            self._answers.popitem(last=False)
-        return answer
+        reply = apply()
+        self._replies[change_id] = reply
+        while len(self._replies) > MAX_KEPT_REPLIES:
+            self._replies.popitem(last=False)
+        return reply
 
     def _change(self, command: commands.Change) -> dict[str, Any]:
         version = self.store.version
@@ -124,7 +124,7 @@
         puts = {(item.kind, item.name): item.body for item in command.puts}
         deletes = [(item.kind, item.name) for item in command.deletes]
         self.store.apply_change(version + 1, puts, deletes)
-        self._remember(command.actor, command.at_ms, command.change_id, command.note)
+        self._record_history(command.actor, command.at_ms, command.change_id, command.note)
         return {"accepted": True, "version": version + 1}
 
     def _drain(self, command: commands.Drain) -> dict[str, Any]:
@@ -136,7 +136,7 @@
             self.store.apply_change(self.store.version + 1, puts, deletes)
             verb = "drain" if command.leaving else "undrain"
             note = f"{verb} {command.name}"
-            self._remember(command.actor, command.at_ms, command.change_id, note)
+            self._record_history(command.actor, command.at_ms, command.change_id, note)
         return {"accepted": True, "version": self.store.version}
 
     def _evacuate(self, command: commands.Evacuate) -> dict[str, Any]:
@@ -151,7 +151,7 @@
         self.store.apply_change(version + 1, puts, deletes)
         verb = "evacuate" if command.evacuated else "take back"
         note = f"{verb} {command.data_hall}"
-        self._remember(command.actor, command.at_ms, "", note)
+        self._record_history(command.actor, command.at_ms, "", note)
         return {"accepted": True, "version": version + 1}
 
     def _quarantine(self, command: commands.Quarantine) -> dict[str, Any]:
@@ -167,10 +167,10 @@
         deletes = [] if command.held else [key]
         self.store.apply_change(version + 1, puts, deletes)
         verb = "hold back" if command.held else "let run again"
-        self._remember(command.actor, command.at_ms, "", f"{verb} {command.fingerprint}")
+        self._record_history(command.actor, command.at_ms, "", f"{verb} {command.fingerprint}")
         return {"accepted": True, "version": version + 1}
 
-    def _remember(self, actor: str, at_ms: int, change_id: str, note: str) -> None:
+    def _record_history(self, actor: str, at_ms: int, change_id: str, note: str) -> None:
         entry = {
             "version": self.store.version,
             "actor": actor,
@@ -192,10 +192,10 @@
                 fence,
             )
             self.orders[command.order_id] = known
-            self._forget_orders()
+            self._discard_old_orders()
         return {"fence": list(known.fence), "outcome": known.outcome}
 
-    def _forget_orders(self) -> None:
+    def _discard_old_orders(self) -> None:
         done = [key for key, item in self.orders.items() if item.outcome]
         for key in done[: max(0, len(self.orders) - MAX_ORDERS_KEPT)]:
             del self.orders[key]
@@ -209,12 +209,12 @@
     # Snapshots
 
     def dump(self) -> bytes:
-        """The whole state for a snapshot."""
+        """Encode the complete state for a snapshot."""
         values = {
             "format": FORMAT,
             "version": self.store.version,
             "entities": [dataclasses.asdict(item) for item in self.store.get_entities()],
-            "answers": list(self._answers.items()),
+            "answers": list(self._replies.items()),
             "history": list(self.history),
             "claims": self.claims.dump(),
             "voters": self.voters,
@@ -225,13 +225,13 @@
         return msgspec.json.encode(values)
 
     def load(self, data: bytes) -> None:
-        """Take over a snapshot."""
+        """Restore a snapshot."""
         values = msgspec.json.decode(data)
         if values["format"] != FORMAT:
             raise ValueError(f"got snapshot format {values['format']}, expected {FORMAT}")
         entities = [messages.Entity(**item) for item in values["entities"]]
-        self._answers = collections.OrderedDict(
-            (change_id, answer) for change_id, answer in values["answers"]
+        self._replies = collections.OrderedDict(
+            (change_id, reply) for change_id, reply in values["answers"]
         )
         self.history = collections.deque(values["history"], maxlen=MAX_HISTORY)
         self.claims.load(values["claims"])
--- a/tillerlane/keeper/storage.py
+++ b/tillerlane/keeper/storage.py
@@ -1,19 +1,19 @@
-"""The keeper's durable state: identity, vote, log segments and snapshots, all with checksums.
+"""Durable state of a keeper: identity, vote, log segments and snapshots, all with checksums.
 
 Files
 -----
 ``identity``
-    The disk's own id: a keeper is its disk, not its name.
+    Id of the disk, which identifies the keeper rather than its name.
 ``vote``
     Term and vote.
 ``log-N``
-    Entries from index N on.  A record is length, checksum, kind, term, index and payload.  A
-    record of kind "cut" drops all entries from its index on.
+    Entries from index N on.  A record consists of length, checksum, kind, term, index and payload.
+    A record of kind "cut" discards all entries from its index on.
 ``snapshot``
-    The state after an index, and that index and term.
+    Index and term of an entry, and the state after it.
 
-A torn last record is cut off.  A bad record with good ones behind it means that the disk lost
-what it had promised to keep: the keeper stops with a clear error.
+A torn last record is truncated.  A bad record followed by good ones means that the disk lost synced
+data; the keeper then refuses to start.
 """
 
 import dataclasses
@@ -59,25 +59,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """State after the entry `last_index` of term `last_term`."""
+    """State after the entry at `last_index`, which is of term `last_term`."""
 
     last_index: int
     last_term: int
     data: bytes
 
 
-def _checked(payload: bytes) -> bytes:
+def _add_checksum(payload: bytes) -> bytes:
     return struct.pack(">I", zlib.crc32(payload)) + payload
 
 
-def _damaged(name: str, reason: str) -> faults.FaultError:
+def _build_damaged(name: str, reason: str) -> faults.FaultError:
     message = f"{name}: {reason}; the keeper's disk has lost data that it had synced"
     return faults.FaultError(faults.new_fault(kinds.ErrorKind.DISK_FAILED, message))
 
 
-def _read_checked(name: str, data: bytes) -> bytes:
+def _verify_checksum(name: str, data: bytes) -> bytes:
     if len(data) < 4 or struct.unpack(">I", data[:4])[0] != zlib.crc32(data[4:]):
-        raise _damaged(name, "checksum does not match")
+        raise _build_damaged(name, "checksum does not match")
     return data[4:]
 
 
@@ -93,11 +93,11 @@
     index: int
     payload: bytes
     end: int
-    """Position behind the record in its file."""
+    """File position of the end of the record."""
 
 
-def _read_record(data: bytes, position: int) -> _Record | None:
-    """The record at a position, or None if there is no good one."""
+def _decode_record(data: bytes, position: int) -> _Record | None:
+    """Decode the record at a position; None if there is no good one."""
     if position + _RECORD.size > len(data):
         return None
     length, checksum = _RECORD.unpack_from(data, position)
@@ -113,24 +113,24 @@
 
 
 def _has_good_record_after(data: bytes, position: int) -> bool:
-    """Whether any good record begins behind a bad one."""
-    return any(_read_record(data, start) is not None for start in range(position + 1, len(data)))
+    """Whether any good record starts after `position`, where there is a bad one."""
+    return any(_decode_record(data, start) is not None for start in range(position + 1, len(data)))
 
 
 class Storage:
-    """Durable state of one keeper; every method blocks until it lasts.
+    """Durable state of one keeper; methods that write block until the data is durable.
 
     Parameters
     ----------
     disk : disks.Disk
-        Where it lies.
+        Disk that holds the files.
     keeper : str
         The keeper's daemon id.
 
     Raises
     ------
     faults.FaultError
-        Of kind ``disk_failed`` if the disk cannot be read, is damaged, or another keeper's.
+        Of kind ``disk_failed`` if the disk can't be read, is damaged, or belongs to another keeper.
     """
 
     def __init__(self, disk: disks.Disk, keeper: str) -> None:
@@ -141,14 +141,14 @@
         self.snapshot = Snapshot(0, 0, b"")
         self.is_failed = False
         self.truncated_bytes = 0
-        """Bytes of a torn tail that were cut at the start."""
+        """Bytes of a torn last record that were truncated when the log was loaded."""
         try:
             self.disk_id = self._load_identity(keeper)
             self._load_vote()
             self._load_snapshot()
             self._segment = self._load_log()
         except OSError as error:
-            raise _failed("cannot be read", error) from error
+            raise _build_failed("cannot be read", error) from error
 
     # Reading
 
@@ -156,11 +156,11 @@
         data = self._disk.read(_IDENTITY)
         if data is None:
             if any(name.startswith(_LOG_PREFIX) for name in self._disk.list_names()):
-                raise _damaged(_IDENTITY, "is missing beside a log")
+                raise _build_damaged(_IDENTITY, "is missing beside a log")
             identity = _Identity(keeper, secrets.token_hex(8), FORMAT)
-            self._disk.replace(_IDENTITY, _checked(msgspec.json.encode(identity)))
+            self._disk.replace(_IDENTITY, _add_checksum(msgspec.json.encode(identity)))
             return identity.disk_id
-        identity = msgspec.json.decode(_read_checked(_IDENTITY, data), type=_Identity)
+        identity = msgspec.json.decode(_verify_checksum(_IDENTITY, data), type=_Identity)
         if (identity.keeper, identity.format) != (keeper, FORMAT):
             message = (
                 f"the data folder is of keeper {identity.keeper!r}, format {identity.format}; "
@@ -172,7 +172,7 @@
     def _load_vote(self) -> None:
         data = self._disk.read(_VOTE)
         if data is not None:
-            vote = msgspec.json.decode(_read_checked(_VOTE, data), type=_Vote)
+            vote = msgspec.json.decode(_verify_checksum(_VOTE, data), type=_Vote)
             self.term, self.voted_for = vote.term, vote.voted_for
 
     def _load_snapshot(self) -> None:
@@ -181,13 +181,13 @@
             return
         magic, version = _HEADER.unpack_from(data)
         if (magic, version) != (_MAGIC_SNAPSHOT, FORMAT):
-            raise _damaged(_SNAPSHOT, f"got {magic!r} format {version}")
-        payload = _read_checked(_SNAPSHOT, data[_HEADER.size :])
+            raise _build_damaged(_SNAPSHOT, f"got {magic!r} format {version}")
+        payload = _verify_checksum(_SNAPSHOT, data[_HEADER.size :])
         index, term = struct.unpack_from(">QQ", payload)
         self.snapshot = Snapshot(index, term, payload[16:])
 
     def _load_log(self) -> str:
-        """Read all segments in order; give the name of the last."""
+        """Load all segments in order, and return the name of the last."""
         names = [name for name in self._disk.list_names() if name.startswith(_LOG_PREFIX)]
         names.sort(key=lambda name: int(name.removeprefix(_LOG_PREFIX)))
         for position, name in enumerate(names):
@@ -200,36 +200,36 @@
         data = self._disk.read(name) or b""
         if len(data) < _HEADER.size:
             if not is_last:
-                raise _damaged(name, "header is torn")
+                raise _build_damaged(name, "header is torn")
             self._disk.truncate(name, 0)
             self._disk.append(name, _HEADER.pack(_MAGIC_LOG, FORMAT))
             self._disk.sync(name)
             return
         magic, version = _HEADER.unpack_from(data)
         if (magic, version) != (_MAGIC_LOG, FORMAT):
-            raise _damaged(name, f"got {magic!r} format {version}")
+            raise _build_damaged(name, f"got {magic!r} format {version}")
         position = _HEADER.size
         while position < len(data):
-            record = _read_record(data, position)
+            record = _decode_record(data, position)
             if record is None:
                 if not is_last or _has_good_record_after(data, position):
-                    raise _damaged(name, f"bad record at byte {position}")
+                    raise _build_damaged(name, f"bad record at byte {position}")
                 self.truncated_bytes = len(data) - position
                 self._disk.truncate(name, position)
                 return
-            self._take_record(name, record)
+            self._apply_record(name, record)
             position = record.end
 
-    def _take_record(self, name: str, record: _Record) -> None:
+    def _apply_record(self, name: str, record: _Record) -> None:
         if record.kind == _KIND_CUT:
-            self._drop_from(record.index)
+            self._discard_from(record.index)
             return
         if record.index <= self.snapshot.last_index:
             return
         if self.get_term(record.index) == record.term:
-            return  # a crash left both the segment before a snapshot and the one behind it
+            return  # a crash left both the old segment and the one after the snapshot
         if record.index != self.last_index + 1:
-            raise _damaged(name, f"got entry {record.index}, expected {self.last_index + 1}")
+            raise _build_damaged(name, f"got entry {record.index}, expected {self.last_index + 1}")
         self.entries.append(messages.LogEntry(record.term, record.index, record.payload))
 
     # The log in memory
@@ -250,7 +250,7 @@
         return self.last_index == 0
 
     def get_term(self, index: int) -> int | None:
-        """Term of an entry; None if it is not held."""
+        """Return the term of an entry; None if the entry is not held."""
         if index == self.snapshot.last_index:
             return self.snapshot.last_term
         position = index - self.snapshot.last_index - 1
@@ -259,7 +259,7 @@
         return None
 
     def get_entries(self, begin: int, limit: int, max_bytes: int) -> list[messages.LogEntry]:
-        """Entries from index `begin` on: at most `limit`, and `max_bytes` but for the first."""
+        """Return entries from index `begin` on: up to `limit`, and `max_bytes` after the first."""
         position = begin - self.snapshot.last_index - 1
         chosen: list[messages.LogEntry] = []
         size = 0
@@ -270,19 +270,19 @@
             chosen.append(entry)
         return chosen
 
-    def _drop_from(self, index: int) -> None:
+    def _discard_from(self, index: int) -> None:
         del self.entries[max(0, index - self.snapshot.last_index - 1) :]
 
     # Writing
 
     def save_vote(self, term: int, voted_for: str) -> None:
-        """Make term and vote last."""
-        vote = _checked(msgspec.json.encode(_Vote(term, voted_for)))
+        """Save the term and the vote."""
+        vote = _add_checksum(msgspec.json.encode(_Vote(term, voted_for)))
         self._write(lambda: self._disk.replace(_VOTE, vote))
         self.term, self.voted_for = term, voted_for
 
     def append(self, entries: list[messages.LogEntry]) -> None:
-        """Add entries; one that conflicts drops what came after it.  One sync for all."""
+        """Append entries with one sync; a conflicting entry discards those from its index on."""
         records = bytearray()
         fresh: list[messages.LogEntry] = []
         for entry in entries:
@@ -296,7 +296,7 @@
         if not fresh:
             return
         self._write(lambda: self._append_synced(bytes(records)))
-        self._drop_from(fresh[0].index)
+        self._discard_from(fresh[0].index)
         self.entries.extend(fresh)
 
     def _append_synced(self, data: bytes) -> None:
@@ -310,14 +310,14 @@
         return name
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Make a snapshot last, then drop the log that it stands for."""
+        """Save a snapshot, then remove the log entries that it covers."""
         if snapshot.last_index <= self.snapshot.last_index:
             return
         self._write(lambda: self._write_snapshot(snapshot))
 
     def _write_snapshot(self, snapshot: Snapshot) -> None:
         payload = struct.pack(">QQ", snapshot.last_index, snapshot.last_term) + snapshot.data
-        data = _HEADER.pack(_MAGIC_SNAPSHOT, FORMAT) + _checked(payload)
+        data = _HEADER.pack(_MAGIC_SNAPSHOT, FORMAT) + _add_checksum(payload)
         self._disk.replace(_SNAPSHOT, data)
         kept: list[messages.LogEntry] = []
         if self.get_term(snapshot.last_index) == snapshot.last_term:
@@ -332,7 +332,7 @@
         self._segment = segment
 
     def _open_segment_after(self, snapshot: Snapshot, kept: list[messages.LogEntry]) -> str:
-        """A new segment with the entries behind the snapshot."""
+        """Write a new segment with the entries after the snapshot."""
         name = f"{_LOG_PREFIX}{snapshot.last_index + 1}"
         records = b"".join(
             _encode_record(_KIND_ENTRY, entry.term, entry.index, entry.command) for entry in kept
@@ -341,16 +341,16 @@
         return name
 
     def _write(self, work: Callable[[], None]) -> None:
-        """Do a write; after one has failed, what the files hold is unknown and none is tried."""
+        """Run a write; once one has failed, all others fail, since the files' state is unknown."""
         if self.is_failed:
-            raise _failed("cannot be written", OSError(0, "an earlier write failed"))
+            raise _build_failed("cannot be written", OSError(0, "an earlier write failed"))
         try:
             work()
         except OSError as error:
             self.is_failed = True
-            raise _failed("cannot be written", error) from error
+            raise _build_failed("cannot be written", error) from error
 
 
-def _failed(what: str, error: OSError) -> faults.FaultError:
+def _build_failed(what: str, error: OSError) -> faults.FaultError:
     message = f"the data folder {what}: {error.strerror or error}"
     return faults.FaultError(faults.new_fault(kinds.ErrorKind.DISK_FAILED, message))
