--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -21,7 +21,7 @@
 SECONDS = 40.0
 PRESS = 3.0
 """Requests that come, as a multiple of the limit."""
-WORD_SECONDS = 0.2
+REPORT_AGE_SECONDS = 0.2
 """Age of other entries' word of what comes to them."""
 WAY_SECONDS = 0.005
 """Time from a wish to the owner's answer."""
@@ -95,8 +95,8 @@
 def send_by_lot(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
     """Equal shares, in whole requests by lot."""
     borne = load.limit * limits.WINDOW_SECONDS
-    rate = limits.Rate(borne, borne + limits.SLACK)
-    shares = [limits.count_share(rate, load.entries, rng.random()) for _ in range(load.entries)]
+    rate = limits.WindowQuota(borne, borne + limits.SLACK_REQUESTS)
+    shares = [limits.compute_share(rate, load.entries, rng.random()) for _ in range(load.entries)]
     sent: list[list[float]] = [[] for _ in range(load.entries)]
     for at, entry in arrivals:
         if count_since(sent[entry], at - limits.WINDOW_SECONDS) < shares[entry]:
@@ -115,7 +115,7 @@
     for at, entry in arrivals:
         came[entry].append(at)
         times.append(at)
-        heard = at - WORD_SECONDS
+        heard = at - REPORT_AGE_SECONDS
         others = count_since(times, heard - DEMAND_SECONDS) - count_since(times, heard)
         demand = max(others / DEMAND_SECONDS, 1 / DEMAND_SECONDS)
         if rng.random() < load.limit / demand:
@@ -126,7 +126,7 @@
 class _Asker:
     """An entry that asks for permits."""
 
-    asked_at: float = -permits.ASK_SECONDS
+    asked_at: float = -permits.REQUEST_INTERVAL_SECONDS
     wishes: int = 0
     held: list[float] = dataclasses.field(default_factory=list)
     """Until when each permit is to be used."""
@@ -140,8 +140,8 @@
 
 def send_by_permit(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
     """Permits of one owner, asked for when a request could use one; it waits for the answer."""
-    use_seconds = limits.read_hold_seconds(load.limit) * permits.USE_SHARE
-    most = max(1, math.ceil(load.limit * permits.ASK_SECONDS))
+    use_seconds = limits.compute_hold_seconds(load.limit) * permits.USE_SHARE
+    most = max(1, math.ceil(load.limit * permits.REQUEST_INTERVAL_SECONDS))
     bucket = limits.Bucket(0.0, 0.0)
     askers = [_Asker() for _ in range(load.entries)]
     for at, entry in arrivals:
@@ -153,9 +153,9 @@
             yield at
             continue
         asker.wishes += 1
-        if at - asker.asked_at < permits.ASK_SECONDS:
+        if at - asker.asked_at < permits.REQUEST_INTERVAL_SECONDS:
             continue
-        bucket, given = bucket.take(min(most, asker.wishes))
+        bucket, given = bucket.acquire(min(most, asker.wishes))
         asker.asked_at, asker.wishes = at, 0
         asker.held += [at + use_seconds] * given
         if given:
@@ -180,7 +180,9 @@
     most = max(
         (bisect.bisect_left(sent, at + window) - place for place, at in enumerate(sent)), default=0
     )
-    return Figures(most / (load.limit * window + limits.SLACK), len(sent) / (load.limit * SECONDS))
+    return Figures(
+        most / (load.limit * window + limits.SLACK_REQUESTS), len(sent) / (load.limit * SECONDS)
+    )
 
 
 def main() -> None:
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -111,7 +111,7 @@
         await node.listen(address)
     member = messages.Member(name, 1, 0, address, address, hall, ["agent"], targets)
     client = clients.KeeperClient(
-        name, keepers, node, members, lambda link: announcer.tell_anew(link)
+        name, keepers, node, members, lambda link: announcer.reannounce(link)
     )
     announcer = exchange.Announcer(member, members, lambda: client.home)
 
@@ -119,7 +119,7 @@
         in_force_at[configuration.version] = time.monotonic()
         announcer.update(config_version=configuration.version)
 
-    store.listen(note_configuration)
+    store.add_listener(note_configuration)
     client.start()
     stand_in = StandIn(name, node, store, client, announcer, in_force_at)
     if report_rate:
--- a/tillerlane/gateway/exchanges.py
+++ b/tillerlane/gateway/exchanges.py
@@ -7,7 +7,7 @@
 
 __all__ = ["Exchanges"]
 
-TOLD_MARGIN_SECONDS = 0.05
+HEARTBEAT_AGE_MARGIN_SECONDS = 0.05
 """How much later than it really was a target's last word may seem to be, by ages cut to
 milliseconds and by the way from keeper to entry."""
 
@@ -27,7 +27,7 @@
 
     def __init__(self, directory: directories.Directory) -> None:
         self._open: dict[str, set[http_client.Exchange]] = collections.defaultdict(set)
-        directory.listen(self._note_phase)
+        directory.add_listener(self._note_phase)
 
     def add(self, target: directories.Target, exchange: http_client.Exchange) -> None:
         """Take an exchange that has begun; it is forgotten with its connection."""
@@ -44,12 +44,12 @@
             del self._open[target_id]
 
     def _note_phase(self, target: directories.Target, former: directories.Phase | None) -> None:
-        if not target.is_over:
+        if not target.is_superseded:
             return
         # The former incarnation lived when it last told of itself, so what was connected before
         # was connected to it.  A later connection may have reached the present one, which may have
         # the same address; if it did not, it is reset once the target's host answers.
-        until = target.heard_at - TOLD_MARGIN_SECONDS
+        until = target.heard_at - HEARTBEAT_AGE_MARGIN_SECONDS
         for exchange in list(self._open.get(target.target_id, ())):
             if exchange.connected_at < until:
                 exchange.fail(f"{target.target_id} has started again")
--- a/tillerlane/gateway/runs.py
+++ b/tillerlane/gateway/runs.py
@@ -15,31 +15,31 @@
 from tillerlane.decisions import placing
 from tillerlane.gateway import dialect as dialects
 from tillerlane.gateway import directory as directories
-from tillerlane.gateway import meters as entry_meters
+from tillerlane.gateway import metrics as entry_metrics
 from tillerlane.gateway import routes, selection
 from tillerlane.gateway import usage as usages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Continuation", "Mover", "Run"]
+__all__ = ["Mover", "ResumePoint", "Run"]
 
-COPY_SECONDS = 4.0
+COPY_TIMEOUT_SECONDS = 4.0
 """Longest wait for a copy: twice the longest notice met (2.1 s); the source is gone by then."""
-LATE_SECONDS = 0.8
+FULL_DESTINATION_DELAY_SECONDS = 0.8
 """Time from a runner's notice after which a destination is asked that is full by our own count;
 the shortest notice met is 1.5 s."""
-NOTICE_SECONDS = 1.5
+MIN_NOTICE_SECONDS = 1.5
 """Shortest time met from a runner's notice to its end, and the time for which a run may still go to
 it."""
-LINK_CHECK_SECONDS = 0.03
+LINK_CHECK_INTERVAL_SECONDS = 0.03
 """Pause of a run that waits for the link: a fifth of the shortest copy seen, so that little of its
 time is lost."""
-MOVE_SECONDS = 6.0
+MOVE_TIMEOUT_SECONDS = 6.0
 """Longest time in which moving one run is tried: a runner that drains may serve on for seconds."""
-RETRY_SECONDS = 0.1
+RETRY_DELAY_SECONDS = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Continuation:
+class ResumePoint:
     """Where a run goes on, and with which memory."""
 
     target: directories.Target
@@ -61,7 +61,7 @@
     backup : directories.Target or None
         Runner that gets its memory as it grows.
     moving : asyncio.Task or None
-        Gives a `Continuation`, or None if the run stays where it is.
+        Gives a `ResumePoint`, or None if the run stays where it is.
     on_copied : callable
         Called when `moving` is done.
     """
@@ -71,32 +71,32 @@
     target: directories.Target
     tokens: int
     backup: directories.Target | None = None
-    events_left: float = 0.0
+    remaining_events: float = 0.0
     """Events that it is expected to write yet."""
     is_long: bool = False
     """Whether its memory is worth a copy."""
     leaving_since: float = 0.0
     """Time of the event loop at which its runner was known to leave."""
-    moving: "asyncio.Task[Continuation | None] | None" = None
+    moving: "asyncio.Task[ResumePoint | None] | None" = None
     on_copied: Callable[[], None] = lambda: None
-    refused_by: frozenset[str] = frozenset()
+    rejected_by: frozenset[str] = frozenset()
     """Runners that did not take it up."""
     may_be_copying: bool = False
     """Whether its runner may be carrying out an order to copy it, of which nobody has an answer."""
 
-    def may_go_to(self, target: directories.Target) -> bool:
+    def can_move_to(self, target: directories.Target) -> bool:
         """Whether the run may go on at a target, as far as that one's leaving goes."""
         if not target.is_leaving:
             return True
         now = asyncio.get_running_loop().time()
-        return target.is_winding_down and now - target.leaving_at < NOTICE_SECONDS
+        return target.is_winding_down and now - target.leaving_at < MIN_NOTICE_SECONDS
 
     @property
     def unsaved_tokens(self) -> int:
         """Memory that it is counted with among the runs without a copy."""
         return self.tokens if self.is_long and self.backup is None else 0
 
-    def read_continuation(self) -> Continuation | None:
+    def get_resume_point(self) -> ResumePoint | None:
         """Where the run can go on by now."""
         task = self.moving
         if task is None or not task.done() or task.cancelled():
@@ -119,7 +119,7 @@
         Tells of targets that leave.
     timeline : timelines.Timeline
         Takes the decisions.
-    meters : entry_meters.EntryMeters
+    metrics : entry_metrics.EntryMetrics
         Counts orders.
     """
 
@@ -130,19 +130,19 @@
         usage: usages.Usage,
         directory: directories.Directory,
         timeline: timelines.Timeline,
-        meters: entry_meters.EntryMeters,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self._dialect = dialect
         self._selector = selector
         self._usage = usage
         self._directory = directory
         self._timeline = timeline
-        self._meters = meters
+        self._metrics = metrics
         self._runs: dict[str, set[Run]] = collections.defaultdict(set)
         self._ordered: dict[str, int] = {}
         """Tokens of the copies under way from each source, by its id; none without a copy."""
         self._dropping: set[asyncio.Task[None]] = set()
-        directory.listen(self._note_phase)
+        directory.add_listener(self._note_phase)
 
     def add(self, run: Run) -> None:
         """Take a run that begins at a target."""
@@ -157,24 +157,24 @@
             runs.discard(run)
             if not runs:
                 del self._runs[run.target.target_id]
-        self.give_up(run)
+        self.cancel_move(run)
 
-    def give_up(self, run: Run) -> None:
+    def cancel_move(self, run: Run) -> None:
         """Move a run no more, and free a copy that it does not go on with."""
-        unused = run.read_continuation()
+        unused = run.get_resume_point()
         if unused is not None:
             self._drop_copy(run, unused)
         elif run.moving is not None:
             run.moving.cancel()
         run.moving = None
 
-    def move_again(self, run: Run) -> None:
+    def retry_move(self, run: Run) -> None:
         """Look for another destination after one did not take the run up."""
-        self.give_up(run)
+        self.cancel_move(run)
         if run.target.is_winding_down:
             self._start(run)
 
-    def note_evacuated(self) -> None:
+    def discard_evacuated_backups(self) -> None:
         """Go by no copy in a data hall that gets nothing new: it could not be sent there."""
         self._lose_backups(lambda backup: backup.data_hall in self._directory.evacuated)
 
@@ -184,7 +184,7 @@
         self._lose_backups(lambda backup: backup.target_id == target.target_id)
         runs = sorted(self._runs.get(target.target_id, ()), key=lambda run: run.tokens)
         for run in runs:
-            if target.is_over:
+            if target.is_superseded:
                 self._stop_move(run)
             else:
                 self._start(run)
@@ -213,7 +213,7 @@
         engine = run.pool.engine
         if engine is None or not engine.can_move or run.moving is not None:
             return
-        if run.backup is not None and self._directory.takes_work(run.backup):
+        if run.backup is not None and self._directory.accepts_requests(run.backup):
             # It may end here yet, and goes on there at once if it does not.  An order would copy
             # all of its memory again, and hold up those runs that have no other copy.
             return
@@ -221,29 +221,29 @@
         run.moving = asyncio.get_running_loop().create_task(self._move(run))
         run.moving.add_done_callback(lambda task: run.on_copied())
 
-    async def _move(self, run: Run) -> Continuation | None:
+    async def _move(self, run: Run) -> ResumePoint | None:
         """Copy a run's memory to a runner with room; None if it stays."""
-        excluded = {run.target.target_id, *run.refused_by}
+        excluded = {run.target.target_id, *run.rejected_by}
         loop = asyncio.get_running_loop()
-        until = loop.time() + MOVE_SECONDS
+        until = loop.time() + MOVE_TIMEOUT_SECONDS
         while loop.time() < until:
             destination = self._choose(run, excluded)
             if destination is not None and not self._has_link_time(run):
-                await asyncio.sleep(LINK_CHECK_SECONDS)
+                await asyncio.sleep(LINK_CHECK_INTERVAL_SECONDS)
                 continue
             if destination is not None:
                 result = await self._copy(run, destination)
-                if result.outcome is dialects.MoveOutcome.COPIED:
+                if result.outcome is dialects.CopyOutcome.COPIED:
                     copy = dialects.MemoryCopy(run.target.address, result.handle)
-                    return Continuation(destination, copy)
-                if result.outcome.is_without_answer:
+                    return ResumePoint(destination, copy)
+                if result.outcome.is_unanswered:
                     return None
-                if result.outcome is dialects.MoveOutcome.NO_ROOM:
+                if result.outcome is dialects.CopyOutcome.NO_ROOM:
                     excluded.add(destination.target_id)
             else:
-                excluded = {run.target.target_id, *run.refused_by}
+                excluded = {run.target.target_id, *run.rejected_by}
             # A run that has not begun yet has no memory to copy; room may come.
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
         return None
 
     def _count_ordered(self, run: Run, tokens: int) -> None:
@@ -263,11 +263,11 @@
         if ordered is None:
             return True
         waited = asyncio.get_running_loop().time() - run.leaving_since
-        left = max(0.0, NOTICE_SECONDS - waited)
-        share = self._selector.read_own_share(run.target)
-        return self._selector.read_copy_seconds(run.pool, ordered + run.tokens) <= left * share
+        left = max(0.0, MIN_NOTICE_SECONDS - waited)
+        share = self._selector.compute_own_share(run.target)
+        return self._selector.estimate_copy_seconds(run.pool, ordered + run.tokens) <= left * share
 
-    async def _copy(self, run: Run, destination: directories.Target) -> dialects.MoveResult:
+    async def _copy(self, run: Run, destination: directories.Target) -> dialects.CopyResult:
         """Copy a run's memory while it goes on, and count the copy as memory meanwhile."""
         tokens = run.tokens
         lingers = True  # unless the runners say otherwise
@@ -275,7 +275,7 @@
         self._count_ordered(run, tokens)
         try:
             result = await self._order(run, destination)
-            lingers = result.outcome.is_without_answer
+            lingers = result.outcome.is_unanswered
             return result
         finally:
             self._release(run, destination, tokens, lingers)
@@ -290,10 +290,11 @@
             self._usage.add(destination.address, tokens=-tokens)
             return
         asyncio.get_running_loop().call_later(
-            engine.hold_seconds, lambda: self._usage.add(destination.address, tokens=-tokens)
+            engine.copy_retention_seconds,
+            lambda: self._usage.add(destination.address, tokens=-tokens),
         )
 
-    def _drop_copy(self, run: Run, unused: Continuation) -> None:
+    def _drop_copy(self, run: Run, unused: ResumePoint) -> None:
         """Free a copy that nobody will use; it would hold memory for seconds."""
         self._timeline.record(
             "copy.drop",
@@ -311,22 +312,22 @@
     def _choose(self, run: Run, excluded: set[str]) -> directories.Target | None:
         """The least loaded runner with room for the run; in the end any, whose word it is."""
         hall = run.target.data_hall
-        work = placing.Work(run.tokens, events=run.events_left)
+        work = placing.Work(run.tokens, events=run.remaining_events)
         found = self._selector.choose(run.pool, work, excluded, hall, is_sent_now=False)
         if found is None or self._selector.has_room(run.pool, found, run.tokens, 1.0):
             return found
         waited = asyncio.get_running_loop().time() - run.leaving_since
-        return found if waited > LATE_SECONDS else None
+        return found if waited > FULL_DESTINATION_DELAY_SECONDS else None
 
-    async def _order(self, run: Run, destination: directories.Target) -> dialects.MoveResult:
+    async def _order(self, run: Run, destination: directories.Target) -> dialects.CopyResult:
         loop = asyncio.get_running_loop()
         began = loop.time()
         run.may_be_copying = True
         result = await self._dialect.copy_run(
-            run.target.address, run.request_id, destination.address, COPY_SECONDS
+            run.target.address, run.request_id, destination.address, COPY_TIMEOUT_SECONDS
         )
-        run.may_be_copying = result.outcome.is_without_answer
-        self._meters.moves.labels(result.outcome.value).inc()
+        run.may_be_copying = result.outcome.is_unanswered
+        self._metrics.moves.labels(result.outcome.value).inc()
         self._timeline.record(
             "run.move",
             request_id=run.request_id,
--- a/tillerlane/keeper/followers.py
+++ b/tillerlane/keeper/followers.py
@@ -98,5 +98,5 @@
     others: list[Value], leader_value: Value, voters: dict[str, commands.Voter], leader: str
 ) -> Value | None:
     values = sorted([*others, leader_value] if leader in voters else others, reverse=True)
-    needed = voter_rules.count_quorum(len(voters))
+    needed = voter_rules.compute_quorum(len(voters))
     return values[needed - 1] if len(values) >= needed else None
--- a/tillerlane/keeper/quorum.py
+++ b/tillerlane/keeper/quorum.py
@@ -34,7 +34,7 @@
         Leader that it follows; empty without one.
     bears : int
         Number of further disk losses that the quorum tolerates
-        (`decisions.voters.count_bearable_losses`).
+        (`decisions.voters.count_tolerable_losses`).
     """
 
     voters: tuple[str, ...]
@@ -76,7 +76,7 @@
         waiting=tuple(sorted(set(disks) - set(voters))),
         votes=own_name in live,
         leader=leader,
-        bears=voter_rules.count_bearable_losses(len(voters), len(live)),
+        bears=voter_rules.count_tolerable_losses(len(voters), len(live)),
     )
 
 
--- a/tillerlane/keeper/reconfiguration.py
+++ b/tillerlane/keeper/reconfiguration.py
@@ -148,7 +148,7 @@
         """Change the voters; False if the change was not committed, or the lease was lost."""
         own = self._replica
         command: commands.VoterAdd | commands.VoterRemove
-        if isinstance(step, voter_rules.Remove):
+        if isinstance(step, voter_rules.RemoveVoter):
             command = commands.VoterRemove(step.name)
             self._timeline.record(
                 "keeper.remove", keeper=step.name, reason=step.reason, voters=sorted(own.voters)
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -46,7 +46,7 @@
         self._now_ms = now_ms
         self._clock_offset_ms = 0.0
         """Wall clock time minus event loop time at the start, in milliseconds."""
-        node_replica.state_machine.store.listen(self._push)
+        node_replica.state_machine.store.add_listener(self._push)
 
     def start(self) -> None:
         """Start the keeper."""
--- a/tillerlane/platform/programs.py
+++ b/tillerlane/platform/programs.py
@@ -15,7 +15,7 @@
 import structlog
 
 from tillerlane.faults import core as faults
-from tillerlane.platform import early, settings
+from tillerlane.platform import front_listener, settings
 from tillerlane.timeline import loops
 
 __all__ = ["main"]
@@ -55,7 +55,7 @@
         was_told = changed.is_set()
         changed.clear()
         try:
-            found = settings.read_settings(os.environ.get(early.VARIABLE, ""))
+            found = settings.read_settings(os.environ.get(front_listener.SETTINGS_VARIABLE, ""))
         except faults.FaultError as error:
             structlog.get_logger().warning("settings.unreadable", message=error.fault.message)
             continue
@@ -70,7 +70,9 @@
     from tillerlane.platform import adapter
 
     stop = _watch_signals()
-    daemon = entry.Entry(settings.build_entry(own), adapter.build_dialect(), listener=listener)
+    daemon = entry.Entry(
+        settings.build_entry_settings(own), adapter.build_dialect(), listener=listener
+    )
     await daemon.start()
     following = asyncio.create_task(_follow_settings(own, daemon.set_seeds))
     await stop.wait()
@@ -90,7 +92,7 @@
     from tillerlane.platform import control_api
 
     try:
-        daemon = control.Control(settings.build_control(own))
+        daemon = control.Control(settings.build_control_settings(own))
     except faults.FaultError as error:
         structlog.get_logger().error("disk.unreadable", message=error.fault.message)
         await asyncio.sleep(DISK_RETRY_SECONDS)
@@ -116,7 +118,7 @@
 
     arguments = build_parser().parse_args()
     try:
-        own = settings.read_settings(os.environ.get(early.VARIABLE, ""))
+        own = settings.read_settings(os.environ.get(front_listener.SETTINGS_VARIABLE, ""))
         if arguments.check:
             print(f"settings of {own.daemon_id} are valid")
             return
