--- a/tillerlane/keeper/tests/test_claims.py
+++ b/tillerlane/keeper/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""A request that may not be repeated runs at most once, whatever fails around it."""
+"""Requests that must not be repeated run at most once, whatever fails."""
 
 import asyncio
 import unittest
@@ -8,18 +8,18 @@
 
 
 def count_runs(stage: lab.Lab) -> int:
-    """Generations that any engine has seen."""
+    """Count the generations that the live engines have seen."""
     return sum(len(engine.sequences) for engine in stage.engines.values() if engine is not None)
 
 
 class ClaimsTest(scenes.SceneCase):
-    """Resends meet the claim of the first arrival."""
+    """Resent requests find the claim of the first one."""
 
     def play_three(self, scene: object) -> None:
         """Play with three keepers."""
         self.play(scene, keepers=3)  # type: ignore[arg-type]
 
-    def test_resend_gets_the_stored_end(self) -> None:
+    def test_resend_gets_the_stored_outcome(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             first = await stage.call("katalog", "once", "refund", key="k1")
             again = await stage.call("katalog", "once", "refund", key="k1", entry="entry-2")
@@ -30,7 +30,7 @@
 
         self.play_three(scene)
 
-    def test_second_arrival_joins_the_running_one(self) -> None:
+    def test_second_arrival_joins_the_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = stage.begin_call("katalog", "once", "refund", key="k1")
             await asyncio.sleep(0.5)
@@ -42,7 +42,7 @@
 
         self.play_three(scene)
 
-    def test_two_arrivals_at_once(self) -> None:
+    def test_concurrent_arrivals_run_once(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             calls = [
                 stage.call("katalog", "once", "refund", key="k1", entry=f"entry-{1 + n % 2}")
@@ -55,9 +55,9 @@
 
         self.play_three(scene)
 
-    def test_entry_dies_and_the_resend_joins(self) -> None:
+    def test_resend_joins_after_the_entry_dies(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_claimed_call(stage)
             task.cancel()
             await stage.kill("entry-1")
             again = await stage.call("katalog", "once", "refund", key="k1", entry="entry-2")
@@ -67,16 +67,18 @@
 
         self.play_three(scene)
 
-    async def begin_once(self, stage: lab.Lab) -> tuple[lab.Answer, "asyncio.Task[lab.Answer]"]:
-        """A claimed call of which some tokens have come."""
+    async def start_claimed_call(
+        self, stage: lab.Lab
+    ) -> tuple[lab.Answer, "asyncio.Task[lab.Answer]"]:
+        """Start a claimed call, and wait until its first tokens have arrived."""
         answer, task = stage.begin_call("katalog", "once", "refund", key="k1")
         while not answer.texts:
             await asyncio.sleep(0.02)
         return answer, task
 
-    def test_runner_dies_and_nothing_runs_again(self) -> None:
+    def test_nothing_runs_again_after_the_runner_dies(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_claimed_call(stage)
             stage.kill_engine(answer.generation_ids[0].split("~")[0])
             await task
             self.assertIn(answer.fault.ran, (kinds.Ran.YES, kinds.Ran.UNKNOWN))
@@ -86,7 +88,7 @@
 
         self.play_three(scene)
 
-    def test_runner_dies_before_the_first_token_and_nothing_runs_elsewhere(self) -> None:
+    def test_nothing_runs_elsewhere_after_the_runner_dies_before_the_first_token(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for engine in stage.engines.values():
                 engine.stalled = True
@@ -102,7 +104,7 @@
 
     def test_agent_and_runner_die_with_the_entry(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_claimed_call(stage)
             task.cancel()
             await stage.kill("entry-1")
             await stage.kill(stage.find_agent(answer.generation_ids[0]))
@@ -112,9 +114,9 @@
 
         self.play_three(scene)
 
-    def test_leader_dies_meanwhile(self) -> None:
+    def test_leader_dies_during_the_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_claimed_call(stage)
             leader = next(
                 name
                 for name in stage.list_role("keeper")
@@ -129,7 +131,7 @@
 
         self.play_three(scene)
 
-    def test_quorum_lost_is_not_run(self) -> None:
+    def test_nothing_runs_without_a_quorum(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             await stage.kill("keeper-1")
             await stage.kill("keeper-2")
@@ -137,11 +139,11 @@
             self.assertEqual(answer.fault.kind, kinds.ErrorKind.NO_QUORUM)
             self.assertEqual(answer.fault.ran, kinds.Ran.NO)
             self.assertEqual(count_runs(stage), 0)
-            self.check_whole(await stage.call("katalog", "record", "repeatable ones go on"))
+            self.check_whole(await stage.call("katalog", "record", "repeatable requests run"))
 
         self.play_three(scene)
 
-    def test_quorum_lost_and_found_lets_the_caller_try_again(self) -> None:
+    def test_caller_can_retry_once_the_quorum_is_back(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             await stage.kill("keeper-1")
             await stage.kill("keeper-2")
--- a/tillerlane/keeper/tests/test_parts.py
+++ b/tillerlane/keeper/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a replica by themselves: ballots, followers, proposals, snapshots in pieces."""
+"""Unit tests of a replica's parts: votes, followers, proposals, snapshots in pieces."""
 
 import asyncio
 import unittest
@@ -13,7 +13,7 @@
 
 
 class FollowersTest(unittest.TestCase):
-    """What a quorum of five has reached."""
+    """Progress of a quorum of five voters."""
 
     def setUp(self) -> None:
         self.followers = followers.Followers("a")
@@ -23,7 +23,7 @@
             progress.match_index, progress.acked_at = index, acked_at
             progress.disk_id = f"disk-{name}"
 
-    def test_third_of_five_decides(self) -> None:
+    def test_third_of_five_determines_the_quorum(self) -> None:
         self.assertEqual(self.followers.find_quorum_index(VOTERS, 12), 8)
         self.assertEqual(self.followers.compute_quorum_time(VOTERS, 6.0), 4.0)
 
@@ -41,8 +41,8 @@
         self.assertEqual(self.followers.find_quorum_index(others, 12), 8)
 
 
-class _Voter:
-    """Stands for the link to a voter."""
+class _VoterLink:
+    """Stub of the link to a voter."""
 
     def __init__(self, reply: messages.VoteReply | None) -> None:
         self.reply = reply
@@ -54,7 +54,7 @@
 
 
 class VoteTest(unittest.IsolatedAsyncioTestCase):
-    """Votes of four others, three needed."""
+    """An election among five voters, in which three votes are needed."""
 
     async def vote(self, replies: list[Any], *, pre: bool = False) -> votes.VoteResult:
         others = {name: VOTERS[name] for name in "bcde"}
@@ -62,13 +62,13 @@
         voters = dict(zip(addresses, replies, strict=True))
         request = messages.VoteRequest(4, "a", 1, 1, pre)
         return await votes.collect_votes(
-            lambda address: _Voter(voters[address]), request, others, 3
+            lambda address: _VoterLink(voters[address]), request, others, 3
         )
 
     def grant(self, name: str, *, granted: bool = True, term: int = 4) -> messages.VoteReply:
         return messages.VoteReply(term, granted, f"disk-{name}", False)
 
-    async def test_won_without_those_that_are_silent(self) -> None:
+    async def test_won_although_some_voters_do_not_reply(self) -> None:
         result = await self.vote([self.grant("b"), None, self.grant("d"), None])
         self.assertEqual(result, votes.VoteResult(True))
 
@@ -84,11 +84,11 @@
         replies = [self.grant("b", granted=False, term=9), self.grant("c"), self.grant("d"), None]
         self.assertEqual(await self.vote(replies, pre=True), votes.VoteResult(True))
 
-    async def test_lost_prevote_tells_the_latest_term(self) -> None:
+    async def test_lost_prevote_reports_the_latest_term(self) -> None:
         replies = [self.grant("b", granted=False, term=9), self.grant("c"), None, None]
         self.assertEqual(await self.vote(replies, pre=True), votes.VoteResult(False, 9))
 
-    async def test_lost_prevote_without_a_later_term_tells_none(self) -> None:
+    async def test_lost_prevote_without_a_later_term_reports_none(self) -> None:
         replies = [self.grant("b", granted=False, term=3), None, None, None]
         result = await self.vote(replies, pre=True)
         self.assertFalse(result.is_won)
@@ -96,35 +96,35 @@
 
 
 class PendingTest(unittest.IsolatedAsyncioTestCase):
-    """Proposals of a leader."""
-
-    async def test_answers_go_by_index(self) -> None:
-        waiting = pending.PendingProposals()
-        later = waiting.add(b"later")
-        first = waiting.add(b"first", first=True)
-        self.assertEqual(waiting.pop_batch(1), [first])
-        self.assertTrue(waiting.has_queued)
-        waiting.record_appended(7, first)
-        waiting.resolve(8, {"of": "nobody"})
-        waiting.resolve(7, {"index": 7})
+    """Pending proposals of a leader."""
+
+    async def test_proposals_are_resolved_by_index(self) -> None:
+        queue = pending.PendingProposals()
+        later = queue.add(b"later")
+        first = queue.add(b"first", first=True)
+        self.assertEqual(queue.pop_batch(1), [first])
+        self.assertTrue(queue.has_queued)
+        queue.record_appended(7, first)
+        queue.resolve(8, {"of": "nobody"})
+        queue.resolve(7, {"index": 7})
         self.assertEqual(await first.answer, {"index": 7})
         self.assertFalse(later.answer.done())
 
-    async def test_fate_of_what_waits_is_unknown(self) -> None:
-        waiting = pending.PendingProposals()
-        proposals = [waiting.add(b"one"), waiting.add(b"two")]
-        waiting.record_appended(1, waiting.pop_batch(1)[0])
-        waiting.fail_all("another keeper leads")
+    async def test_failed_proposals_have_an_unknown_outcome(self) -> None:
+        queue = pending.PendingProposals()
+        proposals = [queue.add(b"one"), queue.add(b"two")]
+        queue.record_appended(1, queue.pop_batch(1)[0])
+        queue.fail_all("another keeper leads")
         for proposal in proposals:
             with self.assertRaises(faults.FaultError) as caught:
                 await proposal.answer
             self.assertEqual(caught.exception.fault.ran, "unknown")
-        self.assertFalse(waiting.has_queued)
+        self.assertFalse(queue.has_queued)
         await asyncio.sleep(0)
 
 
 class SnapshotAssemblerTest(unittest.TestCase):
-    """A snapshot in pieces."""
+    """A snapshot received in pieces."""
 
     def take(
         self, assembler: snapshots.SnapshotAssembler, index: int, offset: int, data: bytes
@@ -136,10 +136,10 @@
         self.assertEqual(self.take(assembler, 5, 0, b"abc"), 3)
         self.assertEqual(self.take(assembler, 5, 4, b"xx"), 3)  # does not follow
         self.assertEqual(self.take(assembler, 5, 3, b"def"), 6)
-        whole = assembler.finish()
-        self.assertEqual((whole.last_index, whole.data), (5, b"abcdef"))
+        complete = assembler.finish()
+        self.assertEqual((complete.last_index, complete.data), (5, b"abcdef"))
 
-    def test_newer_snapshot_begins_anew(self) -> None:
+    def test_newer_snapshot_discards_the_older_one(self) -> None:
         assembler = snapshots.SnapshotAssembler()
         self.take(assembler, 5, 0, b"abc")
         self.assertEqual(self.take(assembler, 9, 3, b"def"), 0)
--- a/tillerlane/keeper/tests/test_storage.py
+++ b/tillerlane/keeper/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""What a disk may do wrong, and what the keeper's storage makes of it."""
+"""Disk faults, and how the keeper's storage handles them."""
 
 import errno
 import unittest
@@ -10,13 +10,13 @@
 from tillerlane.testing import memory_disk
 
 
-def entry(index: int, term: int = 1) -> messages.LogEntry:
-    """An entry whose command is its index."""
+def build_entry(index: int, term: int = 1) -> messages.LogEntry:
+    """Build an entry whose command names its index."""
     return messages.LogEntry(term, index, f"command {index}".encode())
 
 
 class StorageTest(unittest.TestCase):
-    """Torn tails, damage, full disks, foreign folders, snapshots."""
+    """Torn records, damage, full disks, directories of other keepers, snapshots."""
 
     def setUp(self) -> None:
         self.disk = memory_disk.MemoryDisk()
@@ -31,35 +31,35 @@
         self.assertEqual(raised.exception.fault.kind, kinds.ErrorKind.DISK_FAILED)
         return raised.exception.fault.message
 
-    def test_what_was_appended_is_read_again(self) -> None:
-        self.storage.append([entry(1), entry(2)])
+    def test_appended_entries_and_vote_survive_a_crash(self) -> None:
+        self.storage.append([build_entry(1), build_entry(2)])
         self.storage.save_vote(7, "keeper-3")
         self.disk.crash()
-        again = self.open()
-        self.assertEqual(again.entries, [entry(1), entry(2)])
-        self.assertEqual((again.term, again.voted_for), (7, "keeper-3"))
-        self.assertEqual(again.disk_id, self.storage.disk_id)
+        reopened = self.open()
+        self.assertEqual(reopened.entries, [build_entry(1), build_entry(2)])
+        self.assertEqual((reopened.term, reopened.voted_for), (7, "keeper-3"))
+        self.assertEqual(reopened.disk_id, self.storage.disk_id)
 
     def test_conflicting_entries_are_dropped(self) -> None:
-        self.storage.append([entry(1), entry(2), entry(3)])
-        self.storage.append([entry(2, term=2)])
-        self.assertEqual(self.open().entries, [entry(1), entry(2, term=2)])
+        self.storage.append([build_entry(1), build_entry(2), build_entry(3)])
+        self.storage.append([build_entry(2, term=2)])
+        self.assertEqual(self.open().entries, [build_entry(1), build_entry(2, term=2)])
 
-    def test_every_torn_tail_is_cut(self) -> None:
-        self.storage.append([entry(1), entry(2)])
+    def test_every_torn_record_is_truncated(self) -> None:
+        self.storage.append([build_entry(1), build_entry(2)])
         name = "log-1"
-        whole = bytes(self.disk.files[name])
-        self.storage.append([entry(3)])
+        complete = bytes(self.disk.files[name])
+        self.storage.append([build_entry(3)])
         longer = bytes(self.disk.files[name])
-        for size in range(len(whole), len(longer)):
+        for size in range(len(complete), len(longer)):
             self.disk.files[name] = bytearray(longer[:size])
-            again = self.open()
-            self.assertEqual(again.last_index, 2)
-            again.append([entry(3)])
+            reopened = self.open()
+            self.assertEqual(reopened.last_index, 2)
+            reopened.append([build_entry(3)])
             self.assertEqual(self.open().last_index, 3)
 
     def test_every_damaged_byte_in_the_middle_stops_the_keeper(self) -> None:
-        self.storage.append([entry(1), entry(2), entry(3)])
+        self.storage.append([build_entry(1), build_entry(2), build_entry(3)])
         name = "log-1"
         last = len(self.disk.files[name]) - len(b"command 3") - 8 - 17
         for position in range(8, last):
@@ -68,7 +68,7 @@
             self.disk.flip(name, position)
 
     def test_damaged_vote_and_snapshot_stop_the_keeper(self) -> None:
-        self.storage.append([entry(1)])
+        self.storage.append([build_entry(1)])
         self.storage.save_vote(3, "keeper-1")
         self.storage.save_snapshot(storages.Snapshot(1, 1, b"{}"))
         for name in ("vote", "snapshot", "identity"):
@@ -77,12 +77,12 @@
             self.disk.flip(name, len(self.disk.files[name]) - 1)
         self.open()
 
-    def test_full_disk_stands_down_and_stays_down(self) -> None:
-        self.storage.append([entry(1)])
+    def test_no_write_is_tried_after_a_full_disk(self) -> None:
+        self.storage.append([build_entry(1)])
         self.disk.fails_with = errno.ENOSPC
         for _ in range(2):
             with self.assertRaises(faults.FaultError):
-                self.storage.append([entry(2)])
+                self.storage.append([build_entry(2)])
             self.disk.fails_with = None
         self.assertEqual(self.storage.last_index, 1)
         self.assertEqual(self.open().last_index, 1)
@@ -91,32 +91,32 @@
         self.assertIn("keeper-1", self.check_refused("keeper-2"))
 
     def test_log_without_identity_is_refused(self) -> None:
-        self.storage.append([entry(1)])
+        self.storage.append([build_entry(1)])
         del self.disk.files["identity"]
         self.assertIn("identity", self.check_refused())
 
     def test_snapshot_replaces_the_log_before_it(self) -> None:
-        self.storage.append([entry(number) for number in range(1, 6)])
+        self.storage.append([build_entry(number) for number in range(1, 6)])
         self.storage.save_snapshot(storages.Snapshot(3, 1, b"state"))
-        again = self.open()
-        self.assertEqual(again.snapshot, storages.Snapshot(3, 1, b"state"))
-        self.assertEqual(again.entries, [entry(4), entry(5)])
+        reopened = self.open()
+        self.assertEqual(reopened.snapshot, storages.Snapshot(3, 1, b"state"))
+        self.assertEqual(reopened.entries, [build_entry(4), build_entry(5)])
         self.assertEqual([name for name in self.disk.files if "log" in name], ["log-4"])
 
     def test_crash_between_snapshot_and_log(self) -> None:
-        """The snapshot lasts before the log before it is removed: both are there, or one."""
-        self.storage.append([entry(number) for number in range(1, 6)])
+        """The snapshot is durable before the old log is removed, so a crash may leave both."""
+        self.storage.append([build_entry(number) for number in range(1, 6)])
         before = {name: bytes(data) for name, data in self.disk.files.items()}
         self.storage.save_snapshot(storages.Snapshot(3, 1, b"state"))
         self.disk.files["log-1"] = bytearray(before["log-1"])
         self.assertEqual(self.open().last_index, 5)
 
     def test_installed_snapshot_ahead_of_the_log(self) -> None:
-        self.storage.append([entry(1), entry(2)])
+        self.storage.append([build_entry(1), build_entry(2)])
         self.storage.save_snapshot(storages.Snapshot(9, 4, b"state"))
-        again = self.open()
-        self.assertEqual((again.last_index, again.last_term, again.entries), (9, 4, []))
-        again.append([entry(10, term=4)])
+        reopened = self.open()
+        self.assertEqual((reopened.last_index, reopened.last_term, reopened.entries), (9, 4, []))
+        reopened.append([build_entry(10, term=4)])
         self.assertEqual(self.open().last_index, 10)
 
 
