--- a/tillerlane/keeper/tests/test_log_stateful.py
+++ b/tillerlane/keeper/tests/test_log_stateful.py
@@ -1,7 +1,7 @@
-"""The replicated log against a simple oracle, under crashes, torn writes, cuts and lost disks.
+"""Stateful test of the replicated log under crashes, torn writes, network cuts and lost disks.
 
-Three real keepers in virtual time.  The oracle keeps what was accepted; at the end, and whenever
-all is well, every keeper must agree with it.
+Three real keepers run in virtual time.  An oracle keeps the accepted changes; at the end, all
+keepers must agree with it.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 KEEPERS = ("keeper-1", "keeper-2", "keeper-3")
 PROPOSE_TRIES = 12
 CASES = {"steps": 0, "faults": 0, "accepted": 0, "undecided": 0, "claims": 0}
-"""What was run, printed at the end."""
+"""Counts of the cases that were run, printed at exit."""
 
 
 class LogMachine(stateful.RuleBasedStateMachine):
@@ -35,26 +35,26 @@
         asyncio.set_event_loop(self.loop)
         self.numbers = itertools.count()
         self.accepted: dict[str, int] = {}
-        """Change id to the version that it was accepted as."""
+        """Change id to the version as which it was accepted."""
         self.sent: dict[str, commands.Change] = {}
         self.granted: dict[str, str] = {}
-        """Claim key to the generation that it was granted to."""
+        """Claim key to the generation to which it was granted; empty if the outcome is unknown."""
         self.highest: dict[str, int] = {}
         self.wiped = False
         self.stage = self.run(self.build())
 
     def run(self, work: Any) -> Any:
-        """Run a coroutine in this machine's virtual time."""
+        """Run a coroutine in the test's virtual time."""
         return self.loop.run_until_complete(work)
 
     async def build(self) -> lab.Lab:
-        """A fleet whose configuration is in force."""
+        """Build and start a fleet."""
         stage = lab.Lab({"workspaces": {}}, keepers=3, entries=1)
         await stage.start()
         await asyncio.sleep(3)
         return stage
 
-    def note(self, fault: bool = False) -> None:
+    def count_step(self, fault: bool = False) -> None:
         """Count a step."""
         CASES["steps"] += 1
         CASES["faults"] += fault
@@ -64,7 +64,7 @@
     @stateful.rule(name=strategies.sampled_from(KEEPERS), lag=strategies.integers(0, 1))
     def change(self, name: str, lag: int) -> None:
         """Submit a change at a keeper, against its version or the one before."""
-        self.note()
+        self.count_step()
         daemon = self.stage.daemons.get(name)
         if daemon is None:
             return
@@ -79,14 +79,14 @@
 
     @stateful.rule(name=strategies.sampled_from(KEEPERS), data=strategies.data())
     def resend(self, name: str, data: strategies.DataObject) -> None:
-        """Send a former change again, wherever; its answer must not change."""
-        self.note()
+        """Resend an earlier change at any keeper; its reply must not change."""
+        self.count_step()
         if self.sent and name in self.stage.daemons:
             change_id = data.draw(strategies.sampled_from(sorted(self.sent)))
             self.submit(name, self.sent[change_id])
 
     def propose(self, name: str, command: commands.Command) -> Any:
-        """Propose for some seconds, as daemons do; None if the fate stays unknown."""
+        """Propose with retries, as daemons do; None if the outcome stays unknown."""
         keeper = self.stage.daemons[name].keeper
         for _ in range(PROPOSE_TRIES):
             try:
@@ -98,49 +98,49 @@
         return None
 
     def submit(self, name: str, command: commands.Change) -> None:
-        """Propose a change and hold its answer against the oracle."""
-        answer = self.propose(name, command)
-        if answer is None:
+        """Propose a change and check its reply against the oracle."""
+        reply = self.propose(name, command)
+        if reply is None:
             return
         known = self.accepted.get(command.change_id)
-        if answer["accepted"]:
-            assert known in (None, answer["version"]), (known, answer)
-            assert known is not None or answer["version"] not in self.accepted.values()
-            self.accepted[command.change_id] = answer["version"]
+        if reply["accepted"]:
+            assert known in (None, reply["version"]), (known, reply)
+            assert known is not None or reply["version"] not in self.accepted.values()
+            self.accepted[command.change_id] = reply["version"]
             CASES["accepted"] += 1
         else:
-            assert known is None, f"{command.change_id} was accepted as {known}: {answer}"
+            assert known is None, f"{command.change_id} was accepted as {known}: {reply}"
 
     @stateful.rule(name=strategies.sampled_from(KEEPERS), key=strategies.integers(0, 5))
     def claim(self, name: str, key: int) -> None:
-        """Claim a key for a new generation; one key is granted to one generation at most."""
-        self.note()
+        """Claim a key for a new generation; a key is granted to at most one generation."""
+        self.count_step()
         daemon = self.stage.daemons.get(name)
         if daemon is None:
             return
         generation_id = f"g{next(self.numbers)}"
         command = commands.ClaimOpen("w", f"k{key}", "d", generation_id, 0, 10**9)
-        answer = self.propose(name, command)
-        if answer is None:
+        reply = self.propose(name, command)
+        if reply is None:
             self.granted.setdefault(f"k{key}", "")
             return
-        if answer["granted"] and self.granted.get(f"k{key}") != "":
-            assert f"k{key}" not in self.granted, (self.granted, answer)
+        if reply["granted"] and self.granted.get(f"k{key}") != "":
+            assert f"k{key}" not in self.granted, (self.granted, reply)
             self.granted[f"k{key}"] = generation_id
             CASES["claims"] += 1
         elif self.granted.get(f"k{key}"):
-            assert answer["claim"]["generation_id"] == self.granted[f"k{key}"]
+            assert reply["claim"]["generation_id"] == self.granted[f"k{key}"]
 
     @stateful.rule(name=strategies.sampled_from(KEEPERS), count=strategies.integers(2, 6))
     def change_often(self, name: str, count: int) -> None:
-        """Several changes in a row."""
+        """Submit several changes in a row."""
         for _ in range(count):
             self.change(name, 0)
 
     @stateful.rule()
     def recover(self) -> None:
-        """Heal and start everything, and wait a little."""
-        self.note()
+        """End all cuts, start all keepers, and wait a little."""
+        self.count_step()
         self.stage.network.heal()
         for name in KEEPERS:
             if name not in self.stage.daemons:
@@ -151,15 +151,15 @@
 
     @stateful.rule(name=strategies.sampled_from(KEEPERS), torn=strategies.booleans())
     def crash(self, name: str, torn: bool) -> None:
-        """Kill a keeper; unsynced bytes are lost or torn."""
-        self.note(fault=True)
+        """Kill a keeper; its unsynced bytes are lost or torn."""
+        self.count_step(fault=True)
         if name in self.stage.daemons:
             self.run(self.stage.kill(name, torn=torn))
 
     @stateful.rule(name=strategies.sampled_from(KEEPERS))
     def restart(self, name: str) -> None:
         """Start a keeper that is down."""
-        self.note()
+        self.count_step()
         if name not in self.stage.daemons:
             self.run(self.stage.start_daemon(name))
 
@@ -169,8 +169,8 @@
         both=strategies.booleans(),
     )
     def cut(self, sender: str, receiver: str, both: bool) -> None:
-        """Cut a pair silently, one way or both."""
-        self.note(fault=True)
+        """Drop messages between two keepers, in one direction or both."""
+        self.count_step(fault=True)
         if sender != receiver:
             self.stage.network.cut(sender, receiver)
             if both:
@@ -179,14 +179,14 @@
     @stateful.rule()
     def heal(self) -> None:
         """End all cuts."""
-        self.note()
+        self.count_step()
         self.stage.network.heal()
 
     @stateful.rule(name=strategies.sampled_from(KEEPERS))
     def lose_disk(self, name: str) -> None:
-        """Lose one disk while all else is well; the next loss waits until it is made good."""
-        self.note(fault=True)
-        if not self.make_well():
+        """Lose one disk while all keepers are healthy; skipped until they are."""
+        self.count_step(fault=True)
+        if not self.restore_health():
             return
         self.run(self.stage.kill(name))
         self.stage.disks[name].wipe()
@@ -195,51 +195,51 @@
     @stateful.rule(seconds=strategies.sampled_from([0.01, 0.1, 0.5, 2.0, 5.0]))
     def wait(self, seconds: float) -> None:
         """Let time pass."""
-        self.note()
+        self.count_step()
         self.run(asyncio.sleep(seconds))
 
-    # What must hold
+    # Invariants
 
-    def make_well(self) -> bool:
-        """Heal, start all, and wait until every keeper votes and agrees."""
+    def restore_health(self) -> bool:
+        """End all cuts, start all keepers, and wait until every keeper votes and agrees."""
         self.stage.network.heal()
         for name in KEEPERS:
             if name not in self.stage.daemons:
                 self.run(self.stage.start_daemon(name))
-        return self.run(self.wait_well())
+        return self.run(self.wait_healthy())
 
-    async def wait_well(self) -> bool:
-        """Whether within 20 seconds every keeper votes, hears a leader and has applied all."""
+    async def wait_healthy(self) -> bool:
+        """Whether every keeper votes, has a leader and has applied the same entries within 20 s."""
         for _ in range(40):
             await asyncio.sleep(0.5)
             replicas = [self.stage.daemons[name].keeper.replica for name in KEEPERS]
-            is_well = all(item.is_voter and item.has_leader for item in replicas)
-            if is_well and len({item.applied_index for item in replicas}) == 1:
+            is_healthy = all(item.is_voter and item.has_leader for item in replicas)
+            if is_healthy and len({item.applied_index for item in replicas}) == 1:
                 return True
         return False
 
     @stateful.invariant()
-    def one_lease_at_most(self) -> None:
-        """No two keepers hold a lease, whatever was cut off or restarted."""
+    def at_most_one_lease(self) -> None:
+        """At most one keeper holds a lease, whatever was cut off or restarted."""
         assert len(self.run(self.list_lease_holders())) <= 1
 
     async def list_lease_holders(self) -> list[str]:
-        """Keepers that hold a lease now."""
+        """List the keepers that hold a lease."""
         alive = [name for name in KEEPERS if name in self.stage.daemons]
         return [name for name in alive if self.stage.daemons[name].keeper.replica.has_lease]
 
     @stateful.invariant()
-    def versions_never_fall(self) -> None:
-        """No daemon's version falls, over its restarts too, but for one with a new disk."""
+    def versions_never_decrease(self) -> None:
+        """The version of a daemon that is no keeper never decreases, not even over a restart."""
         for name, daemon in self.stage.daemons.items():
             if name not in KEEPERS:
                 assert daemon.store.version >= self.highest.get(name, 0)
                 self.highest[name] = daemon.store.version
 
     def teardown(self) -> None:
-        """All keepers agree with the oracle once all is well."""
+        """Check that all keepers agree with the oracle once they are healthy."""
         try:
-            assert self.make_well(), "the keepers did not come together"
+            assert self.restore_health(), "the keepers did not recover"
             for name in KEEPERS:
                 history = {
                     item["change_id"]: item["version"]
@@ -260,20 +260,20 @@
 
 @atexit.register
 def print_cases() -> None:
-    """Say what was run."""
+    """Print the counts."""
     print(f"log: {CASES}")
 
 
-class FoundTest(scenes.SceneCase):
-    """Failures found by the machine above, each by name."""
+class RegressionTest(scenes.SceneCase):
+    """Regression tests of failures that the stateful test found."""
 
-    def test_keepers_do_not_echo_members_for_ever(self) -> None:
-        """Two keepers with two links once told each other of themselves without end."""
+    def test_keepers_do_not_echo_members(self) -> None:
+        """Guards against two keepers with two links echoing each other's members without end."""
 
         async def scene(stage: lab.Lab) -> None:
             def count() -> int:
-                found = stage.daemons["keeper-1"].node.get_links()
-                return sum(link.messages_in for link in found)
+                connected = stage.daemons["keeper-1"].node.get_links()
+                return sum(link.messages_in for link in connected)
 
             before = count()
             await asyncio.sleep(10)
@@ -282,12 +282,12 @@
         self.play(scene, keepers=3)
 
     def test_idle_subscribers_cost_a_keeper_a_few_bytes(self) -> None:
-        """Heartbeats of 52 bytes were once sent where four were meant."""
+        """Guards against heartbeats of 52 bytes instead of four."""
 
         async def scene(stage: lab.Lab) -> None:
             def count() -> int:
-                found = stage.daemons["keeper-1"].node.get_links()
-                return sum(link.bytes_out + link.bytes_in for link in found)
+                connected = stage.daemons["keeper-1"].node.get_links()
+                return sum(link.bytes_out + link.bytes_in for link in connected)
 
             await asyncio.sleep(5)
             before = count()
@@ -297,7 +297,7 @@
         self.play(scene, keepers=1, entries=10)
 
     def test_replaced_disk_gets_its_vote_though_the_lease_was_lost_meanwhile(self) -> None:
-        """A promotion that was refused once ended the replication to that keeper for good."""
+        """Guards against a refused promotion that ends the replication to the keeper for good."""
 
         async def scene(stage: lab.Lab) -> None:
             await stage.kill("keeper-1")
--- a/tillerlane/keeper/tests/test_publications.py
+++ b/tillerlane/keeper/tests/test_publications.py
@@ -1,4 +1,4 @@
-"""A published document: the highest version holds, through snapshots and losses of disks."""
+"""Publications: the highest version is in force, through snapshots and losses of disks."""
 
 import asyncio
 import unittest
@@ -11,16 +11,16 @@
 
 
 def build_command(version: int, content: bytes = b"") -> commands.Publish:
-    """A publication as a command."""
+    """Build the command of a publication."""
     return commands.Publish(version, content or f"content {version}".encode(), 0)
 
 
 class PublicationRegisterTest(unittest.TestCase):
-    """The state alone."""
+    """The register by itself."""
 
     @profiles.choose(100)
     @given(strategies.lists(strategies.integers(0, 20), max_size=30))
-    def test_highest_version_holds_in_any_order(self, versions: list[int]) -> None:
+    def test_highest_version_is_in_force_in_any_order(self, versions: list[int]) -> None:
         register = publications.PublicationRegister()
         seen: list[int] = []
         register.add_listener(lambda publication: seen.append(publication.version))
@@ -36,7 +36,7 @@
         self.assertEqual(answer, {"taken": False, "version": 3})
         self.assertEqual(register.current.content, b"first")
 
-    def test_snapshot_keeps_it_and_an_older_one_takes_nothing_back(self) -> None:
+    def test_snapshot_restores_it_and_an_older_one_changes_nothing(self) -> None:
         old, new = state_machine.StateMachine(), state_machine.StateMachine()
         old.apply(1, 1, build_command(3))
         new.apply(1, 1, build_command(9))
@@ -54,11 +54,11 @@
     entries = 2
     desired_voters = 5
 
-    def read_versions(self, stage: gateway_lab.GatewayLab) -> set[int]:
-        """Versions that the live keepers hold."""
+    def collect_versions(self, stage: gateway_lab.GatewayLab) -> set[int]:
+        """Collect the versions held by the live keepers."""
         return {item.replica.state_machine.published.version for item in stage.keepers.values()}
 
-    def test_acknowledged_outlives_power_off_for_all(self) -> None:
+    def test_acknowledged_publication_survives_power_loss_of_all(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.publish("keeper-3", gateway_lab.build_document(7))
             for name in stage.keeper_names:
@@ -66,12 +66,12 @@
             for name in stage.keeper_names:
                 await stage.start_keeper(name)
             await asyncio.sleep(4)
-            self.assertEqual(self.read_versions(stage), {7})
+            self.assertEqual(self.collect_versions(stage), {7})
             stage.keepers["keeper-2"].get_publication()
 
         self.play(scene)
 
-    def test_two_lost_disks_lose_nothing_and_get_their_votes_back(self) -> None:
+    def test_two_lost_disks_lose_no_publication_and_regain_their_votes(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.publish("keeper-1", gateway_lab.build_document(7))
             for name in ("keeper-1", "keeper-2"):
@@ -79,17 +79,17 @@
             for name in ("keeper-1", "keeper-2"):
                 await stage.start_keeper(name)
             await asyncio.sleep(6)
-            self.assertEqual(self.read_versions(stage), {7})
-            # Both vote again: two others may now be lost.
+            self.assertEqual(self.collect_versions(stage), {7})
+            # Both vote again, so two others may now be lost.
             for name in ("keeper-3", "keeper-4"):
                 await stage.kill_keeper(name)
             await asyncio.sleep(4)
             await stage.publish("keeper-1", gateway_lab.build_document(8))
-            self.assertEqual(self.read_versions(stage), {8})
+            self.assertEqual(self.collect_versions(stage), {8})
 
         self.play(scene)
 
-    def test_read_at_a_keeper_that_is_cut_off_is_refused(self) -> None:
+    def test_read_at_an_isolated_keeper_is_refused(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for name in stage.keeper_names:
                 stage.network.heal()
@@ -101,7 +101,7 @@
 
         self.play(scene)
 
-    def test_entry_that_is_cut_off_stops_trusting_keys_before_a_revoked_one_must_fail(self) -> None:
+    def test_isolated_entry_stops_trusting_keys_before_a_revoked_one_must_fail(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             runner = await stage.add_runner("t1", "app")
             await asyncio.sleep(0.5)
@@ -129,21 +129,21 @@
 
 
 class ReplacementTest(gateway_scenes.GatewayCase):
-    """A keeper that goes for good, and an empty one at another address."""
+    """A keeper that is lost for good, and a spare that gets its vote."""
 
     keepers = 4
     desired_voters = 3
 
-    def test_spare_keeper_takes_the_vote_of_one_that_is_gone(self) -> None:
+    def test_spare_keeper_gets_the_vote_of_a_lost_one(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.publish("keeper-1", gateway_lab.build_document(7))
             voters = set(stage.keepers["keeper-1"].replica.voters)
             self.assertEqual(len(voters), 3)
-            gone = next(name for name in sorted(voters) if name != "keeper-1")
-            await stage.kill_keeper(gone, wipe=True)
+            lost = next(name for name in sorted(voters) if name != "keeper-1")
+            await stage.kill_keeper(lost, wipe=True)
             await asyncio.sleep(15)
-            alive = next(iter(stage.keepers.values()))
-            self.assertEqual(set(alive.replica.voters), set(stage.keepers))
+            live = next(iter(stage.keepers.values()))
+            self.assertEqual(set(live.replica.voters), set(stage.keepers))
             await stage.kill_keeper("keeper-1")
             await asyncio.sleep(4)
             other = next(iter(stage.keepers))
@@ -151,7 +151,7 @@
 
         self.play(scene)
 
-    def test_keeper_that_is_gone_is_not_dialed_for_ever(self) -> None:
+    def test_lost_keeper_is_eventually_no_longer_dialed(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             address = stage.get_address("keeper-4")
             dialed = [item.node.get_dialed() for item in stage.keepers.values()]
@@ -165,9 +165,9 @@
 
 
 class StalledDiskTest(gateway_scenes.GatewayCase):
-    """A leader whose disk answers nothing."""
+    """A leader whose disk does not respond."""
 
-    def test_another_keeper_leads_and_changes_go_on(self) -> None:
+    def test_another_keeper_leads_and_accepts_changes(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             leader = next(
                 item
@@ -182,16 +182,16 @@
 
             leader.replica._run_blocking = stall
             other = next(name for name, item in stage.keepers.items() if item is not leader)
-            taken = False
-            began = asyncio.get_running_loop().time()
-            while not taken and asyncio.get_running_loop().time() - began < 8:
+            accepted = False
+            started_at = asyncio.get_running_loop().time()
+            while not accepted and asyncio.get_running_loop().time() - started_at < 8:
                 try:
                     async with asyncio.timeout(0.9):
                         await stage.publish(other, gateway_lab.build_document(5))
-                    taken = True
+                    accepted = True
                 except (faults.FaultError, TimeoutError):
                     await asyncio.sleep(0.3)
-            self.assertTrue(taken)
+            self.assertTrue(accepted)
             healed.set()
             await asyncio.sleep(2)
             self.assertEqual(leader.replica.state_machine.published.version, 5)
--- a/tillerlane/keeper/tests/test_restarts.py
+++ b/tillerlane/keeper/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Elections after restarts: soon, and never beside a leader that still has its lease."""
+"""Elections after restarts are fast, and never elect a second leader during a lease."""
 
 import asyncio
 import unittest
@@ -9,27 +9,27 @@
 
 
 def count_leases(stage: gateway_lab.GatewayLab) -> int:
-    """Keepers that hold a lease now."""
+    """Count the keepers that hold a lease."""
     return sum(item.replica.has_lease for item in stage.keepers.values())
 
 
 async def wait_for_lease(stage: gateway_lab.GatewayLab, seconds: float) -> float:
-    """Seconds until a keeper holds a lease; more than `seconds` if none does."""
+    """Wait until a keeper holds a lease, and return the seconds; over `seconds` if none does."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    while count_leases(stage) == 0 and loop.time() - began <= seconds:
+    started_at = loop.time()
+    while count_leases(stage) == 0 and loop.time() - started_at <= seconds:
         await asyncio.sleep(STEP_SECONDS)
-    return loop.time() - began
+    return loop.time() - started_at
 
 
 class LeaseTest(gateway_scenes.GatewayCase):
-    """A leader that was cut off from one voter, and another voter that restarts."""
+    """A leader is cut off from one voter while another voter restarts."""
 
     keepers = 3
 
-    def test_voter_that_restarts_helps_no_second_leader_while_the_lease_holds(self) -> None:
+    def test_restarted_voter_elects_no_second_leader_during_the_lease(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            # The restart comes at different moments of the other voter's election timeouts.
+            # Restart at different times within the other voter's election timeout.
             for offset in range(20):
                 stage.network.heal()
                 await asyncio.sleep(4)
@@ -49,7 +49,7 @@
 
         self.play(scene)
 
-    def test_voter_that_followed_without_a_vote_remembers_its_leader(self) -> None:
+    def test_follower_that_granted_no_vote_records_its_leader(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             leader = stage.find_leader()
             for item in stage.keepers.values():
@@ -59,20 +59,20 @@
 
 
 class RecoveryTest(gateway_scenes.GatewayCase):
-    """Everything stops at once and comes back."""
+    """All keepers, or the leader, stop and restart."""
 
     keepers = 5
     desired_voters = 5
     entries = 2
 
     async def stop_all(self, stage: gateway_lab.GatewayLab) -> str:
-        """Kill every keeper; gives the one that led."""
+        """Kill every keeper, and return the name of the leader."""
         leader = stage.find_leader()
         for name in stage.keeper_names:
             await stage.kill_keeper(name)
         return leader
 
-    def test_former_leader_leads_again_at_once(self) -> None:
+    def test_former_leader_is_elected_again_at_once(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             leader = await self.stop_all(stage)
             for name in stage.keeper_names:
@@ -82,7 +82,7 @@
 
         self.play(scene)
 
-    def test_others_lead_once_the_former_lease_has_ended(self) -> None:
+    def test_another_leader_is_elected_once_the_lease_has_ended(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             leader = await self.stop_all(stage)
             for name in stage.keeper_names:
@@ -92,7 +92,7 @@
 
         self.play(scene)
 
-    def test_leader_that_restarts_alone_leads_again_at_once(self) -> None:
+    def test_leader_that_restarts_alone_is_elected_again_at_once(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             leader = stage.find_leader()
             await stage.kill_keeper(leader)
