--- a/tillerlane/keeper/tests/test_reconfiguration_stateful.py
+++ b/tillerlane/keeper/tests/test_reconfiguration_stateful.py
@@ -1,8 +1,9 @@
-"""Who votes, under random losses: two disks at once may be lost, and nothing accepted with them.
+"""Stateful test of voter changes: up to two disks are lost at once, but no accepted publication.
 
-Five real keepers in virtual time, whose disks, addresses and seeds change.  A lost disk counts as
-lost until all keepers have been up and connected for `CATCH_UP_SECONDS`; the oracle never lets more
-than two be lost at a time.  Whatever else stops or is cut off, all must be whole after that time.
+Five real keepers run in virtual time, while their disks, addresses and seeds change.  A lost disk
+counts as lost until all keepers have been up and connected for `CATCH_UP_SECONDS`, and at most two
+disks are lost at a time.  Whatever else stops or is cut off, the voters must be complete after that
+time.
 """
 
 import asyncio
@@ -20,20 +21,20 @@
 from tillerlane.testing import gateway_lab, lab, profiles
 
 VOTERS = 5
-MOST_LOST_DISKS = 2
+MAX_LOST_DISKS = 2
 CATCH_UP_SECONDS = 4.0
 SETTLE_SECONDS = 6.0
-"""After all power was lost or all were cut off, the time that elections may take comes first."""
-NEWCOMER_SECONDS = (0.0, 1.0, 2.0)
-CASES = {"steps": 0, "lost disks": 0, "accepted": 0, "newcomers": 0, "whole": 0}
-"""What was run, printed at the end."""
+"""`CATCH_UP_SECONDS`, plus the time for elections after all keepers lost power or were cut off."""
+REPLACEMENT_DELAYS_SECONDS = (0.0, 1.0, 2.0)
+CASES = {"steps": 0, "lost disks": 0, "accepted": 0, "replacements": 0, "recovered": 0}
+"""Counts of the cases that were run, printed at exit."""
 
 RANKS = strategies.integers(0, VOTERS - 1)
-"""Which of the present keepers: the leader comes first, then the others by name."""
+"""Rank of a keeper: the leader comes first, then the others by name."""
 
 
 class ReconfigurationMachine(stateful.RuleBasedStateMachine):
-    """Random losses, exchanges and cuts."""
+    """Random losses, replacements and network cuts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,46 +44,46 @@
         self.versions = itertools.count(1)
         self.numbers = itertools.count(VOTERS + 1)
         self.accepted = -1
-        """Highest version that was accepted; keepers say -1 before there is one."""
+        """Highest accepted version; keepers report -1 before there is one."""
         self.lost_disks = 0
         self.stage = gateway_lab.GatewayLab(VOTERS, 0, VOTERS)
-        self.run(self.begin())
+        self.run(self.start_stage())
 
-    async def begin(self) -> None:
-        """Start the keepers, and wait until they have founded the log."""
+    async def start_stage(self) -> None:
+        """Start the keepers, and wait until they have bootstrapped the log."""
         await self.stage.start()
         await asyncio.sleep(SETTLE_SECONDS)
 
     def run(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Run a coroutine in this machine's virtual time."""
+        """Run a coroutine in the test's virtual time."""
         return self.loop.run_until_complete(work)
 
     def pick(self, rank: int) -> str:
-        """A keeper that has a place, up or down."""
+        """Pick a keeper of the fleet, up or down."""
         leading = self.find_leader()
         names = sorted(self.stage.keeper_names, key=lambda name: (name != leading, name))
         return names[rank % len(names)]
 
     def find_leader(self) -> str:
-        """The keeper that holds the lease; empty without one."""
-        return self.run(self.look_for_leader())
+        """Find the keeper that holds the lease; empty without one."""
+        return self.run(self.find_leader_in_loop())
 
-    async def look_for_leader(self) -> str:
-        """The same, within the loop."""
+    async def find_leader_in_loop(self) -> str:
+        """Find the leader, within the event loop."""
         return self.stage.find_leader()
 
-    # What happens
+    # Operations and faults
 
     @stateful.rule(rank=RANKS)
     def publish(self, rank: int) -> None:
-        """Publish at some keeper; the answer may stay out."""
+        """Publish at a keeper; there may be no reply."""
         CASES["steps"] += 1
         name = self.pick(rank)
         if name in self.stage.keepers:
             self.publish_at(name)
 
     def publish_at(self, name: str) -> None:
-        """Publish at a keeper, and note what was accepted."""
+        """Publish at a keeper, and record the version if it was accepted."""
         version = next(self.versions)
         try:
             self.run(self.stage.publish(name, gateway_lab.build_document(version)))
@@ -93,7 +94,7 @@
 
     @stateful.rule(rank=RANKS)
     def kill(self, rank: int) -> None:
-        """Kill a keeper; its disk stays."""
+        """Kill a keeper but keep its disk."""
         CASES["steps"] += 1
         name = self.pick(rank)
         if name in self.stage.keepers:
@@ -110,10 +111,10 @@
 
     @stateful.rule(rank=RANKS)
     def wipe(self, rank: int) -> None:
-        """Lose a keeper's disk; it starts again with an empty one."""
+        """Lose a keeper's disk, and restart the keeper with an empty one."""
         CASES["steps"] += 1
         name = self.pick(rank)
-        if self.lost_disks == MOST_LOST_DISKS or name not in self.stage.keepers:
+        if self.lost_disks == MAX_LOST_DISKS or name not in self.stage.keepers:
             return
         self.lost_disks += 1
         CASES["lost disks"] += 1
@@ -121,32 +122,32 @@
         self.run(self.stage.kill_keeper(name, wipe=True))
         self.run(self.stage.start_keeper(name))
 
-    @stateful.rule(rank=RANKS, gap=strategies.sampled_from(NEWCOMER_SECONDS))
-    def replace(self, rank: int, gap: float) -> None:
-        """Lose a keeper for good; an empty one comes at another address."""
+    @stateful.rule(rank=RANKS, delay=strategies.sampled_from(REPLACEMENT_DELAYS_SECONDS))
+    def replace(self, rank: int, delay: float) -> None:
+        """Lose a keeper for good, and start an empty one at another address."""
         CASES["steps"] += 1
         name = self.pick(rank)
-        if self.lost_disks == MOST_LOST_DISKS or name not in self.stage.keepers:
+        if self.lost_disks == MAX_LOST_DISKS or name not in self.stage.keepers:
             return
         self.lost_disks += 1
         CASES["lost disks"] += 1
-        CASES["newcomers"] += 1
+        CASES["replacements"] += 1
         self.publish_at(name)
         self.run(self.stage.lose_keeper(name))
-        self.run(asyncio.sleep(gap))
-        newcomer = f"keeper-{next(self.numbers)}"
-        self.stage.add_keeper(newcomer)
-        self.run(self.stage.start_keeper(newcomer))
+        self.run(asyncio.sleep(delay))
+        new_keeper = f"keeper-{next(self.numbers)}"
+        self.stage.add_keeper(new_keeper)
+        self.run(self.stage.start_keeper(new_keeper))
 
     @stateful.rule(first=RANKS, step=strategies.integers(1, VOTERS - 1))
-    def exchange_seeds(self, first: int, step: int) -> None:
-        """Name other seeds; they may all be keepers that don't lead."""
+    def replace_seeds(self, first: int, step: int) -> None:
+        """Set other seeds, possibly none of them the leader."""
         CASES["steps"] += 1
         names = {self.pick(first + number * step) for number in range(3)}
-        self.run(self.name_seeds(sorted(names)))
+        self.run(self.set_seeds(sorted(names)))
 
-    async def name_seeds(self, names: list[str]) -> None:
-        """Exchange the seeds, within the loop."""
+    async def set_seeds(self, names: list[str]) -> None:
+        """Set the seeds, within the event loop."""
         self.stage.set_seeds(names)
 
     @stateful.rule(rank=RANKS)
@@ -161,15 +162,15 @@
         self.run(self.heal_cuts())
 
     async def heal_cuts(self) -> None:
-        """End all cuts, within the loop."""
+        """End all cuts, within the event loop."""
         self.stage.network.heal()
 
-    @stateful.rule(ranks=strategies.sets(RANKS, max_size=MOST_LOST_DISKS))
+    @stateful.rule(ranks=strategies.sets(RANKS, max_size=MAX_LOST_DISKS))
     def lose_power(self, ranks: set[int]) -> None:
-        """Have all lose power at once, and some their disks."""
+        """Cut the power of all keepers at once, and lose the disks of some."""
         CASES["steps"] += 1
         wiped = sorted({self.pick(rank) for rank in ranks} & set(self.stage.keepers))
-        wiped = wiped[: MOST_LOST_DISKS - self.lost_disks]
+        wiped = wiped[: MAX_LOST_DISKS - self.lost_disks]
         self.lost_disks += len(wiped)
         CASES["lost disks"] += len(wiped)
         if wiped:
@@ -181,20 +182,20 @@
         """Let time pass."""
         self.run(asyncio.sleep(seconds))
 
-    # What must hold
+    # Invariants
 
     @stateful.invariant()
-    def one_lease_at_most(self) -> None:
+    def at_most_one_lease(self) -> None:
         """No two keepers hold a lease."""
         assert self.run(self.count_leases()) <= 1
 
     async def count_leases(self) -> int:
-        """Keepers that hold a lease now."""
+        """Count the keepers that hold a lease."""
         return sum(item.replica.has_lease for item in self.stage.keepers.values())
 
     @stateful.rule()
-    def become_whole(self) -> None:
-        """Heal, start all, and find all whole after the time that a newcomer has."""
+    def recover(self) -> None:
+        """Heal, start all, and check the voters after the time that a new keeper may take."""
         CASES["steps"] += 1
         self.run(self.heal_cuts())
         for name in self.stage.keeper_names:
@@ -203,7 +204,7 @@
         self.run(asyncio.sleep(SETTLE_SECONDS - CATCH_UP_SECONDS))
         self.run(asyncio.sleep(CATCH_UP_SECONDS))
         leader = self.find_leader()
-        assert leader, "nobody leads"
+        assert leader, "no leader"
         replica = self.stage.keepers[leader].replica
         assert replica.state_machine.published.version >= self.accepted, "accepted version lost"
         disks = {name: item.replica.storage.disk_id for name, item in self.stage.keepers.items()}
@@ -211,12 +212,12 @@
         assert on_record == {name: disks.get(name) for name in on_record}, (on_record, disks)
         assert len(on_record) == VOTERS, on_record
         self.lost_disks = 0
-        CASES["whole"] += 1
+        CASES["recovered"] += 1
 
     def teardown(self) -> None:
-        """All become whole in the end."""
+        """Check that all keepers recover at the end."""
         try:
-            self.become_whole()
+            self.recover()
         finally:
             lab.close_loop(self.loop)
 
@@ -227,8 +228,8 @@
 
 @atexit.register
 def print_cases() -> None:
-    """Say what was run."""
-    print(f"turnover: {CASES}")
+    """Print the counts."""
+    print(f"reconfiguration: {CASES}")
 
 
 if __name__ == "__main__":
--- a/tillerlane/keeper/tests/test_replacement.py
+++ b/tillerlane/keeper/tests/test_replacement.py
@@ -1,18 +1,11 @@
-"""A keeper is lost for good, another one comes, and then two more disks are lost.
-
-The story.  Users could not read their configuration back, and each request was refused with "no
-configuration yet", for as long as they watched.  Before that a keeper had been lost for good and
-an empty one had come at another address; seeds had been exchanged; a change had been acknowledged;
-then two keepers lost their disks, and all hosts power.  Five voters were on record, the lost one
-among them, and two of their disks were left: nobody could lead.
-
-The cause.  The newcomer had never got the lost one's vote, 25 s after it came.  The leader was no
-seed.  A newcomer spoke to its seeds and to those that had spoken to it, and to a leader that is
-neither it did not speak; nor the leader to it: each had heard of the other from others only.
-
-The evidence.  Lines of all keepers in a play of the same order of events: the leader knows of no
-keeper that waits for a vote (``waiting`` of ``keeper.voters``), while the three that are seeds do;
-when the leader was a seed, or a voter other than the leader was lost, the newcomer voted.
+"""Replacement of a keeper that is lost for good, followed by the loss of two more disks.
+
+Guards against a new keeper that never gets the lost one's vote.  The leader was no seed, and the
+new keeper and the leader knew each other only from reports of others, so neither contacted the
+other and the new keeper had no vote 25 s after its start.  The leader's ``keeper.voters`` then
+lists no ``waiting`` keeper, while those of the three seeds do.  When two more disks were lost, two
+disks of five voters on record were left: no leader could be elected, and every request was refused
+with "no configuration yet".
 """
 
 import asyncio
@@ -20,30 +13,30 @@
 
 from tillerlane.testing import gateway_lab, gateway_scenes
 
-NEWCOMER = "keeper-6"
-NEWCOMER_SECONDS = 1.0
-"""From a keeper's loss to the start of its successor."""
+NEW_KEEPER = "keeper-6"
+REPLACEMENT_DELAY_SECONDS = 1.0
+"""Time from the loss of a keeper to the start of its successor."""
 CATCH_UP_SECONDS = 4.0
-"""After its start a newcomer counts as whole again: the next two disks may be lost."""
+"""Time from the start of a new keeper until the next two disks may be lost."""
 RECOVERY_SECONDS = 5.0
-"""How long keepers that are back may take until one leads: three elections."""
+"""Time in which restarted keepers must elect a leader: three elections."""
 
 
 def list_followers(stage: gateway_lab.GatewayLab) -> list[str]:
-    """Names of the live keepers that don't lead."""
+    """List the names of the live keepers that don't lead."""
     return [name for name in stage.keepers if name != stage.find_leader()]
 
 
 async def replace(stage: gateway_lab.GatewayLab, lost: str) -> None:
-    """Lose a keeper for good, and start an empty one elsewhere."""
+    """Lose a keeper for good, and start an empty one at another address."""
     await stage.lose_keeper(lost)
-    await asyncio.sleep(NEWCOMER_SECONDS)
-    stage.add_keeper(NEWCOMER)
-    await stage.start_keeper(NEWCOMER)
+    await asyncio.sleep(REPLACEMENT_DELAY_SECONDS)
+    stage.add_keeper(NEW_KEEPER)
+    await stage.start_keeper(NEW_KEEPER)
 
 
 class ReplacementCase(gateway_scenes.GatewayCase):
-    """Five keepers, of which two may be lost at once; base of the tests."""
+    """Five keepers, of which two may be lost at once; base class of the tests."""
 
     keepers = 5
     desired_voters = 5
@@ -51,7 +44,7 @@
     async def check_serves_after_two_losses(
         self, stage: gateway_lab.GatewayLab, wiped: list[str]
     ) -> None:
-        """Acknowledge a change, lose two disks and all power, and read the change back."""
+        """Publish a change, lose two disks and all power, and check that the change is in force."""
         version = max(
             item.replica.state_machine.published.version for item in stage.keepers.values()
         )
@@ -59,52 +52,52 @@
         await stage.lose_power(wiped)
         await asyncio.sleep(RECOVERY_SECONDS)
         leader = stage.find_leader()
-        self.assertNotEqual(leader, "", f"nobody leads without the disks of {wiped}")
+        self.assertNotEqual(leader, "", f"no leader without the disks of {wiped}")
         self.assertEqual(stage.keepers[leader].replica.state_machine.published.version, version + 1)
 
 
-class HearsayTest(ReplacementCase):
-    """The seeds don't name the leader."""
+class IndirectDiscoveryTest(ReplacementCase):
+    """The leader is not a seed, so a new keeper learns of it from others."""
 
-    async def exchange_seeds(self, stage: gateway_lab.GatewayLab) -> None:
-        """Name three live keepers as seeds that don't lead, and lose the former leader."""
+    async def replace_seeds(self, stage: gateway_lab.GatewayLab) -> None:
+        """Lose the leader, and set three live keepers that don't lead as seeds."""
         await stage.lose_keeper(stage.find_leader())
-        await asyncio.sleep(NEWCOMER_SECONDS * 2)
+        await asyncio.sleep(REPLACEMENT_DELAY_SECONDS * 2)
         stage.set_seeds(list_followers(stage)[:3])
 
-    def test_newcomer_gets_the_lost_vote_though_the_leader_is_no_seed(self) -> None:
+    def test_new_keeper_gets_the_lost_vote_though_the_leader_is_no_seed(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            await self.exchange_seeds(stage)
-            stage.add_keeper(NEWCOMER)
-            await stage.start_keeper(NEWCOMER)
+            await self.replace_seeds(stage)
+            stage.add_keeper(NEW_KEEPER)
+            await stage.start_keeper(NEW_KEEPER)
             await asyncio.sleep(25)
             leader = stage.find_leader()
-            self.assertIn(NEWCOMER, stage.keepers[leader].replica.voters)
-            wiped = [leader, next(name for name in list_followers(stage) if name != NEWCOMER)]
+            self.assertIn(NEW_KEEPER, stage.keepers[leader].replica.voters)
+            wiped = [leader, next(name for name in list_followers(stage) if name != NEW_KEEPER)]
             await self.check_serves_after_two_losses(stage, wiped)
 
         self.play(scene)
 
-    def test_former_seed_that_is_gone_is_dialed_no_more(self) -> None:
+    def test_former_seed_that_is_down_is_no_longer_dialed(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            # It was down all the while, so nobody but the settings ever told of it.
+            # It was never up, so that only the settings name it.
             stage.add_keeper("keeper-9")
             address = stage.get_address("keeper-9")
             stage.set_seeds(["keeper-9", "keeper-2", "keeper-3"])
             await asyncio.sleep(1)
             dialed = [item.node.get_dialed() for item in stage.keepers.values()]
-            self.assertTrue(all(address in found for found in dialed))
+            self.assertTrue(all(address in addresses for addresses in dialed))
             stage.set_seeds(["keeper-1", "keeper-2", "keeper-3"])
             await asyncio.sleep(1)
             dialed = [item.node.get_dialed() for item in stage.keepers.values()]
-            self.assertFalse(any(address in found for found in dialed))
-            self.assertTrue(all(len(found) == self.keepers - 1 for found in dialed), dialed)
+            self.assertFalse(any(address in addresses for addresses in dialed))
+            self.assertTrue(all(len(addresses) == self.keepers - 1 for addresses in dialed), dialed)
 
         self.play(scene)
 
 
-class TimeTest(ReplacementCase):
-    """Whoever is lost, the vote is the newcomer's when it counts as whole."""
+class CatchUpTest(ReplacementCase):
+    """A new keeper has the vote of a lost leader or follower within `CATCH_UP_SECONDS`."""
 
     def check(self, lost: str) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -112,33 +105,33 @@
             await replace(stage, name)
             await asyncio.sleep(CATCH_UP_SECONDS)
             leader = stage.find_leader()
-            wiped = [leader, next(name for name in list_followers(stage) if name != NEWCOMER)]
+            wiped = [leader, next(name for name in list_followers(stage) if name != NEW_KEEPER)]
             await self.check_serves_after_two_losses(stage, wiped)
 
         self.play(scene)
 
-    def test_two_disks_may_be_lost_once_a_newcomer_counts_as_whole(self) -> None:
+    def test_two_disks_may_be_lost_once_a_new_keeper_has_caught_up(self) -> None:
         for lost in ("leader", "follower"):
             with self.subTest(lost=lost):
                 self.check(lost)
 
 
-class PlannedTest(ReplacementCase):
-    """The newcomer comes first, and counts as whole; then its predecessor stops for good."""
+class PlannedReplacementTest(ReplacementCase):
+    """Planned replacement: the new keeper catches up before its predecessor stops for good."""
 
     def check(self, leads: bool) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            stage.add_keeper(NEWCOMER)
-            await stage.start_keeper(NEWCOMER)
+            stage.add_keeper(NEW_KEEPER)
+            await stage.start_keeper(NEW_KEEPER)
             await asyncio.sleep(CATCH_UP_SECONDS)
-            followers = [name for name in list_followers(stage) if name != NEWCOMER]
+            followers = [name for name in list_followers(stage) if name != NEW_KEEPER]
             stopped = stage.find_leader() if leads else followers[0]
             await stage.stop_keeper(stopped)
             stage.keeper_names.remove(stopped)
-            wiped = [name for name in stage.keeper_names if name != NEWCOMER][:2]
+            wiped = [name for name in stage.keeper_names if name != NEW_KEEPER][:2]
             await stage.lose_power(wiped)
             await asyncio.sleep(RECOVERY_SECONDS)
-            self.assertNotEqual(stage.find_leader(), "", f"nobody leads without {wiped}")
+            self.assertNotEqual(stage.find_leader(), "", f"no leader without {wiped}")
 
         self.play(scene)
 
@@ -147,18 +140,18 @@
             with self.subTest(leads=leads):
                 self.check(leads)
 
-    def test_stop_without_a_standby_waits_for_nobody(self) -> None:
+    def test_stop_without_a_standby_does_not_wait(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await stage.stop_keeper(list_followers(stage)[0])
-            self.assertLess(asyncio.get_running_loop().time() - began, 0.1)
+            self.assertLess(asyncio.get_running_loop().time() - started_at, 0.1)
 
         self.play(scene)
 
-    def test_keepers_restarted_in_turn_all_vote_or_stand_by(self) -> None:
+    def test_keepers_restarted_in_turn_vote_or_stand_by(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            stage.add_keeper(NEWCOMER)
-            await stage.start_keeper(NEWCOMER)
+            stage.add_keeper(NEW_KEEPER)
+            await stage.start_keeper(NEW_KEEPER)
             await asyncio.sleep(CATCH_UP_SECONDS)
             for name in list(stage.keeper_names):
                 await stage.stop_keeper(name)
@@ -172,43 +165,43 @@
         self.play(scene)
 
 
-class InterruptedTest(ReplacementCase):
-    """The leader is lost in the middle of an exchange, and comes back."""
+class InterruptedReplacementTest(ReplacementCase):
+    """The leader is killed in the middle of a replacement, and restarts."""
 
-    async def wait_for_a_step(self, stage: gateway_lab.GatewayLab) -> str:
-        """Wait until the voters on the leader's record are no longer five; gives the leader."""
+    async def wait_for_voter_change(self, stage: gateway_lab.GatewayLab) -> str:
+        """Wait until the leader has changed the number of voters, and return its name."""
         while True:
             await asyncio.sleep(0.001)
             leader = stage.find_leader()
             if leader and len(stage.keepers[leader].replica.voters) != self.desired_voters:
                 return leader
 
-    def test_two_disks_may_be_lost_once_the_leader_counts_as_whole_again(self) -> None:
+    def test_two_disks_may_be_lost_once_the_leader_has_caught_up(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await replace(stage, list_followers(stage)[-1])
-            leader = await self.wait_for_a_step(stage)
+            leader = await self.wait_for_voter_change(stage)
             await stage.kill_keeper(leader)
             await asyncio.sleep(1)
             await stage.start_keeper(leader)
             await asyncio.sleep(CATCH_UP_SECONDS)
-            wiped = [name for name in list_followers(stage) if name not in (NEWCOMER, leader)][:2]
+            wiped = [name for name in list_followers(stage) if name not in (NEW_KEEPER, leader)][:2]
             await self.check_serves_after_two_losses(stage, wiped)
 
         self.play(scene)
 
 
 class SeedsWithoutVotesTest(ReplacementCase):
-    """Seeds are exchanged for keepers that have no vote, and an entry knows nobody else."""
+    """The seeds are replaced by keepers without a vote, and a new entry knows no other keepers."""
 
     async def add_spares(self, stage: gateway_lab.GatewayLab, count: int) -> list[str]:
-        """Start further keepers, empty, while five vote."""
+        """Start further empty keepers beside the five voters."""
         names = [f"keeper-{number}" for number in range(6, 6 + count)]
         for name in names:
             stage.add_keeper(name)
             await stage.start_keeper(name)
         return names
 
-    def test_entry_that_starts_anew_serves(self) -> None:
+    def test_new_entry_serves(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "app")
             stage.set_seeds(await self.add_spares(stage, 3))
@@ -220,11 +213,11 @@
 
         self.play(scene)
 
-    def test_entry_learns_who_votes_from_a_keeper_that_has_just_started(self) -> None:
+    def test_entry_learns_the_voters_from_a_new_keeper(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "app")
             await asyncio.sleep(0.5)
-            # More than follow the log, so that the entry's seeds hold nothing themselves.
+            # More than follow the log, so that the entry's seeds don't hold the configuration.
             names = await self.add_spares(stage, 4 + 3)
             await asyncio.sleep(1)
             followed = stage.keepers[stage.find_leader()].replica.replication.standbys
@@ -238,14 +231,14 @@
 
 
 class LaterTermTest(ReplacementCase):
-    """A keeper that once asked for votes in vain knows a later term, and lacks what came since."""
+    """A keeper that lost an election is in a later term, and lacks later entries."""
 
-    def test_three_disks_on_record_elect_a_leader_whatever_terms_they_know(self) -> None:
+    def test_three_disks_on_record_elect_a_leader_whatever_their_terms(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             leader = stage.find_leader()
             behind, first, second, third = list_followers(stage)
-            # What a candidate's disk holds that won its pre-vote while the leader paused, and was
-            # cut off before it could ask for votes.
+            # The state of a candidate that won its pre-vote while the leader was paused, and was
+            # cut off before it could request votes.
             stage.network.isolate(behind)
             storage = stage.keepers[behind].replica.storage
             storage.save_vote(storage.term + 1, behind)
