--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -17,7 +17,8 @@
 __all__ = ["ELECTION_TIMEOUT_SECONDS", "LEASE_SECONDS", "Elections", "Participant"]
 
 ELECTION_TIMEOUT_SECONDS = (1.0, 1.6)
-"""Range of the election timeout, from which each timeout is sampled."""
+"""Range of the election timeout, the time without contact with a leader after which a voter
+campaigns.  Each timeout is sampled from it."""
 ELECTION_CHECK_INTERVAL_SECONDS = 0.1
 MIN_CHECK_INTERVAL_SECONDS = 0.005
 """Lower bound of the interval between two checks, so that they never hog the event loop."""
@@ -126,7 +127,7 @@
         self.heard_at = -1e9
         self._election_at = 0.0
         self._started_at = math.inf
-        """Event loop time of the start; before it, this keeper supports no candidate."""
+        """Event loop time of the start; until then, this keeper supports no new leader."""
         self.lost_elections = 0
         self._last_logged_loss: tuple[dict[str, str], float] | None = None
 
@@ -330,7 +331,7 @@
         """Find the reason to refuse a candidate; None if its vote is granted."""
         storage = self._participant.storage
         if self._has_live_leader(request.candidate):
-            return votes.VoteRefusal.LEADER_LIVES
+            return votes.VoteRefusal.LEADER_ALIVE
         if (request.last_term, request.last_index) < (storage.last_term, storage.last_index):
             return votes.VoteRefusal.SHORTER_LOG
         is_in_term = request.term > storage.term if request.pre else request.term == storage.term
--- a/tillerlane/keeper/pending.py
+++ b/tillerlane/keeper/pending.py
@@ -16,7 +16,7 @@
     """A command, and the future of its reply."""
 
     command: bytes
-    answer: "asyncio.Future[dict[str, Any]]"
+    reply: "asyncio.Future[dict[str, Any]]"
 
 
 class PendingProposals:
@@ -40,9 +40,9 @@
 
     def add(self, command: bytes, *, first: bool = False) -> Proposal:
         """Queue a command, last or before all others."""
-        answer = asyncio.get_running_loop().create_future()
-        answer.add_done_callback(lambda future: future.cancelled() or future.exception())
-        proposal = Proposal(command, answer)
+        reply = asyncio.get_running_loop().create_future()
+        reply.add_done_callback(lambda future: future.cancelled() or future.exception())
+        proposal = Proposal(command, reply)
         self._queue.insert(0 if first else len(self._queue), proposal)
         self.queued.set()
         return proposal
@@ -58,17 +58,17 @@
         """Record the index at which a proposal was appended."""
         self._appended[index] = proposal
 
-    def resolve(self, index: int, answer: dict[str, Any]) -> None:
+    def resolve(self, index: int, reply: dict[str, Any]) -> None:
         """Resolve the proposal of the entry at an index, if there is one."""
         proposal = self._appended.pop(index, None)
-        if proposal is not None and not proposal.answer.done():
-            proposal.answer.set_result(answer)
+        if proposal is not None and not proposal.reply.done():
+            proposal.reply.set_result(reply)
 
     def fail_all(self, reason: str) -> None:
         """Fail all proposals with an unknown outcome; they may still be committed."""
         for proposal in [*self._queue, *self._appended.values()]:
-            if not proposal.answer.done():
-                proposal.answer.set_exception(build_outcome_unknown(reason))
+            if not proposal.reply.done():
+                proposal.reply.set_exception(build_outcome_unknown(reason))
         self._queue = []
         self._appended = {}
 
--- a/tillerlane/keeper/replica.py
+++ b/tillerlane/keeper/replica.py
@@ -160,7 +160,7 @@
             for task in pending:
                 task.cancel()
             _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_DELAY_SECONDS)
-        self._pending.fail_all("the keeper stops")
+        self._pending.fail_all("the keeper is stopping")
 
     def _is_running(self, name: str) -> bool:
         """Whether a task that `_start_task` started under this name is still running."""
@@ -293,7 +293,7 @@
         self.elections.heard_at = self._now()
         self._is_changing_voters = False
         self._timeline.record("keeper.lead", term=self.storage.term)
-        self._pending.fail_all("a new term began")
+        self._pending.fail_all("a new term started")
         self._pending.add(commands.encode(commands.Noop()), first=True)
         self._noop_index = self.storage.last_index + 1
         self.replication.start(self.voters)
@@ -338,14 +338,14 @@
         """
         self._check_disk()
         if not self.has_lease:
-            message = f"{self.name} is {self.role} without a lease"
+            message = f"{self.name} is {self.role} without the leader lease"
             detail = {"leader": self.leader}
             raise proposals.build_no_quorum(message, detail=detail)
         proposal = self._pending.add(command)
         try:
-            return await asyncio.wait_for(asyncio.shield(proposal.answer), COMMIT_TIMEOUT_SECONDS)
+            return await asyncio.wait_for(asyncio.shield(proposal.reply), COMMIT_TIMEOUT_SECONDS)
         except TimeoutError as error:
-            raise pending.build_outcome_unknown("not committed in time") from error
+            raise pending.build_outcome_unknown("not committed before the time-out") from error
 
     async def _write_proposals(self) -> None:
         """Append queued proposals in batches: all that queue up during one sync share the next."""
@@ -399,10 +399,10 @@
         return self._after_apply()
 
     def _apply_entry(self, entry: messages.LogEntry) -> None:
-        answer = self.state_machine.apply(entry.term, entry.index, commands.decode(entry.command))
+        reply = self.state_machine.apply(entry.term, entry.index, commands.decode(entry.command))
         self.applied_index = entry.index
         self._bytes_since_snapshot += len(entry.command)
-        self._pending.resolve(entry.index, {**answer, "index": entry.index, "term": entry.term})
+        self._pending.resolve(entry.index, {**reply, "index": entry.index, "term": entry.term})
 
     def _after_apply(self) -> None:
         if self.voters == self.state_machine.voters:
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -73,8 +73,8 @@
             case messages.SnapshotPiece():
                 exchange.send(await self.replica.handle_snapshot_piece(body))
             case messages.Propose():
-                answer = await self.propose(body.command, body.hops)
-                exchange.send(messages.ProposeReply(msgspec.json.encode(answer)))
+                reply = await self.propose(body.command, body.hops)
+                exchange.send(messages.ProposeReply(msgspec.json.encode(reply)))
             case _:
                 return False
         return True
--- a/tillerlane/keeper/storage.py
+++ b/tillerlane/keeper/storage.py
@@ -259,7 +259,10 @@
         return None
 
     def get_entries(self, begin: int, limit: int, max_bytes: int) -> list[messages.LogEntry]:
-        """Return entries from index `begin` on: up to `limit`, and `max_bytes` after the first."""
+        """Return entries from index `begin` on.
+
+        At most `limit` entries, and `max_bytes` of commands unless the first one is larger.
+        """
         position = begin - self.snapshot.last_index - 1
         chosen: list[messages.LogEntry] = []
         size = 0
--- a/tillerlane/keeper/tests/test_parts.py
+++ b/tillerlane/keeper/tests/test_parts.py
@@ -107,8 +107,8 @@
         queue.record_appended(7, first)
         queue.resolve(8, {"of": "nobody"})
         queue.resolve(7, {"index": 7})
-        self.assertEqual(await first.answer, {"index": 7})
-        self.assertFalse(later.answer.done())
+        self.assertEqual(await first.reply, {"index": 7})
+        self.assertFalse(later.reply.done())
 
     async def test_failed_proposals_have_an_unknown_outcome(self) -> None:
         queue = pending.PendingProposals()
@@ -117,7 +117,7 @@
         queue.fail_all("another keeper leads")
         for proposal in proposals:
             with self.assertRaises(faults.FaultError) as caught:
-                await proposal.answer
+                await proposal.reply
             self.assertEqual(caught.exception.fault.ran, "unknown")
         self.assertFalse(queue.has_queued)
         await asyncio.sleep(0)
--- a/tillerlane/keeper/votes.py
+++ b/tillerlane/keeper/votes.py
@@ -29,7 +29,7 @@
 class VoteRefusal(enum.StrEnum):
     """Reasons for which a voter refuses its vote."""
 
-    LEADER_LIVES = "it hears a leader, or one may still hold a lease"
+    LEADER_ALIVE = "it hears a leader, or one may still hold a lease"
     SHORTER_LOG = "the candidate's log is shorter"
     OTHER_TERM = "it is in the term asked for, or a later one"
     VOTE_GIVEN = "it gave its vote of this term to another"
@@ -41,8 +41,8 @@
     GRANTED = "granted"
     REFUSED = "refused"
     OTHER_DISK = "granted by a disk that is not on record"
-    NO_ANSWER = "no link or no answer"
-    OPEN = "not awaited, the vote was decided"
+    NO_REPLY = "no link or no answer"
+    NOT_AWAITED = "not awaited, the vote was decided"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -98,7 +98,7 @@
         asyncio.create_task(request_vote(get_link, voter.address, request)): name
         for name, voter in others.items()
     }
-    verdicts: dict[str, str] = dict.fromkeys(others, VoteOutcome.OPEN.value)
+    verdicts: dict[str, str] = dict.fromkeys(others, VoteOutcome.NOT_AWAITED.value)
     latest_term = 0
     granted = 1
     pending = set(requests)
@@ -125,7 +125,7 @@
 def _classify_reply(reply: messages.VoteReply | None, voter: commands.Voter) -> str:
     """Classify a voter's reply as a `VoteOutcome`, with the reason of a refusal."""
     if reply is None:
-        return VoteOutcome.NO_ANSWER.value
+        return VoteOutcome.NO_REPLY.value
     if not reply.granted:
         return f"{VoteOutcome.REFUSED}: {reply.reason}, term {reply.term}"
     if reply.disk_id != voter.disk_id:
