--- a/tillerlane/keeper/elections.py
+++ b/tillerlane/keeper/elections.py
@@ -159,10 +159,10 @@
 
     def _sample_startup_timeout(self) -> float:
         """Sample the seconds from the start to this keeper's first campaign."""
-        own = self._participant
-        if not own.voters and self._configured_count > 1:
+        participant = self._participant
+        if not participant.voters and self._configured_count > 1:
             return self._sample_timeout()
-        if own.storage.voted_for in ("", own.name):
+        if participant.storage.voted_for in ("", participant.name):
             return self._rng.uniform(*ELECTION_RETRY_DELAY_SECONDS)
         return self._rng.uniform(*STARTUP_ELECTION_TIMEOUT_SECONDS)
 
@@ -172,15 +172,15 @@
         """Campaign whenever the election timeout expires, until cancelled."""
         while True:
             await asyncio.sleep(self._compute_check_delay())
-            own = self._participant
-            if own.disk_fault is not None:
+            participant = self._participant
+            if participant.disk_fault is not None:
                 continue
-            if own.is_stalled:
-                if own.is_leading:
-                    self._timeline.record("keeper.disk_stalled", term=own.storage.term)
-                    own.become_follower(own.storage.term, "")
+            if participant.is_stalled:
+                if participant.is_leading:
+                    self._timeline.record("keeper.disk_stalled", term=participant.storage.term)
+                    participant.become_follower(participant.storage.term, "")
                 continue
-            if own.is_leading:
+            if participant.is_leading:
                 self._check_lease()
                 continue
             if _now() >= self._election_at:
@@ -193,28 +193,28 @@
 
     def _check_lease(self) -> None:
         """Step down if the lease has not been renewed for twice its duration."""
-        own = self._participant
-        if own.has_lease:
+        participant = self._participant
+        if participant.has_lease:
             self.heard_at = _now()
         elif not self.has_heard_leader(LEASE_SECONDS * 2):
-            self._timeline.record("keeper.lease_lost", term=own.storage.term)
-            own.become_follower(own.storage.term, "")
+            self._timeline.record("keeper.lease_lost", term=participant.storage.term)
+            participant.become_follower(participant.storage.term, "")
 
     async def _campaign(self) -> None:
-        own = self._participant
-        if not own.voters:
+        participant = self._participant
+        if not participant.voters:
             await self._try_bootstrap()
             return
-        if not own.is_voter or self._may_back_lease(own.name):
+        if not participant.is_voter or self._may_back_lease(participant.name):
             return
-        if not await self._collect_votes(own.storage.term + 1, pre=True):
+        if not await self._collect_votes(participant.storage.term + 1, pre=True):
             return
-        async with own.write_lock:
-            term = own.storage.term + 1
-            await own.write(own.storage.save_vote, term, own.name)
-        own.become_candidate()
-        if await self._collect_votes(term, pre=False) and own.storage.term == term:
-            own.become_leader()
+        async with participant.write_lock:
+            term = participant.storage.term + 1
+            await participant.write(participant.storage.save_vote, term, participant.name)
+        participant.become_candidate()
+        if await self._collect_votes(term, pre=False) and participant.storage.term == term:
+            participant.become_leader()
 
     def _build_vote_request(self, term: int, *, pre: bool) -> messages.VoteRequest:
         storage = self._participant.storage
@@ -224,15 +224,17 @@
 
     async def _collect_votes(self, term: int, *, pre: bool) -> bool:
         """Request the votes of all voters; whether a quorum grants them."""
-        own = self._participant
+        participant = self._participant
         request = self._build_vote_request(term, pre=pre)
-        others = {name: voter for name, voter in own.voters.items() if name != own.name}
-        needed = voter_rules.compute_quorum(len(own.voters))
+        others = {
+            name: voter for name, voter in participant.voters.items() if name != participant.name
+        }
+        needed = voter_rules.compute_quorum(len(participant.voters))
         result = await votes.collect_votes(self._get_link, request, others, needed)
         if not result.is_won:
             self._record_loss(request, needed, result)
-        if result.later_term > own.storage.term:
-            await own.follow_term(result.later_term)
+        if result.later_term > participant.storage.term:
+            await participant.follow_term(result.later_term)
         return result.is_won
 
     def _record_loss(
@@ -259,43 +261,49 @@
 
     async def _try_bootstrap(self) -> None:
         """Bootstrap the log, if every bootstrap peer replies with a fresh disk."""
-        own = self._participant
-        bootstrap_peers = self._list_bootstrap_peers() if own.storage.is_fresh else {}
-        if own.name not in bootstrap_peers:
+        participant = self._participant
+        bootstrap_peers = self._list_bootstrap_peers() if participant.storage.is_fresh else {}
+        if participant.name not in bootstrap_peers:
             return
         request = self._build_vote_request(1, pre=True)
-        voters = {own.name: commands.Voter(bootstrap_peers[own.name], own.storage.disk_id)}
+        voters = {
+            participant.name: commands.Voter(
+                bootstrap_peers[participant.name], participant.storage.disk_id
+            )
+        }
         for name, address in bootstrap_peers.items():
-            if name == own.name:
+            if name == participant.name:
                 continue
             reply = await votes.request_vote(self._get_link, address, request)
             if reply is None or not reply.fresh:
                 return
             voters[name] = commands.Voter(address, reply.disk_id)
-        async with own.write_lock:
-            await own.write(own.storage.save_vote, 1, own.name)
+        async with participant.write_lock:
+            await participant.write(participant.storage.save_vote, 1, participant.name)
             entry = messages.LogEntry(1, 1, commands.encode(commands.Bootstrap(voters)))
-            await own.write(own.storage.append, [entry])
+            await participant.write(participant.storage.append, [entry])
         self._timeline.record("keeper.found", voters=sorted(voters))
-        own.become_leader()
+        participant.become_leader()
 
     # Voting
 
     async def handle_vote_request(self, request: messages.VoteRequest) -> messages.VoteReply:
         """Grant or refuse a vote."""
-        own = self._participant
-        is_later = not request.pre and request.term > own.storage.term
+        participant = self._participant
+        is_later = not request.pre and request.term > participant.storage.term
         if is_later and not self._has_live_leader(request.candidate):
-            await own.follow_term(request.term)
+            await participant.follow_term(request.term)
         refusal = self._find_refusal(request)
         if refusal is None and not request.pre:
-            async with own.write_lock:
+            async with participant.write_lock:
                 refusal = self._find_refusal(request)
-                if refusal is None and own.storage.voted_for != request.candidate:
-                    await own.write(own.storage.save_vote, request.term, request.candidate)
+                if refusal is None and participant.storage.voted_for != request.candidate:
+                    await participant.write(
+                        participant.storage.save_vote, request.term, request.candidate
+                    )
             if refusal is None:
                 self._election_at = _now() + self._sample_timeout()
-        storage = own.storage
+        storage = participant.storage
         return messages.VoteReply(
             storage.term,
             refusal is None,
@@ -318,13 +326,13 @@
 
     def _has_live_leader(self, candidate: str) -> bool:
         """Whether a leader is or may be alive, so that no other candidate is supported."""
-        own = self._participant
-        if own.is_leading:
-            return own.has_lease
+        participant = self._participant
+        if participant.is_leading:
+            return participant.has_lease
         if self._may_back_lease(candidate):
             return True
         # A leader that campaigns for a later term no longer leads.
-        has_other_leader = own.leader not in ("", candidate)
+        has_other_leader = participant.leader not in ("", candidate)
         return has_other_leader and self.has_heard_leader(ELECTION_TIMEOUT_SECONDS[0])
 
     def _find_refusal(self, request: messages.VoteRequest) -> votes.VoteRefusal | None:
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -222,26 +222,26 @@
         In a planned replacement the successor has been present for some time, so the fleet must
         tolerate further losses of disks from the moment at which this keeper stops.
         """
-        own = self._replica
-        assert own is not None
+        replica = self._replica
+        assert replica is not None
         others = {seen.name for seen in self._known_keepers.list_alive()}
-        if not own.is_voter or others <= set(own.voters):
+        if not replica.is_voter or others <= set(replica.voters):
             return
         self._is_leaving = True
         self._announcement_due.set()
         started_at = self._now()
-        while own.is_voter and self._now() - started_at < LEAVE_TIMEOUT_SECONDS:
+        while replica.is_voter and self._now() - started_at < LEAVE_TIMEOUT_SECONDS:
             await asyncio.sleep(LEAVE_CHECK_INTERVAL_SECONDS)
         self._timeline.record(
-            "keeper.left_vote", done=not own.is_voter, took_s=round(self._now() - started_at, 3)
+            "keeper.left_vote", done=not replica.is_voter, took_s=round(self._now() - started_at, 3)
         )
 
     def _update_quorum(self) -> None:
         """Update the monitor with this keeper's view of the quorum."""
-        own = self._replica
-        assert own is not None
+        replica = self._replica
+        assert replica is not None
         heard = {seen.name: seen.disk_id for seen in self._known_keepers.list_alive()}
-        disk_id = own.storage.disk_id
+        disk_id = replica.storage.disk_id
         self.quorum_monitor.update(
-            quorum.build_view(self._name, disk_id, own.leader, own.voters, heard)
+            quorum.build_view(self._name, disk_id, replica.leader, replica.voters, heard)
         )
--- a/tillerlane/keeper/freshness.py
+++ b/tillerlane/keeper/freshness.py
@@ -151,16 +151,16 @@
 
     def build_reply(self) -> messages.FreshnessReply:
         """Build the reply to a freshness request."""
-        own = self._replica
+        replica = self._replica
         age = self.compute_age()
         return messages.FreshnessReply(
-            version=max(0, own.state_machine.published.version),
+            version=max(0, replica.state_machine.published.version),
             age_ms=0 if age is None else min(int(age * 1000) + 1, 2**31),
-            known=age is not None and own.state_machine.published.version >= 0,
+            known=age is not None and replica.state_machine.published.version >= 0,
             keepers=self._list_keepers(),
             entries=self._count_entries(),
-            applied_index=own.applied_index,
-            orders_version=own.state_machine.store.version,
+            applied_index=replica.applied_index,
+            orders_version=replica.state_machine.store.version,
         )
 
     async def run(self) -> None:
@@ -175,20 +175,20 @@
             await self._query_leader()
 
     async def _query_leader(self) -> None:
-        own = self._replica
-        leader = own.voters.get(own.leader)
-        if leader is None or own.leader == own.name:
+        replica = self._replica
+        leader = replica.voters.get(replica.leader)
+        if leader is None or replica.leader == replica.name:
             return
         link = self._get_link(leader.address)
         if link is None:
             return
         sent_at = self._now()
-        reply = await request_freshness(link, max(0, own.state_machine.published.version))
-        if reply is None or own.leader == own.name:
+        reply = await request_freshness(link, max(0, replica.state_machine.published.version))
+        if reply is None or replica.leader == replica.name:
             return
         # Compare the leader's index, since the log carries more than the publication.
-        self._is_behind = reply.known and own.applied_index < reply.applied_index
+        self._is_behind = reply.known and replica.applied_index < reply.applied_index
         if reply.known and not self._is_behind:
-            held = own.state_machine
+            held = replica.state_machine
             self._clock.observe(sent_at, reply, held.published.version, held.store.version)
             self._wake_waiting()
--- a/tillerlane/keeper/known_keepers.py
+++ b/tillerlane/keeper/known_keepers.py
@@ -50,7 +50,7 @@
         self._known: dict[str, KnownKeeper] = {}
 
     def merge(self, announced: messages.KeeperAnnounce) -> bool:
-        """Merge an announcement; whether a keeper is announced for the first time.
+        """Merge an announcement; whether it is the sender's first, or reports an unknown keeper.
 
         Only a keeper's report of itself shows that it is alive.  Its reports of others are a reason
         to contact them.
--- a/tillerlane/keeper/reconfiguration.py
+++ b/tillerlane/keeper/reconfiguration.py
@@ -82,8 +82,8 @@
                 step = self._choose_step()
 
     def _check_leading(self) -> bool:
-        own = self._replica
-        if not own.is_leading or not own.has_lease:
+        replica = self._replica
+        if not replica.is_leading or not replica.has_lease:
             self._leading_since = None
             return False
         if self._leading_since is None:
@@ -94,37 +94,37 @@
 
     def _update_standbys(self) -> None:
         """Choose the standbys among the live keepers without a vote, and replicate to them."""
-        own = self._replica
-        previous = own.replication.standbys
+        replica = self._replica
+        previous = replica.replication.standbys
         alive = self._known_keepers.list_alive()
-        candidates = [seen for seen in alive if seen.name not in own.voters]
+        candidates = [seen for seen in alive if seen.name not in replica.voters]
         candidates.sort(key=lambda seen: (seen.name not in previous, seen.name))
         standbys = {seen.name: seen.address for seen in candidates[:MAX_STANDBYS]}
         if standbys != previous:
             self._timeline.record("keeper.standbys", standbys=sorted(standbys))
-            own.replication.standbys = standbys
-            own.replication.follow(own.voters)
+            replica.replication.standbys = standbys
+            replica.replication.follow(replica.voters)
 
     def _is_ready(self, name: str) -> bool:
         """Whether a standby holds everything committed, and replies."""
-        own = self._replica
-        progress = own.replication.get(name)
+        replica = self._replica
+        progress = replica.replication.get(name)
         return (
             progress is not None
             and bool(progress.disk_id)
-            and progress.match_index >= max(own.commit_index, 1)
+            and progress.match_index >= max(replica.commit_index, 1)
             and self._now() - progress.acked_at < READY_TIMEOUT_SECONDS
         )
 
     # Votes
 
     def _choose_step(self) -> voter_rules.Step | None:
-        own = self._replica
+        replica = self._replica
         voters = [
             voter_rules.Voter(name, self._compute_silence(name), self._is_leaving(name))
-            for name in own.voters
+            for name in replica.voters
         ]
-        names = sorted(set(own.replication.standbys) - set(own.voters))
+        names = sorted(set(replica.replication.standbys) - set(replica.voters))
         names = [name for name in names if not self._is_leaving(name)]
         standbys = [voter_rules.Standby(name, self._is_ready(name)) for name in names]
         return voter_rules.choose_step(voters, standbys, self._desired_voters, self._voter_timeout)
@@ -146,26 +146,26 @@
 
     async def _apply_step(self, step: voter_rules.Step) -> bool:
         """Change the voters; False if the change was not committed, or the lease was lost."""
-        own = self._replica
+        replica = self._replica
         command: commands.VoterAdd | commands.VoterRemove
         if isinstance(step, voter_rules.RemoveVoter):
             command = commands.VoterRemove(step.name)
             self._timeline.record(
-                "keeper.remove", keeper=step.name, reason=step.reason, voters=sorted(own.voters)
+                "keeper.remove", keeper=step.name, reason=step.reason, voters=sorted(replica.voters)
             )
         else:
-            progress = own.replication.get(step.name)
+            progress = replica.replication.get(step.name)
             assert progress is not None
-            address = own.replication.standbys[step.name]
+            address = replica.replication.standbys[step.name]
             command = commands.VoterAdd(step.name, address, progress.disk_id)
             self._timeline.record(
                 "keeper.promote",
                 keeper=step.name,
                 disk_id=progress.disk_id,
-                voters=sorted(own.voters),
+                voters=sorted(replica.voters),
             )
         try:
-            await own.change_voters(command)
+            await replica.change_voters(command)
         except faults.FaultError as error:
             self._timeline.record(
                 "keeper.not_changed", keeper=step.name, reason=error.fault.message
