--- a/tillerlane/gateway/usage.py
+++ b/tillerlane/gateway/usage.py
@@ -1,4 +1,4 @@
-"""What is under way at each target: this entry's own sends, and what keepers tell of others'."""
+"""Load of each target: this entry's own sends, and the others' as keepers report them."""
 
 import asyncio
 import collections
@@ -14,38 +14,39 @@
 DIGEST_TTL_SECONDS = 3.0
 """How long a keeper's digest counts; it comes at least once a second."""
 RATE_SECONDS = 5.0
-"""Time over which this entry's own rate of requests is smoothed: a thin entry sends two prompts in
-it."""
+"""Time over which this entry's own request rate is smoothed: an entry with little traffic sends two
+prompts in it."""
 MIN_RATE_SECONDS = 1.0
-"""Time over which a rate is taken at least, so that one request alone is one a second."""
+"""Minimum time over which a rate is computed, so that a single request counts as one a second."""
 INITIAL_REPORT_AGE_SECONDS = 0.2
-"""Age of other entries' word until it was measured."""
+"""Assumed age of other entries' reports until it has been measured."""
 REPORT_AGE_FACTOR = 2.0
-"""Another entry's word takes as many times as long as the own one takes back to this entry: it
-waits once more, for its keeper's batch to this entry's keeper."""
+"""Age of another entry's report on arrival, relative to the time that an own report takes to come
+back: it waits twice, also for its keeper's batch to this entry's keeper."""
 AGE_WEIGHT = 0.1
 """Weight of one more measurement of that time: smoothed over some ten sends of a prompt."""
 EVENT_TIMES_SECONDS = 20.0
-"""Time over which a runner's pace is smoothed: one run writes for some 8 s, and the pace is told
-from all entries' runs there."""
+"""Time over which a runner's seconds per event are smoothed: one run writes for some 8 s, and the
+figure combines all entries' runs there."""
 MAX_SENT_REPORTS = 160
-"""Own words kept to take them off the keepers' sums: three seconds of them, at the fastest pace."""
+"""Own reports kept to subtract them from the keepers' sums: three seconds of them, at the highest
+rate."""
 
-_NOTHING = loads.TargetLoad()
+_EMPTY = loads.TargetLoad()
 
 
 class DigestResult(enum.Enum):
-    """What became of a digest."""
+    """Result of handling a digest."""
 
     APPLIED = "good"
     STALE = "old"
     GAP = "gap"
-    """One before it is missing, so that all of it has to be asked for."""
+    """An earlier digest is missing, so that a full one has to be requested."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Pace:
-    """Events lately seen of a target, and the seconds that they took, as of a moment."""
+class _EventTimes:
+    """Recent events of a target and the seconds that they took, decayed until `at`."""
 
     events: float
     seconds: float
@@ -53,34 +54,34 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Told:
-    """An own word: its sequence, what it said, when it was written, and whether in a hurry."""
+class _SentReport:
+    """An own report: sequence, content, time, and whether it was sent ahead of the usual rate."""
 
     sequence: int
-    uses: dict[str, loads.TargetLoad]
+    content: dict[str, loads.TargetLoad]
     at: float
     is_urgent: bool
 
 
 @dataclasses.dataclass(slots=True)
 class _Rate:
-    """Requests a second that this entry sends to a pool, smoothed as of a moment."""
+    """Requests a second that this entry sends to a pool, smoothed and decayed until `at`."""
 
-    began_at: float
+    started_at: float
     smoothed: float = 0.0
     at: float = 0.0
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         self.smoothed = self._decay(now) + 1 / RATE_SECONDS
         self.at = now
 
-    def read(self, now: float) -> float:
-        """The rate, over the time for which it has been counted where that is short.
+    def compute(self, now: float) -> float:
+        """The rate, corrected for a short time since the first request.
 
-        After a common start all callers come back at once, and entries that took their rate for
-        low would all follow each other to the same runners.
+        After a common start all callers come back at once.  Entries that underestimated their rate
+        would all choose the same runners.
         """
-        counted = max(MIN_RATE_SECONDS, now - self.began_at)
+        counted = max(MIN_RATE_SECONDS, now - self.started_at)
         return self._decay(now) / (1 - math.exp(-counted / RATE_SECONDS))
 
     def _decay(self, now: float) -> float:
@@ -100,25 +101,25 @@
     entries : int
         Entries of the fleet, this one included, as last heard; 0 until then.
     changed : bool
-        Whether there is anything new to tell.
+        Whether anything has changed since the last report.
     urgent : asyncio.Event
-        Set while what is new is large.
+        Set while there is a large change to report.
     """
 
     def __init__(self, entry: str) -> None:
         self._entry = entry
         self._own: dict[str, loads.TargetLoad] = collections.defaultdict(loads.TargetLoad)
-        self._paces: dict[str, _Pace] = {}
+        self._event_times: dict[str, _EventTimes] = {}
         self._total: dict[str, loads.TargetLoad] = {}
-        """What the keeper told, this entry's own word included."""
+        """The keeper's sums, this entry's own report included."""
         self._included: dict[str, loads.TargetLoad] = {}
-        """That own word."""
+        """That own report."""
         self._others: dict[str, loads.TargetLoad] = {}
-        """The total without it, but for the pace, which is that of all entries."""
-        self._told: collections.deque[_Told] = collections.deque(maxlen=MAX_SENT_REPORTS)
+        """The total without it, except for events and their times, which are of all entries."""
+        self._sent: collections.deque[_SentReport] = collections.deque(maxlen=MAX_SENT_REPORTS)
         self._included_sequence = 0
-        self._way_seconds = INITIAL_REPORT_AGE_SECONDS / REPORT_AGE_FACTOR
-        """Time from an urgent own word to the digest that has it."""
+        self._round_trip_seconds = INITIAL_REPORT_AGE_SECONDS / REPORT_AGE_FACTOR
+        """Time from an urgent own report to the digest that includes it."""
         self._keeper = ""
         self._digest_sequence = 0
         self._heard_at: float | None = None
@@ -128,7 +129,7 @@
         self.urgent = asyncio.Event()
         self._rates: dict[str, _Rate] = {}
 
-    # This entry's own
+    # This entry's own load
 
     def add(
         self,
@@ -139,36 +140,36 @@
         unread: int = 0,
         unsaved: int = 0,
     ) -> None:
-        """Count something in at a target; negative numbers count it out."""
-        use = self._own[address]
-        use.requests += requests
-        use.tokens += tokens
-        use.unread += unread
-        use.unsaved += unsaved
-        if use.is_empty:
+        """Add to the load of a target; negative numbers subtract."""
+        load = self._own[address]
+        load.requests += requests
+        load.tokens += tokens
+        load.unread += unread
+        load.unsaved += unsaved
+        if load.is_empty:
             del self._own[address]
         self.changed = True
         if max(abs(tokens), abs(unread)) >= loads.URGENT_CHANGE_TOKENS:
             self.urgent.set()
 
     def discard_event_times(self, address: str) -> None:
-        """Forget how fast a target wrote that has started again."""
-        self._paces.pop(address, None)
+        """Discard the event times of a target that has started again."""
+        self._event_times.pop(address, None)
 
     def record_events(self, address: str, events: int, seconds: float, now: float) -> None:
-        """Count events of a stream that came from a target after a wait."""
-        pace = self._paces.get(address)
-        if pace is None:
-            self._paces[address] = _Pace(events, seconds, now)
+        """Count events of a target's stream that arrived after a wait."""
+        times = self._event_times.get(address)
+        if times is None:
+            self._event_times[address] = _EventTimes(events, seconds, now)
             return
-        kept = math.exp((pace.at - now) / EVENT_TIMES_SECONDS)
-        pace.events = pace.events * kept + events
-        pace.seconds = pace.seconds * kept + seconds
-        pace.at = now
+        kept = math.exp((times.at - now) / EVENT_TIMES_SECONDS)
+        times.events = times.events * kept + events
+        times.seconds = times.seconds * kept + seconds
+        times.at = now
 
     def get_own(self, address: str) -> loads.TargetLoad:
-        """What this entry has under way at a target."""
-        return dataclasses.replace(self._own.get(address, _NOTHING))
+        """This entry's own load of a target."""
+        return dataclasses.replace(self._own.get(address, _EMPTY))
 
     def count_own_at(self, address: str) -> int:
         """This entry's requests under way at a target."""
@@ -176,36 +177,36 @@
         return own.requests if own is not None else 0
 
     def count_own(self) -> int:
-        """This entry's requests under way."""
-        return sum(use.requests for use in self._own.values())
+        """This entry's requests under way at all targets."""
+        return sum(load.requests for load in self._own.values())
 
     def record_request(self, pool: str, now: float) -> None:
         """Count a request that this entry sends to a pool."""
-        self._rates.setdefault(pool, _Rate(now)).note(now)
+        self._rates.setdefault(pool, _Rate(now)).record(now)
 
     def estimate_unreported(self, pool: str, now: float) -> float:
-        """Requests that other entries have probably sent to a pool unheard of by this one.
+        """Number of others' requests to a pool that are probably not yet reported here.
 
-        Callers are spread over the entries, so that the others send as often as this one.
+        Callers are spread over the entries, so the others are assumed to send as often as this one.
         """
         rate = self._rates.get(pool)
         others = max(0, self.entries - 1)
-        return rate.read(now) * others * self.get_report_age() if rate is not None else 0.0
+        return rate.compute(now) * others * self.get_report_age() if rate is not None else 0.0
 
     def get_report_age(self) -> float:
-        """Age of other entries' word when it comes here, as far as it was seen."""
-        return self._way_seconds * REPORT_AGE_FACTOR
+        """Age in seconds of other entries' reports on arrival, as measured."""
+        return self._round_trip_seconds * REPORT_AGE_FACTOR
 
-    # All entries'
+    # All entries' load
 
     def get(self, address: str) -> loads.TargetLoad:
-        """All that is known to be under way at a target; not to be changed.
+        """Known load of a target by all entries; the caller must not change the result.
 
-        It takes the same time however many entries there are, and makes nothing anew where this
-        entry has nothing under way: choices ask for each target of a pool.
+        The time that it takes doesn't depend on the number of entries, and nothing is allocated
+        where this entry has nothing under way: each choice looks up every target of a pool.
         """
         own = self._own.get(address)
-        others = self._others.get(address, _NOTHING)
+        others = self._others.get(address, _EMPTY)
         if own is None:
             return others
         total = dataclasses.replace(others)
@@ -213,55 +214,55 @@
         return total
 
     def handle_digest(self, digest: messages.LoadDigest, now: float) -> DigestResult:
-        """Take a keeper's digest.
+        """Handle a keeper's digest.
 
         Raises
         ------
         faults.FaultError
-            Of kind ``bad_request`` if it can't be read.
+            Of kind ``bad_request`` if it can't be decoded.
         """
         is_same = digest.keeper == self._keeper
         if is_same and digest.sequence < self._digest_sequence + (not digest.whole):
             return DigestResult.STALE
         if not digest.whole and not (is_same and digest.sequence == self._digest_sequence + 1):
             return DigestResult.GAP
-        uses = loads.decode_loads(digest.table)
+        changes = loads.decode_loads(digest.table)
         if digest.whole:
             self._total = {}
-        for address, use in uses.items():
-            if use.is_empty:
+        for address, load in changes.items():
+            if load.is_empty:
                 self._total.pop(address, None)
             else:
-                self._total[address] = use
+                self._total[address] = load
         self._keeper, self._digest_sequence = digest.keeper, digest.sequence
         self._heard_at = now
         former = self._included
-        self._included = self._find_own_word(digest.included, now)
+        self._included = self._find_own_report(digest.included, now)
         if digest.whole:
             self._others = {}
-        for address in {*uses, *former, *self._included}:
-            self._note_others(address)
+        for address in {*changes, *former, *self._included}:
+            self._update_others(address)
         return DigestResult.APPLIED
 
-    def _find_own_word(self, sequence: int, now: float) -> dict[str, loads.TargetLoad]:
-        """The own word that is in the total; one of a former start is not known any more."""
-        while self._told and self._told[0].sequence < sequence:
-            self._told.popleft()
-        if not self._told or self._told[0].sequence != sequence:
+    def _find_own_report(self, sequence: int, now: float) -> dict[str, loads.TargetLoad]:
+        """The own report included in the total; empty for one from before a restart."""
+        while self._sent and self._sent[0].sequence < sequence:
+            self._sent.popleft()
+        if not self._sent or self._sent[0].sequence != sequence:
             return {}
-        word = self._told[0]
-        if word.is_urgent and sequence != self._included_sequence:
-            self._way_seconds += AGE_WEIGHT * (now - word.at - self._way_seconds)
+        report = self._sent[0]
+        if report.is_urgent and sequence != self._included_sequence:
+            self._round_trip_seconds += AGE_WEIGHT * (now - report.at - self._round_trip_seconds)
         self._included_sequence = sequence
-        return word.uses
+        return report.content
 
-    def _note_others(self, address: str) -> None:
-        """Take the own word off the total of a target."""
+    def _update_others(self, address: str) -> None:
+        """Subtract the own report from the total of a target."""
         total = self._total.get(address)
         if total is None:
             self._others.pop(address, None)
             return
-        known = self._included.get(address, _NOTHING)
+        known = self._included.get(address, _EMPTY)
         self._others[address] = loads.TargetLoad(
             max(0, total.requests - known.requests),
             max(0, total.tokens - known.tokens),
@@ -272,11 +273,11 @@
         )
 
     def compute_age(self, now: float) -> float | None:
-        """Seconds since the last digest; None without one that counts."""
+        """Seconds since the last digest; None without a valid one."""
         return None if self._heard_at is None else now - self._heard_at
 
     def expire_others(self, now: float) -> bool:
-        """Go by what is known here alone after a long silence; whether that begins now."""
+        """Discard others' loads without a recent digest; whether that happened just now."""
         if self._heard_at is None or now - self._heard_at < DIGEST_TTL_SECONDS:
             return False
         self._heard_at = None
@@ -285,24 +286,24 @@
         return True
 
     def build_report(self, started_ms: int, now: float) -> messages.EntryLoads:
-        """This entry's word; sequences of a later start of the process are higher."""
+        """This entry's report; sequences of a later start of the process are higher."""
         self.changed = False
         is_urgent = self.urgent.is_set()
         self.urgent.clear()
         self._sequence += 1
         sequence = started_ms * 1_000_000 + self._sequence
-        uses = {address: dataclasses.replace(use) for address, use in self._own.items()}
-        for address, pace in list(self._paces.items()):
-            kept = math.exp((pace.at - now) / EVENT_TIMES_SECONDS)
-            events, event_ms = round(pace.events * kept), round(pace.seconds * kept * 1000)
+        own = {address: dataclasses.replace(load) for address, load in self._own.items()}
+        for address, times in list(self._event_times.items()):
+            kept = math.exp((times.at - now) / EVENT_TIMES_SECONDS)
+            events, event_ms = round(times.events * kept), round(times.seconds * kept * 1000)
             if events < 1:
-                del self._paces[address]
+                del self._event_times[address]
                 continue
-            use = uses.setdefault(address, loads.TargetLoad())
-            use.events, use.event_ms = events, event_ms
-        self._told.append(_Told(sequence, uses, now, is_urgent))
+            load = own.setdefault(address, loads.TargetLoad())
+            load.events, load.event_ms = events, event_ms
+        self._sent.append(_SentReport(sequence, own, now, is_urgent))
         rows = [
-            messages.TargetUse(address, *(max(0, getattr(use, name)) for name in loads.FIELDS))
-            for address, use in uses.items()
+            messages.TargetUse(address, *(max(0, getattr(load, name)) for name in loads.FIELDS))
+            for address, load in own.items()
         ]
         return messages.EntryLoads(self._entry, sequence, rows)
