--- a/tillerlane/gateway/limit_updates.py
+++ b/tillerlane/gateway/limit_updates.py
@@ -1,7 +1,7 @@
-"""A keeper's part in making known the limits that targets name.
+"""A keeper's part in distributing the limits that targets name.
 
-Entries tell of what answers name; keepers pass on to each other and to all entries what is news, a
-few times a second at most.
+Entries report the limits named in responses.  Keepers forward changes to each other and to all
+entries, with a bounded message rate.
 """
 
 from collections.abc import Callable
@@ -14,21 +14,21 @@
 
 
 class LimitUpdates:
-    """Limits as one keeper knows them, and passes them on.
+    """Keeps the limits known to one keeper and forwards their changes.
 
     Parameters
     ----------
     pause : float
-        Least seconds between two messages.
+        Minimum seconds between two messages.
     send : callable
         Sends a message to all other keepers and all subscribed entries.
     timeline : timelines.Timeline
-        Takes what is news.
+        Logs changes.
 
     Attributes
     ----------
     table : limits.Limits
-        What is known.
+        Known limits.
     """
 
     def __init__(
@@ -38,27 +38,27 @@
         timeline: timelines.Timeline,
     ) -> None:
         self.table = limits.Limits()
-        self._batcher = news.News(pause, lambda words: send(limits.encode_records(words)))
+        self._batcher = news.News(pause, lambda records: send(limits.encode_records(records)))
         self._timeline = timeline
 
     def handle_message(self, message: messages.TargetLimits) -> None:
-        """Take what an entry or another keeper tells, and pass on what is news.
+        """Merge the records of an entry or another keeper, and forward changes.
 
         Raises
         ------
         faults.FaultError
-            Of kind ``bad_request`` if it can't be read.
+            Of kind ``bad_request`` if it can't be decoded.
         """
-        for word in self.table.merge(limits.decode_records(message)):
-            self._batcher.add(word)
+        for record in self.table.merge(limits.decode_records(message)):
+            self._batcher.add(record)
             self._timeline.record(
                 "target.limit",
-                target=word.target_id,
-                limit=word.limit,
-                version=word.version,
-                is_named=word.unnamed_since is None,
+                target=record.target_id,
+                limit=record.limit,
+                version=record.version,
+                is_named=record.unnamed_since is None,
             )
 
     def build_full(self) -> messages.TargetLimits:
-        """All that is known, for a daemon whose link is new."""
+        """All records, for a daemon that has just connected."""
         return limits.encode_records(self.table.list_all())
--- a/tillerlane/gateway/limits.py
+++ b/tillerlane/gateway/limits.py
@@ -1,9 +1,9 @@
-"""Limits that targets name in their answers, as one daemon knows them.
+"""Limits that targets name in their responses, as one daemon knows them.
 
-A target in need says how many requests a second it takes from all entries together.  Each word has
-a version, which rises with whatever is news of that target, so daemons that hear of words in any
-order, over any way and more than once come to the same table.  Times of answers would not do for
-that: each way to another daemon moves them by the time that it takes.
+An overloaded target names how many requests a second it accepts from all entries together.  Each
+record has a version, which increases with every change at that target, so daemons that receive
+records in any order, by any route and more than once converge to the same table.  Times of
+responses would not do for that: each route to another daemon shifts them by its delay.
 """
 
 import asyncio
@@ -16,18 +16,18 @@
 __all__ = ["LIFT_DELAY_SECONDS", "LimitRecord", "Limits", "decode_records", "encode_records"]
 
 LIFT_DELAY_SECONDS = 1.0
-"""How long a target's answers must name no limit until it counts as lifted: answers overtake each
-other, and a target may leave it off some of them."""
+"""How long a target's responses must name no limit until it counts as lifted: responses overtake
+each other, and a target may omit it from some of them."""
 RETENTION_SECONDS = 60.0
-"""How long the word of a target that is not known is kept."""
+"""How long the record of an unknown target is kept."""
 MAX_ID_CHARACTERS = 200
-"""Bound on a target's id, in letters."""
+"""Bound on the length of a target's id."""
 MAX_RECORDS = 20_000
 """Bound on memory, as on targets."""
 MAX_AGE_MS = 2**31
-"""Longest age that is told; an older word says no more."""
+"""Maximum age that is sent; higher ages make no difference."""
 _STILL_NAMED = -1
-"""Age told of a target whose latest answer named its limit."""
+"""Age sent for a target whose latest response named its limit."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,13 +37,13 @@
     Attributes
     ----------
     limit : float
-        Requests a second that it takes from all entries together, as it named it last.
+        Requests a second that it accepts from all entries together, as last named.
     version : int
-        The word replaces those of lower versions.
+        The record replaces those of lower versions.
     named_at : float
-        When an answer that named it came, the last time that this was news.
+        Time of the response that named the limit, the last time that this was a change.
     unnamed_since : float or None
-        When an answer that named none came first after that; None if none did.
+        Time of the first response after that which named none; None without one.
     """
 
     target_id: str
@@ -57,14 +57,14 @@
         return self.unnamed_since is None or now - self.unnamed_since < LIFT_DELAY_SECONDS
 
     def replaces(self, other: "LimitRecord") -> bool:
-        """Whether it is the later word; of two that arose at once, the one that allows less."""
+        """Whether it is the later record; of two concurrent ones, the one that allows less."""
         return self._rank() > other._rank()
 
     def _rank(self) -> tuple[int, bool, float]:
         return self.version, self.unnamed_since is None, -self.limit
 
     def build_next(self, limit: float | None, now: float) -> "LimitRecord | None":
-        """The word after one more answer of the target; None if that is no news."""
+        """The record after one more response of the target; None if nothing changes."""
         if limit is None:
             if self.unnamed_since is not None:
                 return None
@@ -78,94 +78,94 @@
     """The table of one daemon."""
 
     def __init__(self) -> None:
-        self._words: dict[str, LimitRecord] = {}
+        self._records: dict[str, LimitRecord] = {}
 
     def __len__(self) -> int:
-        return len(self._words)
+        return len(self._records)
 
     def count_in_force(self, now: float) -> int:
-        """Targets whose limits hold."""
-        return sum(word.is_in_force(now) for word in self._words.values())
+        """Number of targets whose limits hold."""
+        return sum(record.is_in_force(now) for record in self._records.values())
 
     def find(self, target_id: str, now: float) -> float | None:
         """A target's limit in requests a second; None without one in force."""
-        word = self._words.get(target_id)
-        return word.limit if word is not None and word.is_in_force(now) else None
+        record = self._records.get(target_id)
+        return record.limit if record is not None and record.is_in_force(now) else None
 
     def get_record(self, target_id: str) -> LimitRecord | None:
-        """All that is known of a target's limit; None if it never named one."""
-        return self._words.get(target_id)
+        """The record of a target; None if it never named a limit."""
+        return self._records.get(target_id)
 
     def record_response(
         self, target_id: str, limit: float | None, now: float
     ) -> LimitRecord | None:
-        """Take note of a target's answer; the word to tell others, None if that is no news."""
-        known = self._words.get(target_id)
+        """Record a target's response; returns the record to send to others, None if unchanged."""
+        known = self._records.get(target_id)
         if known is not None:
-            word = known.build_next(limit, now)
+            record = known.build_next(limit, now)
         else:
-            word = None if limit is None else LimitRecord(target_id, limit, 1, now)
-        return word if word is not None and self._merge(word) else None
+            record = None if limit is None else LimitRecord(target_id, limit, 1, now)
+        return record if record is not None and self._merge(record) else None
 
-    def merge(self, words: Iterable[LimitRecord]) -> list[LimitRecord]:
-        """Merge what is heard; gives what was news."""
-        return [word for word in words if self._merge(word)]
+    def merge(self, records: Iterable[LimitRecord]) -> list[LimitRecord]:
+        """Merge received records; returns those that changed the table."""
+        return [record for record in records if self._merge(record)]
 
-    def _merge(self, word: LimitRecord) -> bool:
-        known = self._words.get(word.target_id)
-        if known is None and len(self._words) >= MAX_RECORDS:
+    def _merge(self, record: LimitRecord) -> bool:
+        known = self._records.get(record.target_id)
+        if known is None and len(self._records) >= MAX_RECORDS:
             return False
-        if known is not None and not word.replaces(known):
+        if known is not None and not record.replaces(known):
             return False
-        self._words[word.target_id] = word
+        self._records[record.target_id] = record
         return True
 
     def list_all(self) -> list[LimitRecord]:
-        """All that is known."""
-        return list(self._words.values())
+        """All records."""
+        return list(self._records.values())
 
     def discard(self, target_id: str) -> None:
-        """Drop the word of a target that has ended."""
-        self._words.pop(target_id, None)
+        """Discard the record of a target that has ended."""
+        self._records.pop(target_id, None)
 
     def expire_unknown(self, known: Iterable[str], now: float) -> None:
-        """Drop old words of targets that are not among the known ones."""
-        if not self._words:
+        """Discard old records of targets that are not among the known ones."""
+        if not self._records:
             return
         kept = frozenset(known)
-        for word in self.list_all():
-            if word.target_id not in kept and now - word.named_at > RETENTION_SECONDS:
-                self.discard(word.target_id)
+        for record in self.list_all():
+            if record.target_id not in kept and now - record.named_at > RETENTION_SECONDS:
+                self.discard(record.target_id)
 
 
-def encode_records(words: Iterable[LimitRecord]) -> messages.TargetLimits:
-    """Words as a message; ages are those of the moment of writing."""
+def encode_records(records: Iterable[LimitRecord]) -> messages.TargetLimits:
+    """Encode records as a message; ages are relative to the time of encoding."""
     now = asyncio.get_running_loop().time()
-    rows = list(words)
+    rows = list(records)
 
-    def read_age(at: float) -> int:
+    def compute_age_ms(at: float) -> int:
         return min(max(0, round((now - at) * 1000)), MAX_AGE_MS)
 
     table = messages.LimitTable(
-        [word.target_id for word in rows],
-        [word.limit for word in rows],
-        [word.version for word in rows],
-        [read_age(word.named_at) for word in rows],
+        [record.target_id for record in rows],
+        [record.limit for record in rows],
+        [record.version for record in rows],
+        [compute_age_ms(record.named_at) for record in rows],
         [
-            _STILL_NAMED if word.unnamed_since is None else read_age(word.unnamed_since)
-            for word in rows
+            _STILL_NAMED if record.unnamed_since is None else compute_age_ms(record.unnamed_since)
+            for record in rows
         ],
     )
     return messages.TargetLimits(codec.write_table(table))
 
 
 def decode_records(message: messages.TargetLimits) -> list[LimitRecord]:
-    """Words from a message; rows that name no target, or no limit that can be, are passed over.
+    """Decode records from a message; skips rows with an invalid target id or limit.
 
     Raises
     ------
     faults.FaultError
-        Of kind ``bad_request`` if it can't be read.
+        Of kind ``bad_request`` if it can't be decoded.
     """
     now = asyncio.get_running_loop().time()
     table = codec.read_table(message.table, messages.LimitTable)
