--- a/tillerlane/gateway/cold.py
+++ b/tillerlane/gateway/cold.py
@@ -1,4 +1,4 @@
-"""What this entry has sent to cold targets lately, held against its share of what they bear."""
+"""Limits this entry's recent sends to cold targets to its share of what they sustain."""
 
 import collections
 import dataclasses
@@ -15,22 +15,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ColdBounds:
-    """Above a cold target's rate times `rate_factor` plus `slack` within a second it may fall
-    over."""
+    """A cold target may fail above its rate times `rate_factor` plus `slack` within a second."""
 
     rate_factor: float
     slack: float
 
 
 class ColdLimiter:
-    """Sends to cold targets by target id.
+    """Limits sends to cold targets, by target id.
 
     Parameters
     ----------
     entry : str
-        This entry's id, by which it draws its lots.
+        This entry's id, from which its share of each target is derived.
     bounds : ColdBounds
-        How far above their rate targets bear it.
+        How far above their rate targets sustain requests.
     """
 
     def __init__(self, entry: str, bounds: ColdBounds) -> None:
@@ -52,7 +51,7 @@
         return sum(at > now - WINDOW_SECONDS for at in sent) < share
 
     def record_send(self, target: directories.Target, now: float) -> None:
-        """Count a request that goes out now, also to a target that may turn cold soon after."""
+        """Count a request that is sent now, even to a warm target: it may turn cold soon after."""
         for other, sent in list(self._sent.items()):
             if sent[-1] <= now - WINDOW_SECONDS:
                 del self._sent[other]
