--- a/tillerlane/gateway/backoff.py
+++ b/tillerlane/gateway/backoff.py
@@ -1,12 +1,12 @@
-"""Back-off that targets ask one entry for, and how the entry comes back afterwards.
+"""Back-off that targets request from one entry, and how the entry resumes sending afterwards.
 
-A target that turns a request away may say for how long it wants nothing more from that entry.  When
-that time is over the entry sends one request as a probe, and others once the target has not turned
-it away (a circuit breaker that is half open).  For a while it then has fewer requests under way
-there than when it was turned away (multiplicative decrease, slow increase): many entries whose
-back-off ends together would otherwise overload the target again, and again after that.
+A target that rejects a request may say for how long it wants no more requests from that entry.
+After that time the entry sends one request as a probe, and others once the target has not rejected
+it (a circuit breaker that is half open).  For a while it then has fewer requests under way there
+than at the rejection (multiplicative decrease, slow increase): many entries whose back-off ends
+together would otherwise overload the target again and again.
 
-A target that turns one entry away is likely to do so with all.  So the others are told, and prefer
+A target that rejects one entry is likely to reject all.  So the others are informed and prefer
 other targets meanwhile, though they may still send there.
 """
 
@@ -19,18 +19,18 @@
 __all__ = ["PROBE_INTERVAL_SECONDS", "BackoffRecord", "Backoffs", "decode_hints", "encode_hints"]
 
 MAX_BACKOFF_SECONDS = 600.0
-"""Longest back-off that is obeyed, so that one wrong word does not take a target out for days."""
+"""Maximum back-off that is obeyed, so that one wrong value does not take a target out for days."""
 PROBE_INTERVAL_SECONDS = 0.1
-"""Least pause between probes: a target turns a request away within milliseconds, while a good
-answer may take long."""
+"""Minimum time between probes: a target rejects a request within milliseconds, while a good
+response may take long."""
 DECREASE_FACTOR = 0.75
-"""Part of the requests under way at which a target turned one away that it gets afterwards."""
+"""Requests that a target gets after a back-off, as a part of those under way at the rejection."""
 GROWTH_PER_SECOND = 0.05
 """Increase of that number in a second, as a part of it."""
 RAMP_SECONDS = 20.0
 """How long after a back-off the number is bounded."""
 CONCURRENCY_CHECK_INTERVAL_SECONDS = 0.05
-"""Time after which to look again for a place at a target that has as many as it gets."""
+"""Time after which to check again whether a target at its bound takes another request."""
 MAX_HINTS = 20_000
 """Bound on memory, as on targets."""
 
@@ -42,13 +42,13 @@
     Attributes
     ----------
     requested_at, until : float
-        When an answer asked for it last, and its end.
+        Time of the response that requested it last, and its end.
     request_id : str
-        Whose answer set the end.
+        The request whose response set the end.
     max_concurrent : float
-        This entry's requests that may be under way there when it is over.
+        Maximum number of this entry's requests under way there right after the end.
     probed_at : float
-        When a request went out after the end; 0 before.
+        Time of the latest request sent after the end; 0 before.
     """
 
     target_id: str
@@ -58,7 +58,7 @@
     max_concurrent: float
     probed_at: float = 0.0
     has_ended: bool = False
-    """Whether the target has taken a request since."""
+    """Whether the target has accepted a request since."""
 
 
 class Backoffs:
@@ -72,12 +72,12 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._words: dict[str, BackoffRecord] = {}
+        self._records: dict[str, BackoffRecord] = {}
         self._hints: dict[str, float] = {}
-        """Until when targets have asked other entries for back-off."""
+        """End of the back-off that targets requested from other entries."""
 
     def merge_hints(self, hints: Iterable[tuple[str, float]]) -> None:
-        """Take what keepers tell: targets, and until when they asked other entries for back-off."""
+        """Merge hints from keepers: targets, and the end of the back-off of other entries."""
         now = self._now()
         for target_id, until in list(self._hints.items()):
             if until <= now:
@@ -87,95 +87,95 @@
                 self._hints[target_id] = max(until, self._hints.get(target_id, 0.0))
 
     def is_hinted(self, target_id: str) -> bool:
-        """Whether a target turns other entries away, so that other targets come first."""
+        """Whether a target rejects other entries, so that other targets are preferred."""
         return bool(self._hints) and self._hints.get(target_id, 0.0) > self._now()
 
     def record(
         self, target_id: str, seconds: float, request_id: str, sustained: float = 0.0
     ) -> BackoffRecord | None:
-        """Take note that a target asks for back-off; gives the word if that moves its end.
+        """Record a target's request for back-off; returns the record if its end has moved.
 
-        `sustained` is how many of this entry's requests the target bears at least: those that it
-        has under way, or its even share of the target's slots.
+        `sustained` is the number of this entry's requests that the target sustains at least: those
+        under way there, or the entry's even share of the target's slots.
         """
         now = self._now()
         until = now + min(seconds, MAX_BACKOFF_SECONDS)
-        known = self._words.get(target_id)
+        known = self._records.get(target_id)
         if until <= now or (known is not None and until <= known.until):
             return None
-        word = BackoffRecord(
+        latest = BackoffRecord(
             target_id, now, until, request_id, max(1.0, DECREASE_FACTOR * sustained)
         )
-        self._words[target_id] = word
-        return word
+        self._records[target_id] = latest
+        return latest
 
     def record_send(self, target_id: str) -> None:
-        """Count a request that goes out to a target now."""
-        word = self._words.get(target_id)
-        if word is not None and word.until <= self._now():
-            word.probed_at = self._now()
+        """Record a request that is sent to a target now."""
+        record = self._records.get(target_id)
+        if record is not None and record.until <= self._now():
+            record.probed_at = self._now()
 
     def record_accepted(self, target_id: str, sent_at: float) -> BackoffRecord | None:
-        """Take note that a target did not turn a request away; gives the word that this ends."""
-        word = self._words.get(target_id)
-        if word is None or sent_at < word.until or word.has_ended:
+        """Record that a target did not reject a request; returns the record that this ends."""
+        record = self._records.get(target_id)
+        if record is None or sent_at < record.until or record.has_ended:
             return None
-        word.has_ended = True
+        record.has_ended = True
         self._hints.pop(target_id, None)
-        return word
+        return record
 
     def find_end(self, target_id: str, under_way: int) -> float | None:
-        """Until when a target gets nothing from this entry; None if it may get a request now.
+        """Time until which this entry must not send to a target; None if it may send now.
 
-        `under_way` are this entry's requests there.
+        `under_way` is the number of this entry's requests there.
         """
-        if not self._words:
+        if not self._records:
             return None
-        word = self._words.get(target_id)
-        if word is None:
+        record = self._records.get(target_id)
+        if record is None:
             return None
         now = self._now()
         until = (
-            word.until
-            if word.has_ended
-            else max(word.until, word.probed_at + PROBE_INTERVAL_SECONDS)
+            record.until
+            if record.has_ended
+            else max(record.until, record.probed_at + PROBE_INTERVAL_SECONDS)
         )
         if until > now:
             return until
-        seconds = now - word.until
+        seconds = now - record.until
         if seconds > RAMP_SECONDS:
-            del self._words[target_id]
+            del self._records[target_id]
             return None
         return (
             now + CONCURRENCY_CHECK_INTERVAL_SECONDS
-            if under_way >= word.max_concurrent * (1 + GROWTH_PER_SECOND * seconds)
+            if under_way >= record.max_concurrent * (1 + GROWTH_PER_SECOND * seconds)
             else None
         )
 
     def discard(self, target_id: str) -> None:
-        """Drop the word of a target that has ended."""
-        self._words.pop(target_id, None)
+        """Discard the record of a target that has ended."""
+        self._records.pop(target_id, None)
         self._hints.pop(target_id, None)
 
     def count_in_force(self) -> int:
-        """Targets that are in back-off."""
+        """Number of targets that are in back-off."""
         now = self._now()
-        return sum(word.until > now for word in self._words.values())
+        return sum(record.until > now for record in self._records.values())
 
     def list_all(self) -> list[BackoffRecord]:
-        """Words of all targets that are in back-off, or were lately."""
-        return list(self._words.values())
+        """Records of all targets that are in back-off, or were recently."""
+        return list(self._records.values())
 
 
-def encode_hints(words: Iterable[tuple[str, float]]) -> messages.TargetBackoffs:
-    """Targets, and until when they asked for back-off, as a message."""
+def encode_hints(hints: Iterable[tuple[str, float]]) -> messages.TargetBackoffs:
+    """Encode targets, and the end of the back-off that they requested, as a message."""
     now = asyncio.get_running_loop().time()
-    rows = [(target_id, max(0, round((until - now) * 1000))) for target_id, until in words]
+    rows = [(target_id, max(0, round((until - now) * 1000))) for target_id, until in hints]
     return messages.TargetBackoffs([row[0] for row in rows], [row[1] for row in rows])
 
 
 def decode_hints(message: messages.TargetBackoffs) -> list[tuple[str, float]]:
-    """Targets, and until when they asked for back-off, from a message."""
+    """Decode targets, and the end of the back-off that they requested, from a message."""
     now = asyncio.get_running_loop().time()
     return [
         (target_id, now + min(left_ms / 1000, MAX_BACKOFF_SECONDS))
--- a/tillerlane/gateway/backoff_updates.py
+++ b/tillerlane/gateway/backoff_updates.py
@@ -1,4 +1,4 @@
-"""A keeper's part in making known which targets turn entries away."""
+"""A keeper's part in distributing which targets reject entries."""
 
 import dataclasses
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 __all__ = ["BackoffUpdates"]
 
 MIN_EXTENSION_SECONDS = 0.3
-"""How much later a back-off must end to be told again: each entry that probes a target in vain is
-given one of its own."""
+"""How much later a back-off must end to be forwarded again: each entry that probes a target without
+success is given a back-off of its own."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -20,12 +20,12 @@
 
 
 class BackoffUpdates:
-    """Back-off that entries were asked for, as one keeper knows it and passes it on.
+    """Forwards the back-off that targets requested from entries, at one keeper.
 
     Parameters
     ----------
     pause : float
-        Least seconds between two messages.
+        Minimum seconds between two messages.
     send : callable
         Sends a message to all other keepers and all subscribed entries.
     now : callable
@@ -48,13 +48,13 @@
         )
 
     def handle_message(self, message: messages.TargetBackoffs) -> None:
-        """Take what an entry or another keeper tells, and pass on what is news."""
+        """Merge the hints of an entry or another keeper, and forward changes."""
         now = self._now()
         for target_id, until in list(self._known.items()):
             if until <= now:
                 del self._known[target_id]
         for target_id, until in backoff.decode_hints(message):
-            is_news = until > self._known.get(target_id, now) + MIN_EXTENSION_SECONDS
-            if is_news and len(self._known) < backoff.MAX_HINTS:
+            is_new = until > self._known.get(target_id, now) + MIN_EXTENSION_SECONDS
+            if is_new and len(self._known) < backoff.MAX_HINTS:
                 self._known[target_id] = until
                 self._batcher.add(_Hint(target_id, until))
