--- a/tillerlane/gateway/budget.py
+++ b/tillerlane/gateway/budget.py
@@ -1,7 +1,7 @@
 """The retry budget: how many sends beyond a request's first a pool may get, over a window.
 
-The bound holds for the whole fleet.  Each entry keeps to its own requests' ratio and to an equal
-part of the fixed allowance, so no message is needed before a retry.
+The bound holds for the whole fleet.  Each entry keeps to the ratio of its own requests and to an
+equal part of the fixed allowance, so that a retry needs no coordination.
 """
 
 import collections
@@ -10,7 +10,7 @@
 __all__ = ["RetryBounds", "RetryBudget"]
 
 SAFETY_FACTOR = 0.7
-"""Share of the bound that is used: entries count one another late, and callers spread unevenly."""
+"""Part of the bound that is used: the number of entries lags, and callers spread unevenly."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,35 +45,35 @@
     bounds : RetryBounds
         The fleet's bound.
     entries : int
-        Entries that share the allowance; 0 where that is not known, which leaves none of it.
+        Entries that share the allowance; 0 if unknown, which leaves none of it.
 
     Attributes
     ----------
     entries : int
-        The same, as last heard.
+        The same, as last reported.
     """
 
     def __init__(self, bounds: RetryBounds, entries: int = 1) -> None:
         self._bounds = bounds
         self.entries = entries
-        self._firsts: dict[str, _Window] = collections.defaultdict(_Window)
-        self._repeats: dict[str, _Window] = collections.defaultdict(_Window)
+        self._requests: dict[str, _Window] = collections.defaultdict(_Window)
+        self._retries: dict[str, _Window] = collections.defaultdict(_Window)
 
     def record_request(self, pool: str, now: float) -> None:
         """Count a request for a pool."""
-        self._firsts[pool].add(now)
+        self._requests[pool].add(now)
 
     def record_retry(self, pool: str, now: float) -> None:
-        """Count a send beyond a request's first that is made whatever the budget says."""
-        self._repeats[pool].add(now)
+        """Count a send beyond a request's first that is made regardless of the budget."""
+        self._retries[pool].add(now)
 
     def try_acquire(self, pool: str, now: float) -> bool:
-        """Count a retry if the budget allows it; whether it does."""
+        """Count a retry if the budget allows it; False if it does not."""
         bounds = self._bounds
         since = now - bounds.window_seconds
         allowance = bounds.allowance / self.entries if self.entries else 0.0
-        most = SAFETY_FACTOR * (bounds.ratio * self._firsts[pool].count(since) + allowance)
-        if self._repeats[pool].count(since) + 1 > most:
+        max_retries = SAFETY_FACTOR * (bounds.ratio * self._requests[pool].count(since) + allowance)
+        if self._retries[pool].count(since) + 1 > max_retries:
             return False
-        self._repeats[pool].add(now)
+        self._retries[pool].add(now)
         return True
