--- a/tillerlane/gateway/grants.py
+++ b/tillerlane/gateway/grants.py
@@ -1,8 +1,9 @@
-"""The leader's part in limits that targets name: it gives out permits to send.
+"""The issuer of permits to send to targets that have named limits.
 
-One daemon gives them, so that all entries together keep to a limit however their traffic is spread.
-That is the leader of the log, since at most one holds its lease at a time.  Its buckets are empty
-when its term begins: what its predecessor gave out may still be in use.
+A single daemon issues them, so that all entries together keep to a limit regardless of how their
+traffic is distributed.  It is the leader of the log, since at most one keeper holds the lease at a
+time.  Its buckets are empty at the start of its term: permits of its predecessor may still be in
+use.
 """
 
 from collections.abc import Callable
@@ -17,22 +18,22 @@
 
 MAX_HOPS = 1
 FORWARD_TIMEOUT_SECONDS = 0.25
-"""Longest wait for the leader; it is less than an entry's for the keeper that it asks."""
+"""Maximum wait for the leader; shorter than an entry's wait for its keeper."""
 RETENTION_SECONDS = 60.0
-"""How long a bucket that nobody asked for is kept; it is full long before."""
+"""How long an unused bucket is kept; it is full long before."""
 
 
 class PermitIssuer:
-    """What one keeper gives out, or passes on to the one that does.
+    """Issues permits at the leader, and forwards requests at other keepers.
 
     Parameters
     ----------
     named_limits : limits.Limits
-        What targets have named.
+        Limits that targets have named.
     get_term : callable
-        The term in which this keeper leads and has the lease; None if it does not.
+        Gives the term in which this keeper leads and holds the lease; None if it does not.
     get_leader : callable
-        Link to the leader; None without one.
+        Gives the link to the leader; None without one.
     now : callable
         Time of the event loop.
     """
@@ -51,52 +52,52 @@
         self._term: int | None = None
         self._buckets: dict[str, decisions.Bucket] = {}
 
-    async def handle_request(self, asked: messages.PermitRequest) -> messages.PermitReply:
-        """Give permits, or have the leader give them.
+    async def handle_request(self, request: messages.PermitRequest) -> messages.PermitReply:
+        """Issue permits, or forward the request to the leader.
 
         Raises
         ------
         faults.FaultError
-            ``no_quorum`` if no leader is known here, or it did not answer.
+            ``no_quorum`` if no leader is known here, or it did not reply.
         """
         term = self._get_term()
         if term is not None:
-            return self._give(asked.wishes, term)
+            return self._issue(request.wishes, term)
         leader = self._get_leader()
-        if leader is None or asked.hops >= MAX_HOPS:
-            raise proposals.build_no_quorum("no leader that gives permits is known here")
-        passed_on = messages.PermitRequest(asked.wishes, asked.hops + 1)
+        if leader is None or request.hops >= MAX_HOPS:
+            raise proposals.build_no_quorum("no leader that issues permits is known here")
+        forwarded = messages.PermitRequest(request.wishes, request.hops + 1)
         try:
-            reply = await leader.call(passed_on, FORWARD_TIMEOUT_SECONDS)
+            reply = await leader.call(forwarded, FORWARD_TIMEOUT_SECONDS)
         except links.LinkLost as error:
-            raise proposals.build_no_quorum(f"the leader gave no permits: {error}") from error
+            raise proposals.build_no_quorum(f"the leader issued no permits: {error}") from error
         assert isinstance(reply, messages.PermitReply)
         return reply
 
-    def _give(self, wishes: list[messages.PermitWish], term: int) -> messages.PermitReply:
+    def _issue(self, wishes: list[messages.PermitWish], term: int) -> messages.PermitReply:
         now = self._now()
         if term != self._term:
             self._term = term
             self._buckets.clear()
         grants = []
         for wish in wishes:
-            known = self._limits.find(wish.target_id, now)
-            limit = wish.limit if known is None else known
-            given = self._take(wish, limit, now)
-            if given:
+            named = self._limits.find(wish.target_id, now)
+            limit = wish.limit if named is None else named
+            count = self._acquire(wish, limit, now)
+            if count:
                 hold_ms = int(decisions.read_hold_seconds(limit) * 1000)
-                grants.append(messages.PermitGrant(wish.target_id, given, hold_ms))
-        self._forget_old(now)
+                grants.append(messages.PermitGrant(wish.target_id, count, hold_ms))
+        self._expire_buckets(now)
         return messages.PermitReply(grants)
 
-    def _take(self, wish: messages.PermitWish, limit: float, now: float) -> int:
+    def _acquire(self, wish: messages.PermitWish, limit: float, now: float) -> int:
         bucket = self._buckets.pop(wish.target_id, decisions.Bucket(0.0, now))
-        filled = decisions.refill(bucket, limit, now, wish.returned)
-        self._buckets[wish.target_id], given = filled.take(wish.count)
-        return given
+        refilled = decisions.refill(bucket, limit, now, wish.returned)
+        self._buckets[wish.target_id], count = refilled.take(wish.count)
+        return count
 
-    def _forget_old(self, now: float) -> None:
-        """Drop buckets that were last asked for long ago; they stand in the order of asking."""
+    def _expire_buckets(self, now: float) -> None:
+        """Discard buckets that were last used long ago; they are in the order of their use."""
         while self._buckets:
             first = next(iter(self._buckets))
             if now - self._buckets[first].at < RETENTION_SECONDS:
--- a/tillerlane/gateway/permits.py
+++ b/tillerlane/gateway/permits.py
@@ -1,10 +1,10 @@
 """Permits of one entry to send to targets that have named limits.
 
-A request that would go to such a target asks for a permit and waits for the answer, a round trip.
-While permits are denied, requests go elsewhere and have one asked for in passing, for those that
-come next.  What nobody uses soon is given back.  Permits are given by the leader of the keepers'
-log (`gateway.grants`), to which the keeper that is asked passes the wishes on.  While nobody gives
-any, the entry keeps to its share by lot.
+A request for such a target requests a permit and waits for the reply, a round trip.  While permits
+are denied, requests go elsewhere and queue a request for a permit without waiting, for later
+requests.  Permits that are not used soon are returned.  The leader of the keepers' log issues them
+(`gateway.grants`); the keeper that receives the request forwards it.  Without an issuer, the entry
+keeps to its hash-based share.
 """
 
 import asyncio
@@ -22,15 +22,15 @@
 __all__ = ["Permits"]
 
 REQUEST_INTERVAL_SECONDS = 0.05
-"""Least pause between two requests for permits; an entry makes one at a time."""
+"""Minimum time between two requests for permits; an entry makes one at a time."""
 REPLY_TIMEOUT_SECONDS = 0.3
-"""Longest wait for permits; an exchange within a region takes milliseconds."""
+"""Maximum wait for permits; an exchange within a region takes milliseconds."""
 USE_SHARE = 0.5
-"""Share of the time for which a permit holds in which it is used; in the rest it is given back."""
+"""Part of a permit's validity in which it is used; in the rest it is returned."""
 DENIAL_DELAY_SECONDS = 0.3
-"""How long no request waits for a permit after one was denied."""
+"""How long after a denial no request waits for a permit."""
 MAX_PERMIT_REQUESTS = 2
-"""Targets that one request wishes for at most: it needs one of them."""
+"""Maximum number of targets for which one request queues a permit: it needs one of them."""
 
 RequestGrants = Callable[[list[messages.PermitWish]], Awaitable[list[messages.PermitGrant]]]
 
@@ -41,22 +41,22 @@
     Parameters
     ----------
     entry : str
-        This entry's id, by which it draws its lots.
+        This entry's id, from which its share of each target is derived.
     named_limits : limits.Limits
-        What targets have named.
+        Limits that targets have named.
     now : callable
         Time of the event loop.
 
     Attributes
     ----------
     request_grants : callable
-        Asks for permits; raises `links.LinkLost` or `faults.FaultError` if there is no answer.
+        Requests permits; raises `links.LinkLost` or `faults.FaultError` without a reply.
     on_owner_change : callable
-        Called when permits are no more to be had, or are again: whether they are, and why not.
+        Called when the issuer stops or resumes replying: whether it replies, and why not.
     entries : int
         Entries of the fleet, as last heard; 0 until then.
     unused : int
-        Permits that ended unused.
+        Permits that expired unused.
     """
 
     def __init__(
@@ -69,20 +69,20 @@
         self._limits = named_limits
         self._now = now
         self._held: dict[str, collections.deque[float]] = collections.defaultdict(collections.deque)
-        """Until when each permit is to be used, by target, the first to end first."""
+        """Time until which each permit may be used, by target, earliest first."""
         self._returned: collections.Counter[str] = collections.Counter()
-        """Permits to be given back."""
+        """Permits to return."""
         self._sent: dict[str, collections.deque[float]] = collections.defaultdict(collections.deque)
-        """Times of this entry's latest sends to limited targets, no older than a window."""
+        """Times of this entry's sends to limited targets within the window."""
         self._denied: dict[str, float] = {}
-        """When a permit was last denied, by target."""
-        self._wishes: collections.Counter[str] = collections.Counter()
-        self._wished = asyncio.Event()
+        """Time of the latest denial, by target."""
+        self._queued: collections.Counter[str] = collections.Counter()
+        self._has_queued = asyncio.Event()
         self._next_reply: asyncio.Future[None] | None = None
-        """What requests wait for that found no permit."""
+        """Awaited by requests without a permit."""
         self._has_owner = True
-        """Whether the last request for permits had an answer."""
-        self.request_grants: RequestGrants = _have_nobody_to_ask
+        """Whether the last request for permits had a reply."""
+        self.request_grants: RequestGrants = _raise_no_keeper
         self.on_owner_change: Callable[[bool, str], None] = lambda is_answered, reason: None
         self.entries = 0
         self.unused = 0
@@ -101,24 +101,24 @@
             return True
         if self._has_permit(target_id, now):
             return True
-        return not self._has_owner and self._count_sent(target_id, now) < self._read_share(
+        return not self._has_owner and self._count_sent(target_id, now) < self._compute_share(
             target_id, limit
         )
 
     def is_permit_likely(self, target_id: str) -> bool:
-        """Whether a request that waits for a permit is likely to get one soon."""
+        """Whether a request that waits for a permit will probably get one soon."""
         denied_at = self._denied.get(target_id)
         return self._has_owner and (
             denied_at is None or self._now() - denied_at >= DENIAL_DELAY_SECONDS
         )
 
     def queue_request(self, target_id: str) -> None:
-        """Have permits asked for, since a request could have gone to a target with one."""
-        self._wishes[target_id] += 1
-        self._wished.set()
+        """Queue a request for a permit that a request could have used at a target."""
+        self._queued[target_id] += 1
+        self._has_queued.set()
 
     def record_send(self, target_id: str) -> None:
-        """Count a request that goes out to a target now; it uses a permit if one is held."""
+        """Record a request that is sent to a target now; it uses a permit if one is held."""
         now = self._now()
         if self._limits.find(target_id, now) is None:
             return
@@ -128,9 +128,9 @@
             self._held[target_id].popleft()
 
     def discard(self, target_id: str) -> None:
-        """Drop what is kept of a target that has ended."""
-        for kept in (self._held, self._sent, self._wishes, self._returned, self._denied):
-            kept.pop(target_id, None)
+        """Discard the state of a target that has ended."""
+        for table in (self._held, self._sent, self._queued, self._returned, self._denied):
+            table.pop(target_id, None)
 
     def _has_permit(self, target_id: str, now: float) -> bool:
         held = self._held.get(target_id)
@@ -146,72 +146,72 @@
             times.popleft()
         return len(times)
 
-    def _read_share(self, target_id: str, limit: float) -> int:
+    def _compute_share(self, target_id: str, limit: float) -> int:
         lot = decisions.draw_lot(self._entry, target_id)
         return decisions.count_share(decisions.build_fallback(limit), self.entries, lot)
 
-    # Asking
+    # Requests to the issuer
 
     async def wait_for_reply(self, seconds: float) -> None:
-        """Wait until permits that were asked for have come, or were denied; so long at most."""
+        """Wait until requested permits are granted or denied, at most `seconds`."""
         if self._next_reply is None:
             self._next_reply = asyncio.get_running_loop().create_future()
         await asyncio.wait({self._next_reply}, timeout=seconds)
 
     async def run(self) -> None:
-        """Ask for what is wished for and give back what is not used, until cancelled."""
+        """Request queued permits and return unused ones, until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout_at(self._read_next_end()):
-                    await self._wished.wait()
-            self._wished.clear()
-            await self._ask()
-            self._wake_waiting()
+                async with asyncio.timeout_at(self._find_next_expiry()):
+                    await self._has_queued.wait()
+            self._has_queued.clear()
+            await self._request()
+            self._wake_waiters()
             await asyncio.sleep(REQUEST_INTERVAL_SECONDS)
 
-    def _read_next_end(self) -> float | None:
-        """When the first permit held has to be given back; None without any."""
+    def _find_next_expiry(self) -> float | None:
+        """Time at which the first held permit has to be returned; None without any."""
         return min((held[0] for held in self._held.values() if held), default=None)
 
-    def _wake_waiting(self) -> None:
+    def _wake_waiters(self) -> None:
         if self._next_reply is not None and not self._next_reply.done():
             self._next_reply.set_result(None)
         self._next_reply = None
 
-    async def _ask(self) -> None:
-        asked_at = self._now()
-        wishes = self._list_wishes(asked_at)
-        self._wishes.clear()
+    async def _request(self) -> None:
+        requested_at = self._now()
+        requests = self._list_requests(requested_at)
+        self._queued.clear()
         self._returned.clear()
-        if not wishes:
+        if not requests:
             return
         try:
-            grants = await self.request_grants(wishes)
+            grants = await self.request_grants(requests)
         except (links.LinkLost, faults.FaultError) as error:
             self._record_owner(False, str(error))
             return
         self._record_owner(True, "")
         granted = {grant.target_id for grant in grants}
-        for wish in wishes:
-            if wish.count and wish.target_id not in granted:
-                self._denied[wish.target_id] = self._now()
+        for request in requests:
+            if request.count and request.target_id not in granted:
+                self._denied[request.target_id] = self._now()
         for grant in grants:
-            until = asked_at + grant.hold_ms / 1000 * USE_SHARE
+            until = requested_at + grant.hold_ms / 1000 * USE_SHARE
             self._held[grant.target_id].extend([until] * grant.count)
 
-    def _list_wishes(self, now: float) -> list[messages.PermitWish]:
-        """What to ask for, no more than the limit allows until the next time, and to give back."""
+    def _list_requests(self, now: float) -> list[messages.PermitWish]:
+        """Permits to request, bounded by the limit until the next request, and to return."""
         for target_id in self._held:
             self._has_permit(target_id, now)
-        found = []
-        for target_id in {*self._wishes, *self._returned}:
+        requests = []
+        for target_id in {*self._queued, *self._returned}:
             limit = self._limits.find(target_id, now)
             if limit is not None:
-                most = max(1, math.ceil(limit * REQUEST_INTERVAL_SECONDS))
-                count = min(self._wishes[target_id], most)
+                max_count = max(1, math.ceil(limit * REQUEST_INTERVAL_SECONDS))
+                count = min(self._queued[target_id], max_count)
                 returned = self._returned[target_id]
-                found.append(messages.PermitWish(target_id, count, limit, returned))
-        return found
+                requests.append(messages.PermitWish(target_id, count, limit, returned))
+        return requests
 
     def _record_owner(self, is_answered: bool, reason: str) -> None:
         if is_answered != self._has_owner:
@@ -219,7 +219,7 @@
         self._has_owner = is_answered
 
 
-async def _have_nobody_to_ask(
-    wishes: list[messages.PermitWish],
+async def _raise_no_keeper(
+    requests: list[messages.PermitWish],
 ) -> list[messages.PermitGrant]:
     raise links.LinkLost("no keeper to ask for permits")
