--- a/tillerlane/gateway/availability.py
+++ b/tillerlane/gateway/availability.py
@@ -1,16 +1,16 @@
-"""Whether an entry may send one more request to a target, by what targets say of themselves.
+"""Whether an entry may send one more request to a target, from what targets report.
 
-Every way to a target asks `Availability`, and nothing else.  A word about a target belongs to one
-incarnation of it and ends with that one.
+Every path to a target checks `Availability`, and nothing else.  A report about a target belongs to
+one incarnation of it and ends with it.
 
 ============ ===================== ============ ==================================
-word         source                holds at     ends
+report       source                applies to   ends
 ============ ===================== ============ ==================================
 leaving      heartbeats            all entries  with the incarnation
 evacuated    operators' orders     all entries  with the order
-back-off     answers               this entry   after the time that it names
+back-off     responses             this entry   after the time that it names
 cold         heartbeats            all entries  after the time that it names
-limit        answers               all entries  when answers name it no more
+limit        responses             all entries  when responses no longer name it
 ============ ===================== ============ ==================================
 """
 
@@ -28,7 +28,7 @@
 
 
 class Cause(enum.StrEnum):
-    """Why a target gets nothing from this entry now."""
+    """Reason why this entry may not send to a target now."""
 
     LEAVING = "leaving"
     EVACUATED = "evacuated"
@@ -39,12 +39,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Obstacle:
-    """What keeps a request from a target.
+    """Condition that prevents a request from being sent to a target.
 
     Attributes
     ----------
     until : float
-        Time of the event loop at which it may be gone: infinite if it does not end by itself.
+        Time of the event loop at which it may end: infinite if it does not end by itself.
     """
 
     cause: Cause
@@ -52,13 +52,13 @@
 
     @property
     def is_hard(self) -> bool:
-        """Whether the target is no choice either for what is sent there later, as a run's copy."""
+        """Whether the target is also excluded for what is sent later, such as a run's copy."""
         return self.cause not in (Cause.BACKOFF, Cause.LIMITED)
 
 
 _LEAVING = Obstacle(Cause.LEAVING, float("inf"))
 _EVACUATED = Obstacle(Cause.EVACUATED, float("inf"))
-# Shares and permits of one entry come back at any moment.
+# Shares and permits of one entry may become available again at any time.
 _COLD = Obstacle(Cause.COLD, 0.0)
 _LIMITED = Obstacle(Cause.LIMITED, 0.0)
 
@@ -71,13 +71,13 @@
     directory : directories.Directory
         Targets that leave, and evacuated data halls.
     usage : usages.Usage
-        Knows how many entries there are.
+        Own requests under way, and the number of entries.
     cold : colds.ColdLimiter
-        What this entry has sent to cold targets.
+        Limits sends to cold targets.
     permitted : permits.Permits
-        What it may send to those that have named limits.
+        Permits for targets that have named limits.
     in_backoff : backoffs.Backoffs
-        Those that have asked it for back-off.
+        Back-off that targets have requested from this entry.
     now : callable
         Time of the event loop.
     """
@@ -106,7 +106,7 @@
         is_resumed: bool = False,
         is_counted: bool = False,
     ) -> Obstacle | None:
-        """What keeps one more request from a target now; None if it may be sent.
+        """Obstacle to one more request to a target now; None if it may be sent.
 
         A run that `is_resumed` with a copy of its memory may go to a target that has begun to
         leave, and takes no further place of those left after a back-off: its copy holds one there.
@@ -127,13 +127,13 @@
         return None
 
     def is_rejecting_others(self, target: directories.Target) -> bool:
-        """Whether a target turns other entries away."""
+        """Whether a target rejects other entries."""
         return self._backoffs.is_hinted(target.target_id)
 
     def acquire(
         self, pool: routes.Pool, target: directories.Target, *, is_resumed: bool = False
     ) -> Obstacle | None:
-        """Count a request that goes out to a target now, unless something keeps it from there."""
+        """Count a request that is sent to a target now, unless there is an obstacle."""
         obstacle = self.find_obstacle(pool, target, is_resumed=is_resumed, is_counted=True)
         if obstacle is None:
             self._cold.record_send(target, self._now())
@@ -142,9 +142,9 @@
         return obstacle
 
     def is_blocked(self, pool: routes.Pool, target: directories.Target) -> bool:
-        """Whether a run that goes on has to wait for a target, which may soon get more.
+        """Whether a resumed run has to wait for a target that may soon accept it.
 
-        Permits are asked for where that would help.
+        Requests a permit where that would help.
         """
         obstacle = self.find_obstacle(pool, target, is_resumed=True)
         if obstacle is not None and obstacle.cause is Cause.LIMITED:
@@ -152,11 +152,11 @@
         return obstacle is not None and obstacle.cause is not Cause.EVACUATED
 
     def is_evacuated(self, target: directories.Target) -> bool:
-        """Whether a target's data hall gets nothing new."""
+        """Whether a target's data hall is evacuated, so that nothing new is sent there."""
         return target.data_hall in self._directory.evacuated
 
     def list_backoff_ends(self, pool: routes.Pool) -> list[float]:
-        """Times of the event loop at which the back-off of a pool's targets that take work ends."""
+        """End of the back-off of each target of a pool that accepts requests, in loop time."""
         ends = [
             self._backoffs.find_end(target.target_id, self._usage.count_own_at(target.address))
             for target in self._directory.list_pool(pool.name)
@@ -164,7 +164,7 @@
         return [until for until in ends if until is not None]
 
     def find_next_opening(self, pool: routes.Pool, excluded: Collection[str] = ()) -> float:
-        """Time of the event loop from which a target of a pool may take a request.
+        """Time of the event loop from which a target of a pool may accept a request.
 
         Infinite if none will by itself; targets that are `excluded` (ids) don't count.
         """
@@ -184,36 +184,36 @@
         return min((item.warm_at - now for item in listed if item.warm_at > now), default=0.0)
 
     async def wait_for_permits(self, seconds: float) -> None:
-        """Wait until permits that were asked for have come, or were denied; so long at most."""
+        """Wait until requested permits are granted or denied, at most `seconds`."""
         await self._permits.wait_for_reply(seconds)
 
     def queue_permit_request(self, target: directories.Target) -> None:
-        """Have permits asked for, since a request could have gone to a target with one."""
+        """Queue a request for a permit that a request could have used at a target."""
         self._permits.queue_request(target.target_id)
 
     def needs_permit(self, target: directories.Target) -> bool:
-        """Whether a target has named a limit and this entry may not send there without asking."""
+        """Whether a target has named a limit and this entry needs a permit to send there."""
         return not self._permits.can_send(target.target_id)
 
     async def request_permit(self, target: directories.Target, seconds: float) -> bool:
-        """Ask for a permit and wait for the answer, so long at most; whether one is held then."""
+        """Request a permit and wait at most `seconds` for it; whether one is held then."""
         self.queue_permit_request(target)
         await self._permits.wait_for_reply(seconds)
         return not self.needs_permit(target)
 
     def is_permit_likely(self, target: directories.Target) -> bool:
-        """Whether a request that waits for a permit is likely to get one soon."""
+        """Whether a request that waits for a permit will probably get one soon."""
         return self._permits.is_permit_likely(target.target_id)
 
     def find_limit(self, target: directories.Target) -> float | None:
-        """What a target has named as its limit, in requests a second; None without one in force."""
+        """A target's limit in requests a second; None without one in force."""
         return self._permits.find_limit(target.target_id)
 
     def list_limits(self, pool: routes.Pool) -> list[float]:
-        """Limits in force of a pool's targets that take work, in requests a second."""
+        """Limits in force of a pool's targets that accept requests, in requests a second."""
         limits = [self.find_limit(target) for target in self._directory.list_pool(pool.name)]
         return [limit for limit in limits if limit is not None]
 
     def list_evacuated(self) -> list[str]:
-        """Data halls whose targets get nothing new."""
+        """Evacuated data halls, to whose targets nothing new is sent."""
         return sorted(self._directory.evacuated)
