--- a/tillerlane/gateway/admission.py
+++ b/tillerlane/gateway/admission.py
@@ -1,4 +1,4 @@
-"""What a request is judged by before it is sent: route, key, freshness, time, memory."""
+"""Admission of a request before it is sent: route, key, freshness, deadline, memory."""
 
 import dataclasses
 from collections.abc import Callable
@@ -10,23 +10,23 @@
 __all__ = ["LONG_RUN_TOKENS", "RETRY_AFTER_SECONDS", "Admission", "AdmissionControl", "Refusal"]
 
 RETRY_AFTER_SECONDS = 0.25
-"""When a refused caller may come back: most refusals end with the next word of a target."""
+"""Default delay for a refused caller: most refusals end with a target's next report."""
 STALE_RETRY_AFTER_SECONDS = 1.0
-"""When a caller may come back without a configuration that can be trusted: about when another
-keeper is found, or a leader elected.  Callers with less time come back sooner."""
+"""Delay for a caller that is refused without a trusted configuration: about the time to connect to
+another keeper, or to elect a leader.  Callers with less time retry sooner."""
 DEFAULT_WAIT_SECONDS = 60.0
-"""Time of a request that names none, on a route that names none."""
+"""Time for a request if neither it nor its route names one."""
 LONG_RUN_TOKENS = 40
-"""Answers expected to be shorter end before their memory would be of use elsewhere: a run writes
-some 130 tokens a second, and a runner leaves with 1.5 s of notice or more."""
+"""Shorter runs end before a copy of their memory would be of use: a run writes some 130 tokens a
+second, and a runner leaves with 1.5 s of notice or more."""
 MAX_GROWTH_RESERVE_TOKENS = 300
-"""Most tokens of a run's future growth that are counted as used: what a run writes in two
-seconds, by which time others have ended."""
+"""Maximum number of tokens of a run's future growth that are counted as used: what a run writes in
+two seconds, by which time others have ended."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """An answer of our own: status, reason for the log, and when to come back."""
+    """The entry's own negative response: status, reason for the log, and retry delay."""
 
     status: int
     reason: str
@@ -35,14 +35,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """A request that may run, and what it was judged by.
+    """An admitted request, and what the decision is based on.
 
     Attributes
     ----------
     deadline : float
-        Time of the event loop by which it must be answered.
+        Time of the event loop by which the response must be complete.
     fingerprint : str
-        The same for each attempt of the same request (`gateway.fingerprints`).
+        Equal for all attempts of the same request (`gateway.fingerprints`).
     """
 
     request: http_server.Request
@@ -56,71 +56,71 @@
 
     @property
     def tokens(self) -> int:
-        """Memory that the request is counted with at a runner when it begins."""
+        """Memory that the request is counted with at a runner at its start."""
         return self.facts.prompt_tokens + self.compute_growth_reserve(0)
 
     @property
     def work(self) -> placing.Work:
-        """What it asks of a runner."""
+        """Work that it is for a runner."""
         facts = self.facts
         return placing.Work(self.tokens, facts.prompt_tokens, self.count_remaining_events(0))
 
     def count_remaining_events(self, events: int) -> float:
-        """Events that its run is expected to write after so many."""
+        """Expected number of events that its run is still to write after `events`."""
         if self.pool.engine is None:
             return 0.0
         expected = self.facts.output_tokens / max(1, self.pool.engine.event_tokens)
         return max(0.0, expected - events)
 
     def compute_growth_reserve(self, written: int) -> int:
-        """Tokens that are set aside for what a run is yet to write."""
+        """Tokens reserved for what a run is still to write after `written`."""
         return min(MAX_GROWTH_RESERVE_TOKENS, max(0, self.facts.output_tokens - written) // 2)
 
     @property
     def priority(self) -> int:
-        """Its rank; the workspace's own goes before the route's."""
-        return self._read_rank(self.route.priority)
+        """Its priority; the workspace's own overrides the route's."""
+        return self._get_priority(self.route.priority)
 
     @property
     def runner_rank(self) -> int:
-        """Its rank at a runner: the workspace's own, if it has one."""
-        return self._read_rank(queueing.RUNNER_RANK)
+        """Its priority at a runner: the workspace's own, if it has one."""
+        return self._get_priority(queueing.RUNNER_RANK)
 
-    def _read_rank(self, default: int) -> int:
-        """The workspace's own rank, or a default where it has none."""
+    def _get_priority(self, default: int) -> int:
+        """The workspace's own priority, or `default` if it has none."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return default
 
     @property
     def is_long(self) -> bool:
-        """Whether it makes a run that is long and may not run again, so that its memory matters."""
+        """Whether its run is long and must not be repeated, so that its memory matters."""
         if self.pool.engine is None or self.route.is_resumable:
             return False
         return self.facts.output_tokens >= LONG_RUN_TOKENS
 
     @property
     def is_stream(self) -> bool:
-        """Whether a good answer is a stream of events."""
+        """Whether a successful response is a stream of events."""
         return self.route.repeat is routes.Repeat.STREAM
 
 
 class AdmissionControl:
-    """Decides on each request by the table in force.
+    """Decides on each request from the routing table in force.
 
     Parameters
     ----------
     dialect : dialects.Dialect
-        Reads requests.
+        Decodes requests.
     pick_pool : callable
-        Gives one of a route's pools.
+        Picks one of a route's pools.
 
     Attributes
     ----------
     table : routes.RoutingTable or None
         None until there is a configuration.
     is_fresh : callable
-        Whether keys may be trusted: the table is known to be the newest, or was lately.
+        Whether keys may be trusted: the table is, or recently was, known to be the newest.
     """
 
     def __init__(self, dialect: dialects.Dialect, pick_pool: Callable[[routes.Route], str]) -> None:
@@ -130,7 +130,7 @@
         self._pick_pool = pick_pool
 
     def admit(self, request: http_server.Request) -> Admission | Refusal:
-        """Judge a request."""
+        """Admit or refuse a request."""
         table = self.table
         if table is None:
             return Refusal(503, "no configuration yet", STALE_RETRY_AFTER_SECONDS)
@@ -148,10 +148,12 @@
             workspace = table.find_workspace(facts.key)
             if workspace is None:
                 return Refusal(401, f"unknown key in version {table.version}")
-        waits = [facts.wait_seconds, route.timeout_seconds]
-        wait = min([item for item in waits if item is not None], default=DEFAULT_WAIT_SECONDS)
+        timeouts = [facts.wait_seconds, route.timeout_seconds]
+        timeout = min(
+            [seconds for seconds in timeouts if seconds is not None], default=DEFAULT_WAIT_SECONDS
+        )
         pool = table.pools[self._pick_pool(route)]
-        deadline = request.arrived + wait
+        deadline = request.arrived + timeout
         owner = workspace.name if workspace is not None else ""
         fingerprint = fingerprints.compute(request.head, request.body, owner)
         return Admission(
--- a/tillerlane/gateway/refusals.py
+++ b/tillerlane/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of requests that were sent nowhere: why, and when the caller may come back."""
+"""Refusals of requests that were not sent: the reason, and when the caller may retry."""
 
 import asyncio
 import dataclasses
@@ -12,25 +12,25 @@
 __all__ = ["NotRun", "RefusalBuilder"]
 
 NO_ROOM_RETRY_AFTER_SECONDS = 3.0
-"""When a caller may come back that found no memory: a full pool stays full for seconds, since a
-long run takes some 8 s and a runner that left is replaced after 4 s."""
+"""Retry delay where no runner has enough memory: a full pool stays full for seconds, since a long
+run takes some 8 s and a runner that left is replaced after 4 s."""
 NO_ROOM_RETRY_SHARE = 0.3
-"""Share of its time left that a caller may be told to wait; callers obey up to a third of it."""
+"""Maximum retry delay as a part of a caller's remaining time; callers obey up to a third of it."""
 EVACUATED_RETRY_AFTER_SECONDS = 1.0
-"""When a caller may come back that found all data halls evacuated: such an order holds for seconds,
-so that coming back at once is in vain."""
+"""Retry delay where all data halls are evacuated: such an order holds for seconds, so that an
+immediate retry would fail."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The target vouches that it did not run the request, or it was never sent."""
+    """The target guarantees that it did not run the request, or it was never sent."""
 
     reason: str
     sent: bool
     is_other_target: bool = False
-    """Whether the address has gone to another target."""
+    """Whether the address now belongs to another target."""
     is_blocked: bool = False
-    """Whether the target may get nothing of this entry now, which says nothing of its reach."""
+    """Whether this entry may not send there now, which does not make the target unreachable."""
     retry_after: float = admissions.RETRY_AFTER_SECONDS
 
 
@@ -40,20 +40,20 @@
     Parameters
     ----------
     available : availability.Availability
-        Knows why targets get nothing.
+        Obstacles to sending to targets.
     usage : usages.Usage
-        Knows how many entries there are.
+        Number of entries.
     """
 
     def __init__(self, available: availability.Availability, usage: usages.Usage) -> None:
         self._available = available
         self._usage = usage
         self._loop = asyncio.get_running_loop()
-        self._returns: dict[tuple[str, availability.Cause], float] = {}
-        """When the caller that was refused last may come back, by pool and what kept it away."""
+        self._retry_times: dict[tuple[str, availability.Cause], float] = {}
+        """Time at which the last refused caller may retry, by pool and cause."""
 
     def build_no_target(self, admission: admissions.Admission) -> NotRun:
-        """Refuse a request that no target takes now, and say why."""
+        """Refuse a request that no target accepts now, with the reason."""
         found = [
             *self._list_cold(admission.pool),
             *self._list_limited(admission.pool),
@@ -68,47 +68,47 @@
         reason = f"no target outside the evacuated data halls {halls}"
         return NotRun(reason, sent=False, retry_after=EVACUATED_RETRY_AFTER_SECONDS)
 
-    def adjust_retry_after(self, admission: admissions.Admission, refused: NotRun) -> NotRun:
-        """Have a caller whom targets turned away come back no sooner than one may take more."""
+    def adjust_retry_after(self, admission: admissions.Admission, rejected: NotRun) -> NotRun:
+        """Delay the retry of a caller rejected by targets until one may accept more."""
         if self._available.find_next_opening(admission.pool) <= self._loop.time():
-            return refused
+            return rejected
         found = self._list_in_backoff(admission.pool)
-        return dataclasses.replace(refused, retry_after=found[0][0]) if found else refused
+        return dataclasses.replace(rejected, retry_after=found[0][0]) if found else rejected
 
     def _list_cold(self, pool: routes.Pool) -> list[tuple[float, str]]:
-        """Seconds and reason to tell callers if cold targets keep them away; none if they don't."""
+        """Retry delay and reason if cold targets are the obstacle; empty if they are not."""
         seconds = self._available.compute_warm_up_seconds(pool)
         if seconds <= 0:
             return []
         return [(seconds, "no target but cold ones that have this entry's share")]
 
     def _list_limited(self, pool: routes.Pool) -> list[tuple[float, str]]:
-        limits_named = self._available.list_limits(pool)
-        if not limits_named:
+        named_limits = self._available.list_limits(pool)
+        if not named_limits:
             return []
-        rate = sum(limits_named) / max(1, self._usage.entries)
-        seconds = self._book(pool, availability.Cause.LIMITED, self._loop.time(), rate)
-        return [(seconds, f"no target but {len(limits_named)} whose limits leave no room")]
+        rate = sum(named_limits) / max(1, self._usage.entries)
+        seconds = self._schedule_retry(pool, availability.Cause.LIMITED, self._loop.time(), rate)
+        return [(seconds, f"no target but {len(named_limits)} whose limits leave no room")]
 
     def _list_in_backoff(self, pool: routes.Pool) -> list[tuple[float, str]]:
         ends = self._available.list_backoff_ends(pool)
         if not ends:
             return []
         cause = availability.Cause.BACKOFF
-        seconds = self._book(pool, cause, min(ends), 1 / backoffs.PROBE_INTERVAL_SECONDS)
+        seconds = self._schedule_retry(pool, cause, min(ends), 1 / backoffs.PROBE_INTERVAL_SECONDS)
         return [(seconds, f"no target but {len(ends)} that asked for back-off")]
 
-    def _book(
+    def _schedule_retry(
         self, pool: routes.Pool, cause: availability.Cause, first_at: float, rate: float
     ) -> float:
-        """Seconds until one more caller may come back, in turn, `first_at` or later."""
+        """Seconds until one more caller may retry, in turn, `first_at` or later."""
         key = (pool.name, cause)
-        booked_at = self._returns.get(key, first_at)
-        self._returns[key] = limits.book_return(booked_at, first_at, rate)
-        return self._returns[key] - self._loop.time()
+        previous_at = self._retry_times.get(key, first_at)
+        self._retry_times[key] = limits.book_return(previous_at, first_at, rate)
+        return self._retry_times[key] - self._loop.time()
 
     def build_no_room(self, admission: admissions.Admission) -> NotRun:
-        left = max(0.0, admission.deadline - self._loop.time())
-        retry_after = min(NO_ROOM_RETRY_AFTER_SECONDS, left * NO_ROOM_RETRY_SHARE)
+        remaining = max(0.0, admission.deadline - self._loop.time())
+        retry_after = min(NO_ROOM_RETRY_AFTER_SECONDS, remaining * NO_ROOM_RETRY_SHARE)
         reason = f"no memory: {admission.tokens} tokens beside those under way"
         return NotRun(reason, sent=False, retry_after=retry_after)
