--- a/tillerlane/gateway/quarantine.py
+++ b/tillerlane/gateway/quarantine.py
@@ -1,10 +1,11 @@
-"""Requests that an entry sends to no target, since targets ended under them.
-
-What an entry sees of a request must outlive the attempt: the caller comes again with the same
-request, at any entry.  So each entry tells its keepers under which requests targets ended, and
-which of those have ended well; keepers spread that and have the log hold back, for good, what has
-ended too many (`gateway.quarantine_coordinator`).  An entry goes by all three: what it saw, what it
-was told, what the log holds.  The ways weighed are in ``docs/design/quarantine.md``.
+"""Quarantine of requests that are sent to no target, since targets exited under them.
+
+What an entry observes of a request must outlive the attempt: the caller repeats the same request,
+at any entry.  So each entry reports to its keepers under which requests targets exited, and which
+of those have succeeded.  Keepers distribute that, and have the log quarantine permanently the
+requests with too many exits (`gateway.quarantine_coordinator`).  An entry acts on all three: its
+own observations, the keepers' reports, and the log.  ``docs/design/quarantine.md`` compares the
+alternatives.
 """
 
 import collections
@@ -18,40 +19,40 @@
 __all__ = ["Quarantine"]
 
 SUCCESS_RETENTION_SECONDS = 60.0
-"""How long a request that ended well here is vouched for: an often repeated one that is on many
-targets when these lose power must not be held back for it."""
+"""How long a success clears a request here: a frequent one that is on many targets when these lose
+power must not be quarantined for it."""
 MAX_SUCCESSES = 4_096
-"""Requests vouched for at most, the latest: 80 s of a thin entry with 50 a second."""
+"""Maximum number of successes kept, the latest: 80 s of an entry with 50 requests a second."""
 
 
 class Quarantine:
-    """What one entry knows of requests that end targets.
+    """What one entry knows of requests that make targets exit.
 
     Parameters
     ----------
     timeline : timelines.Timeline
-        Takes what is learned.
+        Logs changes.
     now : callable
         Time of the event loop.
 
     Attributes
     ----------
     suspects : suspects.Suspects
-        Targets that ended, by request.
+        Target exits, by request.
     notify_keepers : callable
-        Tells the keepers of what is new here.
+        Notifies the keepers of changes seen here.
     """
 
     def __init__(self, timeline: timelines.Timeline, now: Callable[[], float]) -> None:
         self.suspects = suspects.Suspects()
-        self.notify_keepers: Callable[[list[suspects.TargetExit]], None] = lambda ends: None
+        self.notify_keepers: Callable[[list[suspects.TargetExit]], None] = lambda exits: None
         self._timeline = timeline
         self._now = now
         self._held: frozenset[str] = frozenset()
-        self._good: collections.OrderedDict[str, float] = collections.OrderedDict()
+        self._successes: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     def find_reason(self, fingerprint: str) -> str:
-        """Why a request goes to no target; empty if it may go."""
+        """Why a request is sent to no target; empty if it may be sent."""
         if fingerprint in self._held:
             return f"held back, as targets ended under it: {fingerprint}"
         ended = self.suspects.count(fingerprint)
@@ -60,11 +61,11 @@
         return ""
 
     def count_held(self) -> int:
-        """Requests that the log holds back."""
+        """Number of requests that the log quarantines."""
         return len(self._held)
 
     def set_held(self, fingerprints: frozenset[str]) -> None:
-        """Take the requests that the log holds back."""
+        """Set the requests that the log quarantines."""
         for fingerprint in fingerprints - self._held:
             self._timeline.record("request.quarantined", fingerprint=fingerprint, held=True)
         for fingerprint in self._held - fingerprints:
@@ -72,38 +73,38 @@
         self._held = fingerprints
 
     def record_exit(self, fingerprint: str, target: directories.Target) -> None:
-        """Take note that a target ended while it had a request."""
-        if self._is_good(fingerprint):
+        """Record that a target exited while it had a request."""
+        if self._has_succeeded(fingerprint):
             return
-        self._tell_new(self.suspects.merge([suspects.TargetExit(fingerprint, target.target_id)]))
+        self._announce(self.suspects.merge([suspects.TargetExit(fingerprint, target.target_id)]))
 
     def record_success(self, fingerprint: str) -> None:
-        """Take note that a request ended well: it does not end each target that runs it."""
-        self._good[fingerprint] = self._now()
-        self._good.move_to_end(fingerprint)
-        if len(self._good) > MAX_SUCCESSES:
-            self._good.popitem(last=False)
-        self._tell_new(self.suspects.clear(fingerprint))
-
-    def handle_exits(self, ends: Iterable[suspects.TargetExit]) -> None:
-        """Take what a keeper tells, and vouch for what ended well here."""
-        new = self.suspects.merge(ends)
-        for fingerprint in {end.fingerprint for end in new}:
-            if self._is_good(fingerprint):
-                self._tell_new(self.suspects.clear(fingerprint))
-
-    def _is_good(self, fingerprint: str) -> bool:
-        at = self._good.get(fingerprint)
+        """Record that a request succeeded: not every target that runs it exits."""
+        self._successes[fingerprint] = self._now()
+        self._successes.move_to_end(fingerprint)
+        if len(self._successes) > MAX_SUCCESSES:
+            self._successes.popitem(last=False)
+        self._announce(self.suspects.clear(fingerprint))
+
+    def handle_exits(self, exits: Iterable[suspects.TargetExit]) -> None:
+        """Merge exits from a keeper, and clear those of requests that succeeded here."""
+        changed = self.suspects.merge(exits)
+        for fingerprint in {target_exit.fingerprint for target_exit in changed}:
+            if self._has_succeeded(fingerprint):
+                self._announce(self.suspects.clear(fingerprint))
+
+    def _has_succeeded(self, fingerprint: str) -> bool:
+        at = self._successes.get(fingerprint)
         return at is not None and self._now() - at < SUCCESS_RETENTION_SECONDS
 
-    def _tell_new(self, ends: list[suspects.TargetExit]) -> None:
-        if not ends:
+    def _announce(self, exits: list[suspects.TargetExit]) -> None:
+        if not exits:
             return
-        fingerprint = ends[0].fingerprint
+        fingerprint = exits[0].fingerprint
         self._timeline.record(
             "request.suspected",
             fingerprint=fingerprint,
             ended=self.suspects.count(fingerprint),
-            cleared=ends[0].is_cleared,
+            cleared=exits[0].is_cleared,
         )
-        self.notify_keepers(ends)
+        self.notify_keepers(exits)
--- a/tillerlane/gateway/quarantine_coordinator.py
+++ b/tillerlane/gateway/quarantine_coordinator.py
@@ -1,10 +1,10 @@
-"""A keeper's part in holding back requests under which targets ended.
+"""A keeper's part in the quarantine of requests under which targets exited.
 
-Entries tell of such ends, and of requests that ended well after all.  Keepers pass on to each other
-all that is new, and to entries only what concerns a request under which more than one target ended:
-that is what an entry needs to hold it back, or to vouch for it.  The leader has the log hold back
-what is deadly, so that it stays so whoever starts again.  All of 300 entries know within 0.05 s of
-virtual time, for 1.7 kB each (`benchmarks.endings`).
+Entries report such exits, and successes of the same requests.  Keepers forward all changes to each
+other, but to entries only those of requests under which more than one target exited: an entry needs
+these to refuse such a request, or to clear it.  The leader has the log quarantine poison requests,
+so that restarts don't release them.  All of 300 entries are informed within 0.05 s of virtual time,
+with 1.7 kB each (`benchmarks.endings`).
 """
 
 import asyncio
@@ -22,32 +22,32 @@
 __all__ = ["QuarantineCoordinator"]
 
 BATCH_DELAY_SECONDS = 0.02
-"""How long ends wait to share a message: a target that ends breaks all of its answers off at once,
-at many entries.  A fiftieth of the second within which the whole fleet should know."""
+"""How long exits are gathered for a message: a target that exits truncates all of its responses at
+once, at many entries.  A fiftieth of the second within which the fleet should be informed."""
 DECISION_INTERVAL_SECONDS = 0.5
-"""How often the leader looks for what the log should hold back: late enough for entries to vouch
-for a request, and a sixth of the shortest time met in which the fleet has to know (3 s)."""
+"""How often the leader checks what the log should quarantine: late enough for entries to clear a
+request, and a sixth of the shortest time within which the fleet has to be informed (3 s)."""
 
 Send = Callable[[messages.TargetEnds], None]
 
 
 class QuarantineCoordinator:
-    """What one keeper knows of requests that end targets.
+    """Distributes target exits at one keeper, and decides on the quarantine at the leader.
 
     Parameters
     ----------
     store : stores.Store
-        What the log holds back.
+        Requests that the log quarantines.
     has_lease : callable
         Whether this keeper leads.
     propose : callable
-        Has the log take a command.
+        Proposes a command to the log.
     send_to_keepers, send_to_entries : callable
         Send a message to all other keepers, to all subscribed entries.
     now_ms : callable
         Time of day in milliseconds.
     timeline : timelines.Timeline
-        Takes what is decided.
+        Logs decisions.
     """
 
     def __init__(
@@ -68,65 +68,65 @@
         self._send_to_entries = send_to_entries
         self._now_ms = now_ms
         self._timeline = timeline
-        self._new: list[suspects.TargetExit] = []
+        self._unsent: list[suspects.TargetExit] = []
         self._timer: asyncio.TimerHandle | None = None
 
-    # Spreading
+    # Distribution
 
-    def handle_exits(self, ends: Iterable[suspects.TargetExit]) -> None:
-        """Take what an entry or another keeper tells, and pass on what is new."""
-        new = self.suspects.merge(ends)
-        self._new += new
-        if new and self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(BATCH_DELAY_SECONDS, self._spread)
+    def handle_exits(self, exits: Iterable[suspects.TargetExit]) -> None:
+        """Merge exits from an entry or another keeper, and forward changes."""
+        changed = self.suspects.merge(exits)
+        self._unsent += changed
+        if changed and self._timer is None:
+            self._timer = asyncio.get_running_loop().call_later(BATCH_DELAY_SECONDS, self._flush)
 
-    def _spread(self) -> None:
+    def _flush(self) -> None:
         self._timer = None
-        new, self._new = self._new, []
-        self._send_to_keepers(suspects.encode_exits(new))
-        told = dict.fromkeys(end.fingerprint for end in new)
-        concerned = [item for item in told if self.suspects.is_repeated(item)]
-        if not concerned:
+        changed, self._unsent = self._unsent, []
+        self._send_to_keepers(suspects.encode_exits(changed))
+        fingerprints = dict.fromkeys(target_exit.fingerprint for target_exit in changed)
+        repeated = [item for item in fingerprints if self.suspects.is_repeated(item)]
+        if not repeated:
             return
-        for fingerprint in concerned:
+        for fingerprint in repeated:
             ended = self.suspects.count(fingerprint)
             self._timeline.record("request.suspected", fingerprint=fingerprint, ended=ended)
-        self._send_to_entries(suspects.encode_exits(self.suspects.list_exits(concerned)))
+        self._send_to_entries(suspects.encode_exits(self.suspects.list_exits(repeated)))
 
     def build_for_keeper(self) -> messages.TargetEnds:
-        """All that is known, for a keeper whose link is new."""
+        """All exits, for a keeper that has just connected."""
         return suspects.encode_exits(self.suspects.list_all())
 
     def build_for_entry(self) -> messages.TargetEnds:
-        """All that concerns entries, for one that is new."""
+        """All exits that concern entries, for one that has just connected."""
         return suspects.encode_exits(self.suspects.list_exits(self.suspects.list_repeated()))
 
     # The log
 
     async def run(self) -> None:
-        """While this keeper leads, have the log hold back what is deadly; until cancelled."""
+        """While this keeper leads, have the log quarantine poison requests; until cancelled."""
         while True:
             await asyncio.sleep(DECISION_INTERVAL_SECONDS)
             if self._has_lease():
-                await self._settle()
+                await self._update_log()
 
-    async def _settle(self) -> None:
+    async def _update_log(self) -> None:
         held = self._store.list_names(stores.QUARANTINE)
         has_room = len(held) < machines.MAX_QUARANTINED
         for fingerprint in self.suspects.list_repeated():
             is_deadly = quarantine.is_deadly(self.suspects.count(fingerprint))
             if is_deadly and fingerprint not in held and has_room:
-                await self._decide(fingerprint, hold=True)
+                await self._propose_quarantine(fingerprint, hold=True)
             elif fingerprint in held and not is_deadly and self.suspects.is_cleared(fingerprint):
-                await self._decide(fingerprint, hold=False)
+                await self._propose_quarantine(fingerprint, hold=False)
 
-    async def _decide(self, fingerprint: str, *, hold: bool) -> None:
+    async def _propose_quarantine(self, fingerprint: str, *, hold: bool) -> None:
         target_ids = self.suspects.list_targets(fingerprint)
         command = commands.Quarantine(fingerprint, hold, "keepers", self._now_ms(), target_ids)
         try:
             answer = await self._propose(commands.encode(command))
         except faults.FaultError as error:
-            # The next look proposes it again; meanwhile all go by what they were told.
+            # The next check proposes it again; until then daemons act on the exits that they know.
             self._timeline.record(
                 "request.undecided", fingerprint=fingerprint, message=error.fault.message
             )
--- a/tillerlane/gateway/suspects.py
+++ b/tillerlane/gateway/suspects.py
@@ -1,8 +1,8 @@
-"""Requests under which targets ended, as one daemon knows them.
+"""Requests under which targets exited, as one daemon knows them.
 
-Each row says that a target ended while it had a request, and whether that still counts against the
-request.  Rows are only added and cleared, so daemons that hear of them in any order, over any way
-and more than once come to the same table.
+Each row states that a target exited while it had a request, and whether that still counts against
+the request.  Rows are only added and cleared, so daemons that receive them in any order, by any
+route and more than once converge to the same table.
 """
 
 import collections
@@ -14,26 +14,26 @@
 __all__ = ["Suspects", "TargetExit", "decode_exits", "encode_exits"]
 
 MAX_REQUESTS = 10_000
-"""Requests remembered.  A data hall of 250 runners that ends leaves up to 12,000 with one end each,
-of which nothing follows; so those with one end are forgotten first, the oldest of them."""
+"""Maximum number of requests kept.  The loss of a data hall of 250 runners leaves up to 12,000 with
+one exit each, which have no consequence; so those with one exit are evicted first, oldest first."""
 MAX_EXITS = 16
-"""Ends remembered of one request: what is beyond changes no decision."""
+"""Maximum number of exits kept for a request: further ones change no decision."""
 MAX_ID_CHARACTERS = 200
-"""Bound on what a row names, in letters; a target's id has 25."""
+"""Bound on the length of a row's names; a target's id has 25."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetExit:
-    """A target that ended while it had a request.
+    """A target that exited while it had a request.
 
     Attributes
     ----------
     fingerprint : str
-        The request (`gateway.fingerprints`).
+        Identifies the request (`gateway.fingerprints`).
     target_id : str
-        One start of a target.
+        Identifies an incarnation of a target.
     is_cleared : bool
-        Whether it counts no more, since the request has ended well.
+        Whether it no longer counts, since the request has succeeded.
     """
 
     fingerprint: str
@@ -45,94 +45,104 @@
     """The table of one daemon."""
 
     def __init__(self) -> None:
-        self._once: collections.OrderedDict[str, dict[str, TargetExit]] = collections.OrderedDict()
-        """Requests with one end each, the oldest first."""
-        self._more: collections.OrderedDict[str, dict[str, TargetExit]] = collections.OrderedDict()
+        self._single: collections.OrderedDict[str, dict[str, TargetExit]] = (
+            collections.OrderedDict()
+        )
+        """Requests with one exit each, oldest first."""
+        self._repeated: collections.OrderedDict[str, dict[str, TargetExit]] = (
+            collections.OrderedDict()
+        )
 
     def __len__(self) -> int:
-        return len(self._once) + len(self._more)
+        return len(self._single) + len(self._repeated)
 
     def _find(self, fingerprint: str) -> dict[str, TargetExit]:
-        return self._more.get(fingerprint) or self._once.get(fingerprint) or {}
+        return self._repeated.get(fingerprint) or self._single.get(fingerprint) or {}
 
-    def merge(self, ends: Iterable[TargetExit]) -> list[TargetExit]:
-        """Merge what is heard; gives what was new."""
-        return [end for end in ends if self._merge(end)]
+    def merge(self, exits: Iterable[TargetExit]) -> list[TargetExit]:
+        """Merge received exits; returns those that changed the table."""
+        return [target_exit for target_exit in exits if self._merge(target_exit)]
 
-    def _merge(self, end: TargetExit) -> bool:
-        held = self._find(end.fingerprint)
-        known = held.get(end.target_id)
-        if known is not None and known.is_cleared >= end.is_cleared:
+    def _merge(self, target_exit: TargetExit) -> bool:
+        held = self._find(target_exit.fingerprint)
+        known = held.get(target_exit.target_id)
+        if known is not None and known.is_cleared >= target_exit.is_cleared:
             return False
         if known is None and len(held) >= MAX_EXITS:
             return False
-        updated = {**held, end.target_id: end}
-        self._once.pop(end.fingerprint, None)
-        table = self._more if len(updated) > 1 else self._once
-        table[end.fingerprint] = updated
-        self._forget()
+        updated = {**held, target_exit.target_id: target_exit}
+        self._single.pop(target_exit.fingerprint, None)
+        table = self._repeated if len(updated) > 1 else self._single
+        table[target_exit.fingerprint] = updated
+        self._evict()
         return True
 
-    def _forget(self) -> None:
+    def _evict(self) -> None:
         if len(self) > MAX_REQUESTS:
-            (self._once or self._more).popitem(last=False)
+            (self._single or self._repeated).popitem(last=False)
 
     def clear(self, fingerprint: str) -> list[TargetExit]:
-        """Count no end so far against a request that has ended well; gives what changed."""
-        open_ends = [end for end in self._find(fingerprint).values() if not end.is_cleared]
-        return self.merge([dataclasses.replace(end, is_cleared=True) for end in open_ends])
+        """Clear all exits so far of a request that has succeeded; returns those that changed."""
+        counted = [
+            target_exit
+            for target_exit in self._find(fingerprint).values()
+            if not target_exit.is_cleared
+        ]
+        return self.merge(
+            [dataclasses.replace(target_exit, is_cleared=True) for target_exit in counted]
+        )
 
     def count(self, fingerprint: str) -> int:
-        """Targets whose end counts against a request."""
+        """Number of target exits that count against a request."""
         return len(self.list_targets(fingerprint))
 
     def list_targets(self, fingerprint: str) -> list[str]:
         """Ids of those targets."""
-        ends = self._find(fingerprint).values()
-        return [end.target_id for end in ends if not end.is_cleared]
+        exits = self._find(fingerprint).values()
+        return [target_exit.target_id for target_exit in exits if not target_exit.is_cleared]
 
     def is_cleared(self, fingerprint: str) -> bool:
-        """Whether a request has ended well after a target ended under it.
+        """Whether a request has succeeded after a target exited under it.
 
-        A daemon that knows few ends of a request, as after a start, does not know that of it.
+        False also where this is not known, as at a daemon that has started recently.
         """
-        return any(end.is_cleared for end in self._find(fingerprint).values())
+        return any(target_exit.is_cleared for target_exit in self._find(fingerprint).values())
 
     def is_repeated(self, fingerprint: str) -> bool:
-        """Whether more than one target has ended under a request."""
-        return fingerprint in self._more
+        """Whether more than one target has exited under a request."""
+        return fingerprint in self._repeated
 
     def list_repeated(self) -> list[str]:
-        """Requests under which more than one target has ended."""
-        return list(self._more)
+        """Requests under which more than one target has exited."""
+        return list(self._repeated)
 
     def list_exits(self, fingerprints: Iterable[str]) -> list[TargetExit]:
-        """All that is known of some requests."""
-        return [end for item in fingerprints for end in self._find(item).values()]
+        """All exits of some requests."""
+        return [target_exit for item in fingerprints for target_exit in self._find(item).values()]
 
     def list_all(self) -> list[TargetExit]:
-        """All that is known."""
-        return self.list_exits([*self._more, *self._once])
+        """All exits."""
+        return self.list_exits([*self._repeated, *self._single])
 
 
-def encode_exits(ends: Iterable[TargetExit]) -> messages.TargetEnds:
-    """Ends as a message."""
-    rows = list(ends)
+def encode_exits(exits: Iterable[TargetExit]) -> messages.TargetEnds:
+    """Encode exits as a message."""
+    rows = list(exits)
     table = messages.EndTable(
-        [end.fingerprint for end in rows],
-        [end.target_id for end in rows],
-        [end.is_cleared for end in rows],
+        [target_exit.fingerprint for target_exit in rows],
+        [target_exit.target_id for target_exit in rows],
+        [target_exit.is_cleared for target_exit in rows],
     )
     return messages.TargetEnds(codec.write_table(table))
 
 
 def decode_exits(message: messages.TargetEnds) -> list[TargetExit]:
-    """Ends from a message; rows that name nothing, or too much, are passed over.
+    """Decode exits from a message; skips rows with empty or overlong names.
 
     Raises
     ------
     faults.FaultError
-        Of kind ``bad_request`` if it can't be read.
+        Of kind ``bad_request`` if it can't be decoded.
     """
     table = codec.read_table(message.table, messages.EndTable)
     rows = zip(table.fingerprints, table.target_ids, table.cleared, strict=True)
