--- a/tillerlane/gateway/grants.py
+++ b/tillerlane/gateway/grants.py
@@ -85,7 +85,7 @@
             limit = wish.limit if named is None else named
             count = self._acquire(wish, limit, now)
             if count:
-                hold_ms = int(decisions.read_hold_seconds(limit) * 1000)
+                hold_ms = int(decisions.compute_hold_seconds(limit) * 1000)
                 grants.append(messages.PermitGrant(wish.target_id, count, hold_ms))
         self._expire_buckets(now)
         return messages.PermitReply(grants)
@@ -93,13 +93,13 @@
     def _acquire(self, wish: messages.PermitWish, limit: float, now: float) -> int:
         bucket = self._buckets.pop(wish.target_id, decisions.Bucket(0.0, now))
         refilled = decisions.refill(bucket, limit, now, wish.returned)
-        self._buckets[wish.target_id], count = refilled.take(wish.count)
+        self._buckets[wish.target_id], count = refilled.acquire(wish.count)
         return count
 
     def _expire_buckets(self, now: float) -> None:
         """Discard buckets that were last used long ago; they are in the order of their use."""
         while self._buckets:
             first = next(iter(self._buckets))
-            if now - self._buckets[first].at < RETENTION_SECONDS:
+            if now - self._buckets[first].updated_at < RETENTION_SECONDS:
                 return
             del self._buckets[first]
--- a/tillerlane/gateway/limit_updates.py
+++ b/tillerlane/gateway/limit_updates.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from tillerlane.gateway import limits, news
+from tillerlane.gateway import batching, limits
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
@@ -38,7 +38,9 @@
         timeline: timelines.Timeline,
     ) -> None:
         self.table = limits.Limits()
-        self._batcher = news.News(pause, lambda records: send(limits.encode_records(records)))
+        self._batcher = batching.UpdateBatcher(
+            pause, lambda records: send(limits.encode_records(records))
+        )
         self._timeline = timeline
 
     def handle_message(self, message: messages.TargetLimits) -> None:
--- a/tillerlane/gateway/refusals.py
+++ b/tillerlane/gateway/refusals.py
@@ -104,7 +104,7 @@
         """Seconds until one more caller may retry, in turn, `first_at` or later."""
         key = (pool.name, cause)
         previous_at = self._retry_times.get(key, first_at)
-        self._retry_times[key] = limits.book_return(previous_at, first_at, rate)
+        self._retry_times[key] = limits.schedule_retry(previous_at, first_at, rate)
         return self._retry_times[key] - self._loop.time()
 
     def build_no_room(self, admission: admissions.Admission) -> NotRun:
--- a/tillerlane/gateway/tests/test_life.py
+++ b/tillerlane/gateway/tests/test_life.py
@@ -16,7 +16,7 @@
         exchange = await http_client.connect(f"{host}:8001", 1.0)
         exchange.send(http_head.RequestHead(b"GET", b"/ready", [(b"Host", b"h")]), b"")
         return (await exchange.read_head()).status
-    except http_client.AnswerBroken:
+    except http_client.ExchangeError:
         return 0
 
 
@@ -83,7 +83,7 @@
     """Keepers and entries start together, after all of them were stopped."""
 
     keepers = 5
-    wished_voters = 5
+    desired_voters = 5
 
     async def stop_all(self, stage: gateway_lab.GatewayLab) -> str:
         """Stop everything but the targets; gives the keeper that led."""
--- a/tillerlane/gateway/tests/test_selection.py
+++ b/tillerlane/gateway/tests/test_selection.py
@@ -19,7 +19,7 @@
     event_tokens=4,
     can_move=True,
     can_back_up=True,
-    hold_seconds=5.0,
+    copy_retention_seconds=5.0,
 )
 
 
@@ -31,7 +31,7 @@
         self.now = 10.0
         self.directory = directories.Directory()
         for number in range(RUNNERS):
-            self.directory.take(
+            self.directory.merge(
                 directories.Target(
                     f"t{number}",
                     "llm",
--- a/tillerlane/gateway/tests/test_spread.py
+++ b/tillerlane/gateway/tests/test_spread.py
@@ -53,13 +53,13 @@
     return seen
 
 
-@mock.patch.object(homes, "FEW_ENTRIES", 0)
+@mock.patch.object(homes, "SMALL_FLEET_ENTRIES", 0)
 class SpreadTest(gateway_scenes.GatewayCase):
     """Five keepers, of which each of six entries knows two."""
 
     keepers = 5
     entries = 6
-    wished_voters = 5
+    desired_voters = 5
 
     def test_all_entries_count_a_run_once(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
@@ -114,7 +114,7 @@
             await asyncio.sleep(SETTLE_SECONDS)
             told: list[str] = []
             for daemon in [*stage.entries.values(), *stage.keepers.values()]:
-                daemon.directory.listen(lambda target, former: told.append(target.target_id))
+                daemon.directory.add_listener(lambda target, former: told.append(target.target_id))
             for keeper in stage.keeper_names * 3:
                 stage.beat("t1", "llm", keeper=keeper)
                 await asyncio.sleep(0.2)
@@ -154,7 +154,7 @@
                 task = await begin_run(stage)
             self.assertEqual(entry.usage.handle_digest, take)
             # The next digest, which shows the gap, comes within this time at the latest.
-            await asyncio.sleep(control.QUIET_LOADS_SECONDS + 0.1)
+            await asyncio.sleep(control.MAX_LOADS_INTERVAL_SECONDS + 0.1)
             self.assertEqual(count_requests(stage, "entry-6"), 1)
             task.cancel()
 
@@ -166,13 +166,13 @@
 
     keepers = 5
     entries = 68
-    wished_voters = 5
+    desired_voters = 5
 
     def play(self, scene: Callable[[gateway_lab.GatewayLab], Awaitable[None]]) -> None:
         """Start keepers, and only then, all at once, entries."""
 
         async def run() -> None:
-            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.wished_voters)
+            stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.desired_voters)
             for name in stage.keeper_names:
                 await stage.start_keeper(name, is_first=True)
             await asyncio.sleep(6)
@@ -264,7 +264,7 @@
                 1,
                 now,
             )
-            keepers[number % len(keepers)].take_heartbeat(target)
+            keepers[number % len(keepers)].handle_heartbeat(target)
         await asyncio.sleep(0.3)
 
     def test_target_that_turns_cold_is_told_to_all(self) -> None:
@@ -278,7 +278,7 @@
             told = dataclasses.replace(
                 known, sequence=known.sequence + 1, heard_at=now, warm_at=now + 2.0
             )
-            keeper.take_heartbeat(told)
+            keeper.handle_heartbeat(told)
             await asyncio.sleep(0.3)
             for entry in stage.entries.values():
                 self.assertAlmostEqual(entry.directory.targets["t1"].warm_at, now + 2.0, delta=0.1)
--- a/tillerlane/keeper/replication.py
+++ b/tillerlane/keeper/replication.py
@@ -5,17 +5,17 @@
 from typing import Protocol
 
 from tillerlane.faults import core as faults
-from tillerlane.keeper import ballots, commands, followers
+from tillerlane.keeper import commands, followers, votes
 from tillerlane.keeper import storage as storages
 from tillerlane.peers import link as links
 from tillerlane.peers import messages
 
-__all__ = ["HEARTBEAT_SECONDS", "Leader", "Replication"]
+__all__ = ["HEARTBEAT_INTERVAL_SECONDS", "Leader", "Replication"]
 
-HEARTBEAT_SECONDS = 0.25
+HEARTBEAT_INTERVAL_SECONDS = 0.25
 MAX_BATCH_ENTRIES = 512
 MAX_BATCH_BYTES = 512 * 1024
-PIECE_BYTES = 256 * 1024
+SNAPSHOT_PIECE_BYTES = 256 * 1024
 
 
 class Leader(Protocol):
@@ -23,7 +23,7 @@
 
     name: str
     storage: storages.Storage
-    commit: int
+    commit_index: int
 
     @property
     def is_leading(self) -> bool:
@@ -32,7 +32,7 @@
     async def follow_term(self, term: int) -> None:
         """Enter a later term that a follower told."""
 
-    def note_progress(self, name: str, address: str) -> None:
+    def record_progress(self, name: str, address: str) -> None:
         """Take note that a keeper holds more, or answered."""
 
 
@@ -64,12 +64,12 @@
 
     # Life
 
-    def begin(self, voters: dict[str, commands.Voter]) -> None:
+    def start(self, voters: dict[str, commands.Voter]) -> None:
         """Begin a term as its leader."""
         self._followers.clear()
         self.follow(voters)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Send nothing more; progress is forgotten with the next term."""
         for task in self._tasks.values():
             task.cancel()
@@ -87,11 +87,11 @@
         wanted.pop(self._leader.name, None)
         for name, address in wanted.items():
             if name not in self._tasks:
-                self._followers.begin(name, self._leader.storage.last_index + 1)
+                self._followers.add(name, self._leader.storage.last_index + 1)
                 self._tasks[name] = asyncio.create_task(self._replicate(name, address))
         for name in set(self._tasks) - set(wanted):
             self._tasks.pop(name).cancel()
-            self._followers.end(name)
+            self._followers.remove(name)
 
     # What is known of the others
 
@@ -103,9 +103,9 @@
         """Have something sent to each."""
         self._followers.wake_all()
 
-    def read_quorum_time(self, voters: dict[str, commands.Voter]) -> float | None:
+    def compute_quorum_time(self, voters: dict[str, commands.Voter]) -> float | None:
         """When the latest requests were sent that a quorum has answered; None without one."""
-        return self._followers.read_quorum_time(voters, _now())
+        return self._followers.compute_quorum_time(voters, _now())
 
     def find_quorum_index(self, voters: dict[str, commands.Voter]) -> int | None:
         """Index of the last entry that a quorum has synced; None without one."""
@@ -123,12 +123,12 @@
                 try:
                     await self._send_next(progress, link)
                 except (links.LinkLost, faults.FaultError):
-                    await asyncio.sleep(HEARTBEAT_SECONDS)
+                    await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
                     continue
-                self._leader.note_progress(name, address)
+                self._leader.record_progress(name, address)
             if progress.match_index >= self._leader.storage.last_index or link is None:
                 try:
-                    await asyncio.wait_for(progress.wake.wait(), HEARTBEAT_SECONDS)
+                    await asyncio.wait_for(progress.wake.wait(), HEARTBEAT_INTERVAL_SECONDS)
                 except TimeoutError:
                     continue
 
@@ -143,10 +143,10 @@
         entries = storage.get_entries(progress.next_index, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES)
         term = storage.term
         request = messages.AppendRequest(
-            term, self._leader.name, prev_index, prev_term, self._leader.commit, entries
+            term, self._leader.name, prev_index, prev_term, self._leader.commit_index, entries
         )
         sent_at = _now()
-        reply = await link.call(request, ballots.CALL_SECONDS)
+        reply = await link.call(request, votes.CALL_TIMEOUT_SECONDS)
         if not isinstance(reply, messages.AppendReply) or storage.term != term:
             return
         if not await self._note_answer(progress, reply, term, sent_at):
@@ -187,10 +187,10 @@
                 snapshot.last_term,
                 offset,
                 len(snapshot.data),
-                snapshot.data[offset : offset + PIECE_BYTES],
+                snapshot.data[offset : offset + SNAPSHOT_PIECE_BYTES],
             )
             sent_at = _now()
-            reply = await link.call(piece, ballots.CALL_SECONDS * 4)
+            reply = await link.call(piece, votes.CALL_TIMEOUT_SECONDS * 4)
             if not isinstance(reply, messages.SnapshotReply) or storage.term != term:
                 return
             if not await self._note_answer(progress, reply, term, sent_at):
--- a/tillerlane/keeper/server.py
+++ b/tillerlane/keeper/server.py
@@ -14,7 +14,7 @@
 __all__ = ["Keeper"]
 
 MAX_HOPS = 2
-FORWARD_SECONDS = 4.0
+FORWARD_TIMEOUT_SECONDS = 4.0
 
 
 class Keeper:
@@ -46,12 +46,12 @@
         self._now_ms = now_ms
         self._began_ms = 0.0
         """Wall time less the event loop's time, in milliseconds, when the keeper began."""
-        node_replica.machine.store.listen(self._push)
+        node_replica.state_machine.store.add_listener(self._push)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the keeper."""
         self._began_ms = self._now_ms() - asyncio.get_running_loop().time() * 1000
-        self.replica.begin()
+        self.replica.start()
 
     async def stop(self) -> None:
         """Stop the keeper."""
@@ -67,11 +67,11 @@
         """Serve an exchange that a peer opened; False if it is not for a keeper."""
         match body:
             case messages.VoteRequest():
-                exchange.send(await self.replica.take_vote_request(body))
+                exchange.send(await self.replica.handle_vote_request(body))
             case messages.AppendRequest():
-                exchange.send(await self.replica.take_append(body))
+                exchange.send(await self.replica.handle_append(body))
             case messages.SnapshotPiece():
-                exchange.send(await self.replica.take_snapshot_piece(body))
+                exchange.send(await self.replica.handle_snapshot_piece(body))
             case messages.Propose():
                 answer = await self.propose(body.command, body.hops)
                 exchange.send(messages.ProposeReply(msgspec.json.encode(answer)))
@@ -94,7 +94,7 @@
         link = self._get_link(leader.address) if leader and own.leader != own.name else None
         if link is None or hops >= MAX_HOPS:
             raise proposals.build_no_quorum(f"{own.name} knows no leader")
-        return await proposals.send(link, command, hops + 1, FORWARD_SECONDS)
+        return await proposals.send(link, command, hops + 1, FORWARD_TIMEOUT_SECONDS)
 
     async def _propose_here(self, command: bytes) -> dict[str, Any]:
         decoded = commands.decode(command)
@@ -113,22 +113,22 @@
         age = command.expires_ms - command.at_ms
         return msgspec.structs.replace(command, at_ms=now, expires_ms=now + age)
 
-    def read_status(self) -> dict[str, Any]:
+    def get_status(self) -> dict[str, Any]:
         """State of this keeper, for operators."""
         own = self.replica
         return {
-            "standing": own.standing.value,
+            "standing": own.role.value,
             "leader": own.leader,
             "term": own.storage.term,
             "last_index": own.storage.last_index,
-            "commit": own.commit,
+            "commit": own.commit_index,
             "snapshot": own.storage.snapshot.last_index,
             "has_lease": own.has_lease,
             "is_voter": own.is_voter,
             "voters": {name: voter.address for name, voter in own.voters.items()},
             "learners": dict(own.replication.learners),
-            "disk_failed": own.failed.message if own.failed else None,
-            "claims": len(own.machine.claims),
+            "disk_failed": own.disk_fault.message if own.disk_fault else None,
+            "claims": len(own.state_machine.claims),
         }
 
 
--- a/tillerlane/keeper/machine.py
+++ b/tillerlane/keeper/state_machine.py
@@ -13,7 +13,7 @@
 from tillerlane.keeper import claims, commands, publications
 from tillerlane.peers import messages
 
-__all__ = ["Machine"]
+__all__ = ["StateMachine"]
 
 MAX_REMEMBERED_CHANGES = 20_000
 """Change ids whose first answer is remembered: over a week at 2,300 changes a day."""
@@ -39,7 +39,7 @@
     outcome: str = ""
 
 
-class Machine:
+class StateMachine:
     """State of the replicated log.
 
     Attributes
@@ -60,8 +60,8 @@
 
     def __init__(self) -> None:
         self.store = stores.Store()
-        self.claims = claims.ClaimBook()
-        self.published = publications.Publisher()
+        self.claims = claims.ClaimTable()
+        self.published = publications.PublicationRegister()
         self.voters: dict[str, commands.Voter] = {}
         self.orders: collections.OrderedDict[str, OrderRecord] = collections.OrderedDict()
         self.pins: set[tuple[str, str]] = set()
@@ -89,7 +89,7 @@
                 return self.claims.release(command)
             case commands.Publish():
                 return self.published.publish(command)
-            case commands.Found():
+            case commands.Bootstrap():
                 self.voters = dict(command.voters)
             case commands.VoterAdd():
                 self.voters[command.name] = commands.Voter(command.address, command.disk_id)
