--- a/tillerlane/gateway/availability.py
+++ b/tillerlane/gateway/availability.py
@@ -74,9 +74,9 @@
         Own requests under way, and the number of entries.
     cold : colds.ColdLimiter
         Limits sends to cold targets.
-    permitted : permits.Permits
+    permits_held : permits.Permits
         Permits for targets that have named limits.
-    in_backoff : backoffs.Backoffs
+    backoffs_in_force : backoffs.Backoffs
         Back-off that targets have requested from this entry.
     now : callable
         Time of the event loop.
@@ -87,15 +87,15 @@
         directory: directories.Directory,
         usage: usages.Usage,
         cold: colds.ColdLimiter,
-        permitted: permits.Permits,
-        in_backoff: backoffs.Backoffs,
+        permits_held: permits.Permits,
+        backoffs_in_force: backoffs.Backoffs,
         now: Callable[[], float],
     ) -> None:
         self._directory = directory
         self._usage = usage
         self._cold = cold
-        self._permits = permitted
-        self._backoffs = in_backoff
+        self._permits = permits_held
+        self._backoffs = backoffs_in_force
         self._now = now
 
     def find_obstacle(
@@ -180,8 +180,8 @@
     def compute_warm_up_seconds(self, pool: routes.Pool) -> float:
         """Seconds until the first cold target of a pool is warm; 0 if none is cold."""
         now = self._now()
-        listed = self._directory.list_pool(pool.name)
-        return min((item.warm_at - now for item in listed if item.warm_at > now), default=0.0)
+        targets = self._directory.list_pool(pool.name)
+        return min((item.warm_at - now for item in targets if item.warm_at > now), default=0.0)
 
     async def wait_for_permits(self, seconds: float) -> None:
         """Wait until requested permits are granted or denied, at most `seconds`."""
--- a/tillerlane/gateway/cold.py
+++ b/tillerlane/gateway/cold.py
@@ -43,10 +43,10 @@
         """Whether one more request may go to a target now."""
         if target.warm_at <= now or pool.cold_rate <= 0:
             return True
-        most = pool.cold_rate * self._bounds.rate_factor + self._bounds.slack
-        rate = limits.WindowQuota(pool.cold_rate, most)
-        lot = limits.compute_hash_fraction(self._entry, target.target_id)
-        share = limits.compute_share(rate, entries, lot)
+        maximum = pool.cold_rate * self._bounds.rate_factor + self._bounds.slack
+        quota = limits.WindowQuota(pool.cold_rate, maximum)
+        fraction = limits.compute_hash_fraction(self._entry, target.target_id)
+        share = limits.compute_share(quota, entries, fraction)
         sent = self._sent.get(target.target_id, ())
         return sum(at > now - WINDOW_SECONDS for at in sent) < share
 
--- a/tillerlane/gateway/permits.py
+++ b/tillerlane/gateway/permits.py
@@ -147,8 +147,10 @@
         return len(times)
 
     def _compute_share(self, target_id: str, limit: float) -> int:
-        lot = decisions.compute_hash_fraction(self._entry, target_id)
-        return decisions.compute_share(decisions.compute_fallback_quota(limit), self.entries, lot)
+        fraction = decisions.compute_hash_fraction(self._entry, target_id)
+        return decisions.compute_share(
+            decisions.compute_fallback_quota(limit), self.entries, fraction
+        )
 
     # Requests to the issuer
 
--- a/tillerlane/gateway/quarantine_coordinator.py
+++ b/tillerlane/gateway/quarantine_coordinator.py
@@ -114,10 +114,10 @@
         held = self._store.list_names(stores.QUARANTINE)
         has_room = len(held) < state_machines.MAX_QUARANTINED
         for fingerprint in self.suspects.list_repeated():
-            is_deadly = quarantine.is_poison(self.suspects.count(fingerprint))
-            if is_deadly and fingerprint not in held and has_room:
+            is_poison = quarantine.is_poison(self.suspects.count(fingerprint))
+            if is_poison and fingerprint not in held and has_room:
                 await self._propose_quarantine(fingerprint, hold=True)
-            elif fingerprint in held and not is_deadly and self.suspects.is_cleared(fingerprint):
+            elif fingerprint in held and not is_poison and self.suspects.is_cleared(fingerprint):
                 await self._propose_quarantine(fingerprint, hold=False)
 
     async def _propose_quarantine(self, fingerprint: str, *, hold: bool) -> None:
--- a/tillerlane/gateway/selection.py
+++ b/tillerlane/gateway/selection.py
@@ -1,4 +1,4 @@
-"""Which target of a pool a request goes to."""
+"""Choice of a pool's target for a request."""
 
 import dataclasses
 import random
@@ -12,35 +12,36 @@
 __all__ = ["FailureTracker", "Selector"]
 
 MIN_AVOIDANCE_SECONDS = 1.0
-"""How long a target that could not be reached is avoided: a heartbeat's interval, by which time
-its keepers know more."""
+"""How long an unreachable target is avoided: the heartbeat interval, after which its keepers know
+more."""
 MAX_AVOIDANCE_SECONDS = 5.0
 REJECTION_AVOIDANCE_SECONDS = 0.5
-"""How long a target is avoided that turned a request away.  With nothing under way it would seem
-the least loaded one."""
+"""How long a target is avoided after it rejected a request.  With nothing under way it would appear
+to be the least loaded one."""
 FAILURE_RETENTION_SECONDS = 30.0
-"""How long a failure counts for the next one, and bounds what is kept of targets long gone."""
+"""How long a failure counts towards the next one; also bounds the state kept of former targets."""
 CROSS_HALL_COST_SECONDS = 0.02
-"""Seconds of waiting that staying within the data hall is worth: breaks ties only."""
+"""Cost of a target in another data hall, in seconds of waiting: breaks ties only."""
 CROSS_HALL_COPY_FACTOR = 2.0
-"""A copy between data halls takes twice the time of the link (the platform's page)."""
+"""A copy between data halls takes twice the time of the link, as the platform specifies."""
 CROSS_HALL_MOVE_COST_SECONDS = 0.15
-"""Seconds of waiting that a copy within the data hall is worth, for each runner there: it takes
-half the time of the link, of which a leaving runner's runs need all; but where few can take them,
-all entries choose the same ones before they hear of each other."""
+"""Cost of a copy to another data hall, in seconds of waiting, for each runner in the source's hall.
+A copy within the hall takes half the time of the link, which the runs of a leaving runner use
+fully.  But where few runners there can accept them, all entries choose the same ones before they
+receive each other's reports."""
 MAX_CROSS_HALL_MOVE_COST_SECONDS = 0.6
-"""Bound on that, in seconds of a caller's waiting as `placing.estimate_cost` counts: a run of 3,500
-tokens takes 0.19 s of a link of 19 Gbit/s within the hall and 0.39 s between halls, so that of the
-runs of one runner seven in place of three are copied in the shortest notice met, 1.5 s.  Pairs of
-whole days with 0.15, 0.6 and 2.0 stand in ``docs/design/decisions.md``."""
+"""Bound on that cost, in seconds of a caller's waiting as in `placing.estimate_cost`.  A run of
+3,500 tokens takes 0.19 s of a link of 19 Gbit/s within the hall and 0.39 s between halls, so that
+seven instead of three runs of a runner are copied within the shortest notice met, 1.5 s.
+``docs/design/decisions.md`` compares 0.15, 0.6 and 2.0 over whole days."""
 FULL_MEMORY_SHARE = 0.9
-"""Share of its memory above which a runner counts as full: what runs there still grows."""
+"""Share of its memory above which a runner counts as full: the runs there still grow."""
 COLD_COST_SECONDS = 0.5
-"""Seconds of waiting that a target still slow from its start counts as."""
+"""Cost of a target that is still cold, in seconds of waiting."""
 POOL_SPEED_INTERVAL_SECONDS = 1.0
-"""How long a pool's pace is used before it is read again; it is smoothed over 20 s."""
+"""How long a pool's seconds per event are cached; they are smoothed over 20 s."""
 BEST_RANK = (False, False, False, False)
-"""Neither silent nor avoided nor held up nor full."""
+"""Neither silent nor avoided nor blocked nor full."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,13 +51,13 @@
 
 
 class FailureTracker:
-    """Targets that lately failed this entry, by id."""
+    """Recent failures of targets towards this entry, by id."""
 
     def __init__(self) -> None:
         self._failures: dict[str, _Failures] = {}
 
     def record_failure(self, target_id: str, now: float) -> None:
-        """Avoid a target for a while, longer with each failure in a row."""
+        """Avoid a target for a while, longer with each consecutive failure."""
         for other, failures in list(self._failures.items()):
             if now - failures.avoid_until > FAILURE_RETENTION_SECONDS:
                 del self._failures[other]
@@ -71,11 +72,11 @@
         known.avoid_until = max(known.avoid_until, now + REJECTION_AVOIDANCE_SECONDS)
 
     def record_success(self, target_id: str) -> None:
-        """Forget a target's failures."""
+        """Discard a target's failures."""
         self._failures.pop(target_id, None)
 
     def is_avoided(self, target_id: str, now: float) -> bool:
-        """Whether other targets come first."""
+        """Whether other targets are preferred."""
         known = self._failures.get(target_id)
         return known is not None and now < known.avoid_until
 
@@ -86,15 +87,15 @@
     Parameters
     ----------
     directory : directories.Directory
-        Targets known.
+        Known targets.
     usage : usages.Usage
-        What is under way at each.
+        Their load.
     available : availability.Availability
-        Tells what keeps requests from a target.
+        Gives the obstacles to sending to a target.
     data_hall : str
         This entry's data hall.
     rng : random.Random
-        Draws the targets that are looked at.
+        Samples the candidates.
     now : callable
         Time of the event loop.
     """
@@ -115,11 +116,11 @@
         self._data_hall = data_hall
         self._rng = rng
         self._now = now
-        self._paces: dict[str, tuple[float, float]] = {}
-        """Pace of each pool, and when it was read."""
+        self._event_seconds: dict[str, tuple[float, float]] = {}
+        """Seconds per event of each pool, and when they were computed."""
 
     def pick_pool(self, route: routes.Route) -> str:
-        """A pool of the route, by weight."""
+        """Pick a pool of the route at random, by weight."""
         names = [name for name, _ in route.pools]
         if len(names) == 1:
             return names[0]
@@ -135,46 +136,52 @@
         is_sent_now: bool = True,
         can_request_permit: bool = False,
     ) -> directories.Target | None:
-        """The target at which work costs least, of some that are not `excluded` (ids).
+        """The target with the lowest cost for some work, of a sample that are not `excluded` (ids).
 
-        None without any.  Silent, avoided, held up and full targets come last, in that order; those
-        that are held up (in back-off, or with a limit that leaves nothing to this entry) are left
-        out of what `is_sent_now`.  A limit counts for nothing in this where the request
-        `can_request_permit` for a permit before it is sent, and is likely to get one.
+        None without any.  Silent, avoided, blocked and full targets rank last, in that order.
+        Blocked ones (in back-off, or with a limit that leaves nothing to this entry) are left out
+        if the work `is_sent_now`.  A limit doesn't block where the request `can_request_permit`
+        before it is sent, and will probably get one.
 
-        With `source_hall` it is a run whose memory has to be copied, which takes longer between
-        halls.
+        With `source_hall` the work is a run whose memory has to be copied, which takes longer
+        between halls.
         """
         now = self._now()
-        listed = self._directory.list_pool(pool.name)
-        unheard = self._usage.estimate_unreported(pool.name, now)
+        targets = self._directory.list_pool(pool.name)
+        unreported = self._usage.estimate_unreported(pool.name, now)
         if source_hall is None:
-            groups = [listed]
+            groups = [targets]
         else:
-            unheard += self._count_moving(pool, source_hall)
-            near = [target for target in listed if target.data_hall == source_hall]
-            groups = [near, [target for target in listed if target.data_hall != source_hall]]
-        found = self._draw_best(
-            pool, work, groups, excluded, unheard, is_sent_now, can_request_permit
+            unreported += self._count_leaving_runs(pool, source_hall)
+            same_hall = [target for target in targets if target.data_hall == source_hall]
+            groups = [same_hall, [target for target in targets if target.data_hall != source_hall]]
+        found = self._sample_best(
+            pool, work, groups, excluded, unreported, is_sent_now, can_request_permit
         )
         if not found:
             return None
-        pace = self._read_pace(pool, listed, now)
-        costs = [self._read_cost(pool, target, use, work, pace, now) for target, use in found]
+        event_seconds = self._get_event_seconds(pool, targets, now)
+        costs = [
+            self._estimate_cost(pool, target, load, work, event_seconds, now)
+            for target, load in found
+        ]
         if source_hall is not None:
-            far_cost = min(
+            cross_hall_cost = min(
                 MAX_CROSS_HALL_MOVE_COST_SECONDS, CROSS_HALL_MOVE_COST_SECONDS * len(groups[0])
             )
-            is_far = [target.data_hall != source_hall for target, _ in found]
-            costs = [cost + far_cost * far for cost, far in zip(costs, is_far, strict=True)]
+            is_cross_hall = [target.data_hall != source_hall for target, _ in found]
+            costs = [
+                cost + cross_hall_cost * is_other
+                for cost, is_other in zip(costs, is_cross_hall, strict=True)
+            ]
         return found[costs.index(min(costs))][0]
 
-    def _count_moving(self, pool: routes.Pool, hall: str) -> int:
-        """Runs at a data hall's runners that leave; other entries choose where they go just now.
+    def _count_leaving_runs(self, pool: routes.Pool, hall: str) -> int:
+        """Runs at a data hall's leaving runners, whose destinations other entries choose meanwhile.
 
-        All of them see the same runner as the emptiest, often one that has just started.  On a day
-        with many runners leaving three to four runs went to one such within a second, it ran out of
-        memory, and runs there paused for 4 s (log lines `run.move` and `stream.end`).
+        All entries see the same runner as the least loaded one, often one that has just started.
+        On a day with many leaving runners three to four runs went to such a runner within a second,
+        it ran out of memory, and runs there paused for 4 s (log lines `run.move` and `stream.end`).
         """
         return sum(
             self._usage.get(target.address).requests
@@ -182,26 +189,26 @@
             if target.pool == pool.name and target.data_hall == hall and target.is_leaving
         )
 
-    def _draw_best(
+    def _sample_best(
         self,
         pool: routes.Pool,
         work: placing.Work,
         groups: list[list[directories.Target]],
         excluded: Collection[str],
-        unheard: float,
+        unreported: float,
         is_sent_now: bool,
         can_request_permit: bool,
     ) -> list[tuple[directories.Target, loads.TargetLoad]]:
-        """Draw some targets of each group, with what is under way at each; the best rank only."""
+        """Sample targets of each group, with their load; only those of the best rank."""
         now = self._now()
         found: list[tuple[directories.Target, loads.TargetLoad]] = []
         best = (True, True, True, True)
-        wishes = permits.MAX_PERMIT_REQUESTS if is_sent_now else 0
+        permit_requests = permits.MAX_PERMIT_REQUESTS if is_sent_now else 0
         for group in groups:
-            wished = placing.count_candidates(len(group), unheard)
+            sample_size = placing.count_candidates(len(group), unreported)
             drawn = 0
-            for target in _draw_in_turn(group, self._rng):
-                if drawn >= wished and best == BEST_RANK:
+            for target in _sample_in_turn(group, self._rng):
+                if drawn >= sample_size and best == BEST_RANK:
                     break
                 if target.target_id in excluded:
                     continue
@@ -211,63 +218,67 @@
                 if obstacle is not None and obstacle.cause is availability.Cause.LIMITED:
                     if can_request_permit and self._available.is_permit_likely(target):
                         obstacle = None
-                    elif wishes > 0:
+                    elif permit_requests > 0:
                         self._available.queue_permit_request(target)
-                        wishes -= 1
+                        permit_requests -= 1
                 if obstacle is not None and is_sent_now:
                     continue
-                use = self._usage.get(target.address)
+                load = self._usage.get(target.address)
                 rank = (
                     target.phase is directories.Phase.SILENT,
                     self._is_avoided(target, now),
                     obstacle is not None,
-                    not _has_room(pool, use, work.memory_tokens, FULL_MEMORY_SHARE),
+                    not _has_room(pool, load, work.memory_tokens, FULL_MEMORY_SHARE),
                 )
                 if rank > best:
                     continue
                 if rank < best:
                     best, found, drawn = rank, [], 0
-                found.append((target, use))
+                found.append((target, load))
                 drawn += 1
         return found
 
     def _is_avoided(self, target: directories.Target, now: float) -> bool:
-        """Whether a target has failed this entry lately, or turns others away."""
+        """Whether a target has recently failed this entry, or rejects others."""
         if self.failures.is_avoided(target.target_id, now):
             return True
         return self._available.is_rejecting_others(target)
 
-    def _read_pace(self, pool: routes.Pool, listed: list[directories.Target], now: float) -> float:
-        """Seconds an event over all runners of a pool, looked up now and then."""
-        known = self._paces.get(pool.name)
+    def _get_event_seconds(
+        self, pool: routes.Pool, targets: list[directories.Target], now: float
+    ) -> float:
+        """Seconds per event over all runners of a pool, cached for a while."""
+        known = self._event_seconds.get(pool.name)
         if known is not None and now - known[1] < POOL_SPEED_INTERVAL_SECONDS:
             return known[0]
-        uses = [self._usage.get(target.address) for target in listed]
-        pace = placing.compute_pool_event_seconds((use.events, use.event_ms) for use in uses)
-        self._paces[pool.name] = (pace, now)
-        return pace
+        target_loads = [self._usage.get(target.address) for target in targets]
+        event_seconds = placing.compute_pool_event_seconds(
+            (load.events, load.event_ms) for load in target_loads
+        )
+        self._event_seconds[pool.name] = (event_seconds, now)
+        return event_seconds
 
-    def _read_cost(
+    def _estimate_cost(
         self,
         pool: routes.Pool,
         target: directories.Target,
-        use: loads.TargetLoad,
+        load: loads.TargetLoad,
         work: placing.Work,
-        pace: float,
+        event_seconds: float,
         now: float,
     ) -> float:
         if pool.engine is None:
-            cost = use.requests / max(1, target.slots)
+            cost = load.requests / max(1, target.slots)
         else:
-            standing = placing.CandidateLoad(
-                use.requests,
+            candidate = placing.CandidateLoad(
+                load.requests,
                 target.slots,
-                use.tokens,
+                load.tokens,
                 pool.engine.memory_tokens,
-                use.unread,
-                placing.estimate_event_seconds(use.events, use.event_ms, pace),
+                load.unread,
+                placing.estimate_event_seconds(load.events, load.event_ms, event_seconds),
             )
-            cost = placing.estimate_cost(work, standing, pace)
+            cost = placing.estimate_cost(work, candidate, event_seconds)
         if target.data_hall != self._data_hall:
             cost += CROSS_HALL_COST_SECONDS
         if target.warm_at > now:
@@ -275,12 +286,12 @@
         return cost
 
     def estimate_evacuation_seconds(self, pool: routes.Pool, target: directories.Target) -> float:
-        """Seconds that a runner's link needs to copy all runs that have no copy yet."""
-        use = self._usage.get(target.address)
-        return self.estimate_copy_seconds(pool, use.unsaved)
+        """Seconds for which a runner's link is busy to copy all runs without a copy."""
+        load = self._usage.get(target.address)
+        return self.estimate_copy_seconds(pool, load.unsaved)
 
     def estimate_copy_seconds(self, pool: routes.Pool, tokens: int) -> float:
-        """Seconds that a runner's link needs to copy so many tokens to another data hall."""
+        """Seconds for which a runner's link is busy to copy tokens to another data hall."""
         engine = pool.engine
         if engine is None or engine.link_mbps <= 0:
             return 0.0
@@ -289,26 +300,26 @@
 
     def compute_own_share(self, target: directories.Target) -> float:
         """This entry's share of the runs at a target that have no copy elsewhere."""
-        use = self._usage.get(target.address)
+        load = self._usage.get(target.address)
         own = self._usage.get_own(target.address)
-        return min(1.0, own.unsaved / use.unsaved) if use.unsaved > 0 else 1.0
+        return min(1.0, own.unsaved / load.unsaved) if load.unsaved > 0 else 1.0
 
     def has_room(
         self, pool: routes.Pool, target: directories.Target, tokens: int, share: float
     ) -> bool:
-        """Whether so many tokens more leave a target's memory below a share of it."""
+        """Whether a target's memory stays within a share of it with some more tokens."""
         return _has_room(pool, self._usage.get(target.address), tokens, share)
 
 
-def _draw_in_turn(
+def _sample_in_turn(
     targets: list[directories.Target], rng: random.Random
 ) -> Iterator[directories.Target]:
-    """Draw targets one after another until all are drawn; `targets` is put into that order."""
+    """Sample targets without replacement, one at a time; `targets` is shuffled in place."""
     for position in range(len(targets)):
         drawn = rng.randrange(position, len(targets))
         targets[position], targets[drawn] = targets[drawn], targets[position]
         yield targets[position]
 
 
-def _has_room(pool: routes.Pool, use: loads.TargetLoad, tokens: int, share: float) -> bool:
-    return pool.engine is None or use.tokens + tokens <= pool.engine.memory_tokens * share
+def _has_room(pool: routes.Pool, load: loads.TargetLoad, tokens: int, share: float) -> bool:
+    return pool.engine is None or load.tokens + tokens <= pool.engine.memory_tokens * share
