--- a/tillerlane/gateway/availability.py
+++ b/tillerlane/gateway/availability.py
@@ -108,9 +108,9 @@
     ) -> Obstacle | None:
         """Obstacle to one more request to a target now; None if it may be sent.
 
-        A run that `is_resumed` with a copy of its memory may go to a target that has begun to
-        leave, and takes no further place of those left after a back-off: its copy holds one there.
-        With `is_counted` the request is among those under way there already.
+        A run that `is_resumed` with a copy of its memory may go to a target that has started to
+        leave, and is not bounded after a back-off: its copy already occupies the target.  With
+        `is_counted` the request is already counted among those under way there.
         """
         if self.is_evacuated(target):
             return _EVACUATED
--- a/tillerlane/gateway/loads.py
+++ b/tillerlane/gateway/loads.py
@@ -3,8 +3,8 @@
 Each entry reports its load to one keeper.  Keepers forward these reports to each other in batches,
 and each sends its subscribers the sums over all entries: only targets that changed, at a bounded
 rate.  So the traffic to an entry grows with the targets and not with the entries.  Since the later
-report of an entry replaces the earlier one at every keeper, no report counts twice, whichever
-keeper forwarded it.  ``docs/design/scale.md`` compares the alternatives.
+report of an entry replaces the earlier one at every keeper, no report counts twice, no matter
+which keeper forwarded it.  ``docs/design/scale.md`` compares the alternatives.
 
 No I/O and no clock here: times of the event loop come as arguments.
 """
--- a/tillerlane/gateway/permits.py
+++ b/tillerlane/gateway/permits.py
@@ -54,7 +54,7 @@
     on_owner_change : callable
         Called when the issuer stops or resumes replying: whether it replies, and why not.
     entries : int
-        Entries of the fleet, as last heard; 0 until then.
+        Entries of the fleet, as last reported; 0 until then.
     unused : int
         Permits that expired unused.
     """
--- a/tillerlane/gateway/selection.py
+++ b/tillerlane/gateway/selection.py
@@ -206,9 +206,9 @@
         permit_requests = permits.MAX_PERMIT_REQUESTS if is_sent_now else 0
         for group in groups:
             sample_size = placing.count_candidates(len(group), unreported)
-            drawn = 0
+            sampled = 0
             for target in _sample_in_turn(group, self._rng):
-                if drawn >= sample_size and best == BEST_RANK:
+                if sampled >= sample_size and best == BEST_RANK:
                     break
                 if target.target_id in excluded:
                     continue
@@ -233,9 +233,9 @@
                 if rank > best:
                     continue
                 if rank < best:
-                    best, found, drawn = rank, [], 0
+                    best, found, sampled = rank, [], 0
                 found.append((target, load))
-                drawn += 1
+                sampled += 1
         return found
 
     def _is_avoided(self, target: directories.Target, now: float) -> bool:
@@ -316,8 +316,8 @@
 ) -> Iterator[directories.Target]:
     """Sample targets without replacement, one at a time; `targets` is shuffled in place."""
     for position in range(len(targets)):
-        drawn = rng.randrange(position, len(targets))
-        targets[position], targets[drawn] = targets[drawn], targets[position]
+        sampled = rng.randrange(position, len(targets))
+        targets[position], targets[sampled] = targets[sampled], targets[position]
         yield targets[position]
 
 
--- a/tillerlane/gateway/tests/test_cold.py
+++ b/tillerlane/gateway/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""Cold targets: what all entries send to one within any second, and who waits or is refused."""
+"""Cold targets: requests of all entries to one within any second, and refusals."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 BOUND = RATE * 1.5 + 5.0
 COLD_SECONDS = 3.0
 CALLERS = 2
-"""Callers of each entry that ask again as soon as they are answered."""
+"""Callers at each entry that send again as soon as they get a response."""
 
 
 def build_document(version: int) -> dict[str, object]:
@@ -21,18 +21,20 @@
     return document
 
 
-class RushTest(gateway_scenes.GatewayCase):
-    """As many entries as a large deployment has, and a hall's targets that come back together."""
+class ColdStartTest(gateway_scenes.GatewayCase):
+    """As many entries as a large deployment has, and a hall whose targets restart together."""
 
     keepers = 5
     entries = 68
     desired_voters = 5
 
-    async def rush(self, stage: gateway_lab.GatewayLab, until: float) -> list[caller.CallerAnswer]:
-        """Have callers of all entries ask again and again; gives all their answers."""
+    async def send_from_all(
+        self, stage: gateway_lab.GatewayLab, until: float
+    ) -> list[caller.CallerAnswer]:
+        """Have callers at all entries send repeatedly; returns all responses."""
         answers = []
 
-        async def ask(name: str, number: int) -> None:
+        async def send(name: str, number: int) -> None:
             tries = 0
             while asyncio.get_running_loop().time() < until:
                 request_id = f"{name}-{number}-{tries}"
@@ -42,18 +44,18 @@
                 if answer.status == 503:
                     await asyncio.sleep(min(0.3, float(answer.headers["retry-after"])))
 
-        callers = [ask(name, number) for name in stage.entry_names for number in range(CALLERS)]
+        callers = [send(name, number) for name in stage.entry_names for number in range(CALLERS)]
         await asyncio.gather(*callers)
         return answers
 
-    async def return_cold(self, stage: gateway_lab.GatewayLab) -> None:
-        """Have all targets of the hall tell that they are cold."""
+    async def report_cold(self, stage: gateway_lab.GatewayLab) -> None:
+        """Have all targets of the hall report that they are cold."""
         for name in list(stage.runners):
             stage.beat(name, "app", "hall-b", cold_seconds=COLD_SECONDS)
         await asyncio.sleep(0.2)
 
     def assert_bound(self, stage: gateway_lab.GatewayLab, began: float) -> int:
-        """No target was sent more than it bears within any second; the number of all sends."""
+        """Check that no target got more than it sustains in any second; returns the sends."""
         total = 0
         for runner in stage.runners.values():
             times = [run.began for run in runner.ran if began < run.began]
@@ -75,36 +77,36 @@
 
         lab.run_virtual(run())
 
-    def test_hall_that_comes_back_cold_in_a_rush(self) -> None:
-        """Three targets of 5 a second each, and 136 callers; before, each second had hundreds."""
+    def test_hall_that_restarts_cold_under_load(self) -> None:
+        """Three targets of 5 a second each, and 136 callers; unlimited, they send hundreds."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for number in range(3):
                 await stage.add_runner(f"t{number}", "app", "hall-b", pace=0.02)
             await asyncio.sleep(0.3)
-            await self.return_cold(stage)
+            await self.report_cold(stage)
             began = asyncio.get_running_loop().time()
-            answers = await self.rush(stage, began + COLD_SECONDS - 0.3)
+            answers = await self.send_from_all(stage, began + COLD_SECONDS - 0.3)
             self.assertTrue({answer.status for answer in answers} <= {200, 503})
             used = self.assert_bound(stage, began)
-            # 2.7 s at 3 x 4.3 a second that all entries together aim at.
+            # All entries together are expected to send 3 x 4.3 a second for 2.7 s.
             self.assertGreater(used, 0.6 * 35)
 
         self.play(scene)
 
-    def test_warm_targets_get_what_cold_ones_may_not(self) -> None:
+    def test_warm_targets_get_the_remaining_requests(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t0", "app", "hall-b", pace=0.02)
-            await self.return_cold(stage)
+            await self.report_cold(stage)
             await stage.add_runner("t1", "app", "hall-a", pace=0.02)
             await asyncio.sleep(0.3)
             began = asyncio.get_running_loop().time()
-            answers = await self.rush(stage, began + 1.0)
+            answers = await self.send_from_all(stage, began + 1.0)
             self.assertEqual({answer.status for answer in answers}, {200})
 
         self.play(scene)
 
-    def test_hall_that_is_taken_back_counts_as_cold_until_its_targets_tell(self) -> None:
+    def test_hall_is_cold_after_an_evacuation_until_its_targets_report(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t0", "app", "hall-b", pace=0.02)
             await asyncio.sleep(0.3)
@@ -113,7 +115,7 @@
             await stage.keepers["keeper-2"].evacuate("hall-b", False)
             await asyncio.sleep(0.1)
             began = asyncio.get_running_loop().time()
-            await self.rush(stage, began + 2.0)
+            await self.send_from_all(stage, began + 2.0)
             self.assertGreater(self.assert_bound(stage, began), 0)
 
         self.play(scene)
--- a/tillerlane/gateway/tests/test_loads.py
+++ b/tillerlane/gateway/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Loads added up by keepers: each entry's counted once, until it is old, whatever way it came."""
+"""Loads aggregated by keepers: each entry's counts once, until it expires, by any route."""
 
 import random
 import unittest
@@ -13,23 +13,25 @@
 ADDRESS = "10.0.9.1:9000"
 
 
-def build_word(
+def build_report(
     entry: str, sequence: int, tokens: int, address: str = ADDRESS
 ) -> messages.EntryLoads:
-    """An entry's word of one target."""
+    """An entry's report of one target."""
     rows = [messages.TargetUse(address, 1, tokens)] if tokens else []
     return messages.EntryLoads(entry, sequence, rows)
 
 
-def pass_words(giver: loads.LoadAggregator, taker: loads.LoadAggregator, now: float) -> None:
-    """Pass on to another keeper what came since the last batch."""
-    passed = giver.build_forwarded()
-    if passed is not None:
-        taker.handle_forwarded(passed, now)
+def forward_reports(
+    sender: loads.LoadAggregator, receiver: loads.LoadAggregator, now: float
+) -> None:
+    """Forward the reports since the last batch to another keeper."""
+    forwarded = sender.build_forwarded()
+    if forwarded is not None:
+        receiver.handle_forwarded(forwarded, now)
 
 
 def read_tokens(ledger: loads.LoadAggregator, address: str = ADDRESS) -> int:
-    """Memory under way at a target, as a keeper knows it."""
+    """Memory used at a target, as a keeper knows it."""
     return ledger.get(address).tokens
 
 
@@ -37,33 +39,33 @@
     """Two keepers."""
 
     def setUp(self) -> None:
-        """Both have just started."""
+        """Start both."""
         self.first = loads.LoadAggregator("keeper-1", 1)
         self.second = loads.LoadAggregator("keeper-2", 1)
 
-    def test_later_word_replaces_earlier_and_not_the_other_way(self) -> None:
-        self.assertTrue(self.first.handle_report(build_word("entry-1", 2, 500), 0.0))
-        self.assertFalse(self.first.handle_report(build_word("entry-1", 1, 900), 0.1))
+    def test_later_report_replaces_earlier_one_and_not_conversely(self) -> None:
+        self.assertTrue(self.first.handle_report(build_report("entry-1", 2, 500), 0.0))
+        self.assertFalse(self.first.handle_report(build_report("entry-1", 1, 900), 0.1))
         self.assertEqual(read_tokens(self.first), 500)
 
     def test_entry_that_changes_its_keeper_counts_once(self) -> None:
-        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
-        pass_words(self.first, self.second, 0.0)
-        self.second.handle_report(build_word("entry-1", 2, 700), 0.1)
-        pass_words(self.second, self.first, 0.2)
+        self.first.handle_report(build_report("entry-1", 1, 500), 0.0)
+        forward_reports(self.first, self.second, 0.0)
+        self.second.handle_report(build_report("entry-1", 2, 700), 0.1)
+        forward_reports(self.second, self.first, 0.2)
         self.assertEqual(read_tokens(self.first), 700)
-        pass_words(self.first, self.second, 0.3)
+        forward_reports(self.first, self.second, 0.3)
         self.assertEqual(read_tokens(self.second), 700)
 
     def test_entry_whose_keeper_died_counts_once_at_the_other(self) -> None:
-        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
-        pass_words(self.first, self.second, 0.0)
-        self.second.handle_report(build_word("entry-1", 2, 510), 0.4)
+        self.first.handle_report(build_report("entry-1", 1, 500), 0.0)
+        forward_reports(self.first, self.second, 0.0)
+        self.second.handle_report(build_report("entry-1", 2, 510), 0.4)
         self.assertEqual(read_tokens(self.second), 510)
 
-    def test_entry_that_died_counts_for_as_long_as_a_word_does(self) -> None:
-        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
-        pass_words(self.first, self.second, 0.0)
+    def test_entry_that_died_counts_until_its_report_expires(self) -> None:
+        self.first.handle_report(build_report("entry-1", 1, 500), 0.0)
+        forward_reports(self.first, self.second, 0.0)
         self.assertEqual(self.first.expire(loads.REPORT_TTL_SECONDS), [])
         self.assertEqual(self.second.expire(loads.REPORT_TTL_SECONDS), [])
         self.assertEqual((read_tokens(self.first), read_tokens(self.second)), (500, 500))
@@ -71,27 +73,27 @@
             self.assertEqual(ledger.expire(loads.REPORT_TTL_SECONDS + 0.1), ["entry-1"])
         self.assertEqual((read_tokens(self.first), read_tokens(self.second)), (0, 0))
 
-    def test_entry_that_started_again_replaces_its_former_self(self) -> None:
+    def test_report_after_a_restart_replaces_the_former_one(self) -> None:
         entry, started_again = usages.Usage("entry-1"), usages.Usage("entry-1")
         entry.add(ADDRESS, tokens=900)
         for _ in range(5):
-            word = entry.build_report(1_000, 0.0)
-        self.first.handle_report(word, 0.0)
+            report = entry.build_report(1_000, 0.0)
+        self.first.handle_report(report, 0.0)
         self.assertTrue(self.first.handle_report(started_again.build_report(2_000, 0.1), 0.1))
         self.assertEqual(read_tokens(self.first), 0)
 
-    def test_keeper_that_started_again_learns_from_the_entries_next_words(self) -> None:
-        self.first.handle_report(build_word("entry-1", 8, 500), 0.0)
-        pass_words(self.first, self.second, 0.0)
+    def test_restarted_keeper_recovers_from_the_next_reports(self) -> None:
+        self.first.handle_report(build_report("entry-1", 8, 500), 0.0)
+        forward_reports(self.first, self.second, 0.0)
         again = loads.LoadAggregator("keeper-1", 2)
-        again.handle_report(build_word("entry-1", 9, 40), 1.0)
-        pass_words(again, self.second, 1.0)
+        again.handle_report(build_report("entry-1", 9, 40), 1.0)
+        forward_reports(again, self.second, 1.0)
         self.assertEqual((read_tokens(again), read_tokens(self.second)), (40, 40))
 
     def test_batch_that_comes_out_of_order_changes_nothing(self) -> None:
-        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
+        self.first.handle_report(build_report("entry-1", 1, 500), 0.0)
         early = self.first.build_forwarded()
-        self.first.handle_report(build_word("entry-1", 2, 800), 0.1)
+        self.first.handle_report(build_report("entry-1", 2, 800), 0.1)
         late = self.first.build_forwarded()
         assert early is not None and late is not None
         self.second.handle_forwarded(late, 0.2)
@@ -102,75 +104,75 @@
         rows = [messages.TargetUse("a1", 1, 10), messages.TargetUse("a2", 2, 20)]
         self.first.handle_report(messages.EntryLoads("entry-1", 1, rows), 0.0)
         self.first.handle_report(messages.EntryLoads("entry-2", 1, []), 0.0)
-        self.first.handle_report(build_word("entry-3", 1, 500, "a2"), 0.0)
-        pass_words(self.first, self.second, 0.0)
+        self.first.handle_report(build_report("entry-3", 1, 500, "a2"), 0.0)
+        forward_reports(self.first, self.second, 0.0)
         self.assertEqual([read_tokens(self.second, item) for item in ("a1", "a2")], [10, 520])
         self.second.handle_report(messages.EntryLoads("entry-1", 2, []), 0.1)
         self.assertEqual([read_tokens(self.second, item) for item in ("a1", "a2")], [0, 500])
 
-    def test_nothing_is_told_where_nothing_changed(self) -> None:
-        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
+    def test_nothing_is_sent_where_nothing_changed(self) -> None:
+        self.first.handle_report(build_report("entry-1", 1, 500), 0.0)
         self.assertIsNotNone(self.first.build_forwarded())
         self.assertIsNotNone(self.first.build_delta_digest())
-        self.first.handle_report(build_word("entry-1", 2, 500), 1.0)
-        self.assertIsNotNone(self.first.build_forwarded())  # that it still counts
+        self.first.handle_report(build_report("entry-1", 2, 500), 1.0)
+        self.assertIsNotNone(self.first.build_forwarded())  # the report refreshes its age
         self.assertIsNone(self.first.build_forwarded())
         self.assertIsNone(self.first.build_delta_digest())
 
-    def test_small_changes_are_told_when_a_digest_is_due(self) -> None:
-        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
+    def test_small_changes_are_sent_when_a_digest_is_due(self) -> None:
+        self.first.handle_report(build_report("entry-1", 1, 500), 0.0)
         self.first.build_delta_digest()
-        self.first.handle_report(build_word("entry-1", 2, 520), 0.1)
+        self.first.handle_report(build_report("entry-1", 2, 520), 0.1)
         self.assertIsNone(self.first.build_delta_digest())
         digest = self.first.build_delta_digest(is_due=True)
         assert digest is not None
         self.assertEqual(loads.decode_loads(digest.table)[ADDRESS].tokens, 520)
 
-    def test_small_changes_that_add_up_are_told(self) -> None:
-        self.first.handle_report(build_word("entry-1", 1, 500), 0.0)
+    def test_small_changes_that_add_up_are_sent(self) -> None:
+        self.first.handle_report(build_report("entry-1", 1, 500), 0.0)
         self.first.build_delta_digest()
-        told = 0
+        reported = 0
         for step in range(1, 11):
-            self.first.handle_report(build_word("entry-1", 1 + step, 500 + 20 * step), 0.1 * step)
-            told += self.first.build_delta_digest() is not None
-        self.assertEqual(told, 1)
+            self.first.handle_report(build_report("entry-1", 1 + step, 500 + 20 * step), 0.1 * step)
+            reported += self.first.build_delta_digest() is not None
+        self.assertEqual(reported, 1)
 
-    def test_digest_is_bounded_and_tells_the_largest_changes_first(self) -> None:
+    def test_digest_is_bounded_and_has_the_largest_changes_first(self) -> None:
         number = loads.MAX_ROWS + 30
         rows = [messages.TargetUse(f"10.0.9.{item}:9000", 1, 200 * item) for item in range(number)]
         self.first.handle_report(messages.EntryLoads("entry-1", 1, rows), 0.0)
         digest = self.first.build_delta_digest()
         assert digest is not None
-        told = loads.decode_loads(digest.table)
-        self.assertEqual(len(told), loads.MAX_ROWS)
-        self.assertNotIn("10.0.9.5:9000", told)
+        reported = loads.decode_loads(digest.table)
+        self.assertEqual(len(reported), loads.MAX_ROWS)
+        self.assertNotIn("10.0.9.5:9000", reported)
         rest = self.first.build_delta_digest()
         assert rest is not None
         self.assertEqual(len(loads.decode_loads(rest.table)), 30)
 
     @profiles.choose(60)
     @given(strategies.randoms(use_true_random=False))
-    def test_totals_are_the_sum_of_the_latest_words(self, rng: random.Random) -> None:
-        """Whatever comes late, twice, or by whichever keeper."""
+    def test_totals_are_the_sum_of_the_latest_reports(self, rng: random.Random) -> None:
+        """Also for batches that are late, repeated, or from any keeper."""
         ledgers = [loads.LoadAggregator(f"keeper-{number}", 1) for number in range(3)]
         latest: dict[str, dict[str, int]] = {}
         under_way: list[tuple[loads.LoadAggregator, messages.PassedLoads]] = []
         for sequence in range(1, 40):
             entry = f"entry-{rng.randrange(4)}"
             address = f"10.0.9.{rng.randrange(3)}:9000"
-            word = build_word(entry, sequence, rng.randrange(5) * 100, address)
-            latest[entry] = {item.address: item.tokens for item in word.uses}
+            report = build_report(entry, sequence, rng.randrange(5) * 100, address)
+            latest[entry] = {item.address: item.tokens for item in report.uses}
             keeper = rng.choice(ledgers)
-            keeper.handle_report(word, 0.0)
-            passed = keeper.build_forwarded()
-            assert passed is not None
-            under_way += [(other, passed) for other in ledgers if other is not keeper]
+            keeper.handle_report(report, 0.0)
+            forwarded = keeper.build_forwarded()
+            assert forwarded is not None
+            under_way += [(other, forwarded) for other in ledgers if other is not keeper]
             rng.shuffle(under_way)
             for _ in range(rng.randrange(min(3, len(under_way)))):
-                taker, batch = rng.choice(under_way)
-                taker.handle_forwarded(batch, 0.0)
-        for taker, batch in under_way:
-            taker.handle_forwarded(batch, 0.0)
+                receiver, batch = rng.choice(under_way)
+                receiver.handle_forwarded(batch, 0.0)
+        for receiver, batch in under_way:
+            receiver.handle_forwarded(batch, 0.0)
         for number in range(3):
             address = f"10.0.9.{number}:9000"
             expected = sum(uses.get(address, 0) for uses in latest.values())
@@ -178,94 +180,96 @@
 
 
 class DigestTest(unittest.TestCase):
-    """An entry that tells a keeper and hears its digests."""
+    """An entry that reports to a keeper and receives its digests."""
 
     def setUp(self) -> None:
-        """An entry with 3,000 tokens under way, another one with 5,000."""
+        """Create an entry with 3,000 tokens under way, another one with 5,000."""
         self.ledger = loads.LoadAggregator("keeper-1", 1)
         self.usage = usages.Usage("entry-1")
         self.usage.add(ADDRESS, requests=1, tokens=3_000)
         self.ledger.handle_report(self.usage.build_report(1, 0.0), 0.0)
-        self.ledger.handle_report(build_word("entry-2", 1, 5_000), 0.0)
+        self.ledger.handle_report(build_report("entry-2", 1, 5_000), 0.0)
         self.ledger.build_delta_digest()
-        self.hear(self.ledger.build_full_digest())
+        self.receive(self.ledger.build_full_digest())
 
-    def hear(self, digest: messages.LoadDigest | None, now: float = 0.0) -> usages.DigestResult:
-        """Take a digest as the keeper addresses it."""
+    def receive(self, digest: messages.LoadDigest | None, now: float = 0.0) -> usages.DigestResult:
+        """Handle a digest with the sequence that the keeper sets for this entry."""
         assert digest is not None
         digest.included = self.ledger.get_included_sequence("entry-1")
         return self.usage.handle_digest(digest, now)
 
-    def tell_other(self, sequence: int, tokens: int) -> messages.LoadDigest | None:
+    def report_other(self, sequence: int, tokens: int) -> messages.LoadDigest | None:
         """The digest after another entry's word."""
-        self.ledger.handle_report(build_word("entry-2", sequence, tokens), 0.0)
+        self.ledger.handle_report(build_report("entry-2", sequence, tokens), 0.0)
         return self.ledger.build_delta_digest()
 
     def test_own_load_counts_once_and_at_once(self) -> None:
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
         self.usage.add(ADDRESS, tokens=500)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
-        word = self.usage.build_report(1, 0.1)
+        report = self.usage.build_report(1, 0.1)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
-        self.ledger.handle_report(word, 0.1)
-        self.assertEqual(self.hear(self.ledger.build_delta_digest()), usages.DigestResult.APPLIED)
+        self.ledger.handle_report(report, 0.1)
+        self.assertEqual(
+            self.receive(self.ledger.build_delta_digest()), usages.DigestResult.APPLIED
+        )
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_500)
         self.usage.add(ADDRESS, requests=-1, tokens=-3_500)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 5_000)
 
-    def test_digest_without_its_own_word_leaves_nothing_off(self) -> None:
+    def test_nothing_is_subtracted_from_a_digest_without_the_own_report(self) -> None:
         other = loads.LoadAggregator("keeper-2", 1)
-        other.handle_report(build_word("entry-2", 1, 5_000), 0.0)
+        other.handle_report(build_report("entry-2", 1, 5_000), 0.0)
         other.build_delta_digest()
         self.usage.handle_digest(other.build_full_digest(), 0.0)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
 
     def test_digest_that_comes_out_of_order_changes_nothing(self) -> None:
-        early = self.tell_other(2, 6_000)
-        late = self.tell_other(3, 7_000)
-        self.hear(early)
-        self.hear(late)
-        self.assertEqual(self.hear(early), usages.DigestResult.STALE)
+        early = self.report_other(2, 6_000)
+        late = self.report_other(3, 7_000)
+        self.receive(early)
+        self.receive(late)
+        self.assertEqual(self.receive(early), usages.DigestResult.STALE)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 10_000)
 
-    def test_missing_digest_is_noticed_and_made_good_by_a_whole_one(self) -> None:
-        self.tell_other(2, 6_000)
-        self.assertEqual(self.hear(self.tell_other(3, 7_000)), usages.DigestResult.GAP)
+    def test_gap_is_detected_and_repaired_by_a_full_digest(self) -> None:
+        self.report_other(2, 6_000)
+        self.assertEqual(self.receive(self.report_other(3, 7_000)), usages.DigestResult.GAP)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 8_000)
-        self.assertEqual(self.hear(self.ledger.build_full_digest()), usages.DigestResult.APPLIED)
+        self.assertEqual(self.receive(self.ledger.build_full_digest()), usages.DigestResult.APPLIED)
         self.assertEqual(self.usage.get(ADDRESS).tokens, 10_000)
 
-    def test_keeper_that_started_again_is_heard(self) -> None:
+    def test_digest_of_a_restarted_keeper_is_applied(self) -> None:
         self.ledger = loads.LoadAggregator("keeper-1", 2)
-        self.ledger.handle_report(build_word("entry-2", 2, 400), 1.0)
+        self.ledger.handle_report(build_report("entry-2", 2, 400), 1.0)
         self.ledger.build_delta_digest()
         self.assertEqual(
-            self.hear(self.ledger.build_full_digest(), 1.0), usages.DigestResult.APPLIED
+            self.receive(self.ledger.build_full_digest(), 1.0), usages.DigestResult.APPLIED
         )
         self.assertEqual(self.usage.get(ADDRESS).tokens, 3_400)
 
-    def test_target_that_all_have_left_is_struck_out(self) -> None:
+    def test_target_without_load_is_removed(self) -> None:
         self.usage.add(ADDRESS, requests=-1, tokens=-3_000)
         self.ledger.handle_report(self.usage.build_report(1, 0.1), 0.1)
-        self.hear(self.tell_other(2, 0))
+        self.receive(self.report_other(2, 0))
         self.assertTrue(self.usage.get(ADDRESS).is_empty)
 
-    def test_cut_off_entry_goes_by_what_it_knows_itself(self) -> None:
+    def test_isolated_entry_falls_back_to_its_own_load(self) -> None:
         self.assertFalse(self.usage.expire_others(usages.DIGEST_TTL_SECONDS - 0.1))
         self.assertTrue(self.usage.expire_others(usages.DIGEST_TTL_SECONDS + 0.1))
         self.assertFalse(self.usage.expire_others(usages.DIGEST_TTL_SECONDS + 0.2))
         self.assertEqual(self.usage.get(ADDRESS).tokens, 3_000)
 
-    def test_pace_is_that_of_all_entries(self) -> None:
+    def test_event_times_are_summed_over_all_entries(self) -> None:
         self.usage.record_events(ADDRESS, 10, 0.3, 0.0)
         self.ledger.handle_report(self.usage.build_report(1, 0.0), 0.0)
         rows = [messages.TargetUse(ADDRESS, 1, 5_000, 0, 0, 30, 1_500)]
         self.ledger.handle_report(messages.EntryLoads("entry-2", 2, rows), 0.0)
-        self.hear(self.ledger.build_delta_digest(is_due=True))
+        self.receive(self.ledger.build_delta_digest(is_due=True))
         use = self.usage.get(ADDRESS)
         self.assertEqual((use.events, use.event_ms), (40, 1_800))
 
-    def test_pace_of_a_target_that_started_again_is_told_no_more(self) -> None:
+    def test_event_times_of_a_restarted_target_are_discarded(self) -> None:
         self.usage.record_events(ADDRESS, 10, 0.3, 0.0)
         self.usage.discard_event_times(ADDRESS)
         rows = {row.address: row.events for row in self.usage.build_report(1, 0.0).uses}
@@ -273,9 +277,9 @@
 
 
 class TableTest(unittest.TestCase):
-    """Uses on the wire."""
+    """Loads on the wire."""
 
-    def test_table_reads_back(self) -> None:
+    def test_table_round_trip(self) -> None:
         uses = {f"10.0.9.{item}:1": loads.TargetLoad(item, 2, 3, 4, 5, 6) for item in range(40)}
         self.assertEqual(loads.decode_loads(loads.encode_loads(uses.items())), uses)
 
--- a/tillerlane/gateway/tests/test_selection.py
+++ b/tillerlane/gateway/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Which runner gets a prompt, with word of other entries that is old or fresh."""
+"""Choice of a runner for a prompt, with old or recent reports of other entries."""
 
 import collections
 import unittest
@@ -23,11 +23,11 @@
 )
 
 
-class LotsTest(unittest.TestCase):
-    """One runner is a little less loaded than nine others, which are alike."""
+class SamplingTest(unittest.TestCase):
+    """One runner is slightly less loaded than nine others, which are equal."""
 
     def setUp(self) -> None:
-        """Ten runners, and an entry that knows of some others."""
+        """Create ten runners, and an entry that knows some others."""
         self.now = 10.0
         self.directory = directories.Directory()
         for number in range(RUNNERS):
@@ -47,11 +47,11 @@
         self.pool = routes.Pool("llm", "/health", 200, ENGINE)
 
     def count_choices(self, entries: int, prompts: int) -> collections.Counter[str]:
-        """Choices of an entry among several that has sent some prompts within a second."""
+        """Choices of one of several entries that has sent some prompts within a second."""
         for number in range(1, RUNNERS):
             self.usage.add(f"10.0.9.{number}:9000", requests=1, tokens=1_000)
         self.usage.entries = entries
-        self.usage.record_request("llm", self.now - 60.0)  # it has run for long
+        self.usage.record_request("llm", self.now - 60.0)  # it has been running for long
         for _ in range(prompts):
             self.usage.record_request("llm", self.now)
         selector = selectors.build_selector(self.directory, self.usage, "hall-a", self.now)
@@ -62,23 +62,23 @@
             chosen[target.target_id] += 1
         return chosen
 
-    def test_least_loaded_while_word_is_good(self) -> None:
+    def test_least_loaded_is_chosen_while_reports_are_recent(self) -> None:
         self.assertEqual(self.count_choices(entries=4, prompts=5)["t0"], 200)
 
-    def test_alone_an_entry_needs_no_lots(self) -> None:
+    def test_single_entry_always_chooses_the_least_loaded(self) -> None:
         self.assertEqual(self.count_choices(entries=1, prompts=100)["t0"], 200)
 
-    def test_many_entries_do_not_all_follow_to_one_runner(self) -> None:
+    def test_many_entries_do_not_all_choose_one_runner(self) -> None:
         chosen = self.count_choices(entries=23, prompts=8)
         self.assertEqual(len(chosen), RUNNERS)
         self.assertLess(chosen["t0"], 50)
 
-    def test_runner_that_one_prompt_more_would_not_equal_gets_none(self) -> None:
+    def test_much_busier_runner_is_not_chosen(self) -> None:
         self.usage.add("10.0.9.9:9000", unread=2 * PROMPT_TOKENS)
         self.assertEqual(self.count_choices(entries=23, prompts=8)["t9"], 0)
 
-    def test_entry_that_has_just_started_expects_as_many_unheard_as_others(self) -> None:
-        """Two requests a second for 1.5 s: 9 unheard, not 27, with a rate counted from nothing."""
+    def test_entry_that_has_just_started_expects_as_many_unreported_as_others(self) -> None:
+        """Two requests a second for 1.5 s: 9 unreported, not 27, without correcting the rate."""
         self.usage.entries = 68
         for number in range(4):
             self.usage.record_request("llm", 0.5 * number)
@@ -89,7 +89,7 @@
         self.assertLess(self.usage.estimate_unreported("llm", 69.5), 1.0)
 
     def choose_destination(self, near: int) -> str:
-        """Hall of a copy where the first `near` runners, busier, are in the source's hall."""
+        """Hall chosen for a copy if the first `near` runners, busier, are in the source's hall."""
         for number in range(RUNNERS):
             is_near = number < near
             self.directory.targets[f"t{number}"].data_hall = "hall-a" if is_near else "hall-b"
@@ -101,7 +101,7 @@
         return chosen.data_hall
 
     def test_runs_of_a_leaving_runner_do_not_all_go_to_the_one_that_has_just_started(self) -> None:
-        """All 200 went there."""
+        """Without counting the leaving runner's runs, all 200 went there."""
         for number in range(1, RUNNERS):
             self.usage.add(f"10.0.9.{number}:9000", requests=4, tokens=9_000)
         leaving = self.directory.targets["t9"]
@@ -118,10 +118,10 @@
         self.assertLess(chosen["t0"], 70)
         self.assertEqual(len(chosen), RUNNERS - 1)
 
-    def test_copies_stay_in_the_hall_where_several_runners_share_them(self) -> None:
+    def test_copies_stay_in_a_hall_with_several_runners(self) -> None:
         self.assertEqual(self.choose_destination(near=4), "hall-a")
 
-    def test_copies_of_all_entries_do_not_go_to_the_one_busier_runner_of_the_hall(self) -> None:
+    def test_copies_do_not_all_go_to_the_only_runner_of_the_hall(self) -> None:
         self.assertEqual(self.choose_destination(near=1), "hall-b")
 
 
--- a/tillerlane/gateway/usage.py
+++ b/tillerlane/gateway/usage.py
@@ -78,7 +78,7 @@
     def compute(self, now: float) -> float:
         """The rate, corrected for a short time since the first request.
 
-        After a common start all callers come back at once.  Entries that underestimated their rate
+        After a common start all callers reconnect at once.  Entries that underestimated their rate
         would all choose the same runners.
         """
         counted = max(MIN_RATE_SECONDS, now - self.started_at)
@@ -99,7 +99,7 @@
     Attributes
     ----------
     entries : int
-        Entries of the fleet, this one included, as last heard; 0 until then.
+        Entries of the fleet, this one included, as last reported; 0 until then.
     changed : bool
         Whether anything has changed since the last report.
     urgent : asyncio.Event
