--- a/tillerlane/gateway/tests/test_backoff.py
+++ b/tillerlane/gateway/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Targets that turn requests away and ask for back-off, and what each entry sends them then."""
+"""Targets that reject requests and ask for back-off, and what each entry sends to them."""
 
 import asyncio
 import unittest
@@ -8,20 +8,20 @@
 from tillerlane.testing import gateway_lab, gateway_scenes, limit_scenes
 
 UNDER_WAY_SECONDS = 0.5
-"""Time after an answer in which requests that were under way may still arrive."""
+"""Time after a rejection in which requests that were under way may still arrive."""
 
 
 class BackoffCase(limit_scenes.LimitCase):
     """Base of tests in which targets ask for back-off."""
 
     def count_most_in_backoff(self, stage: gateway_lab.GatewayLab, target_id: str) -> int:
-        """Most requests that one entry's requests made of a target within one back-off."""
+        """Maximum number of requests that one entry sent to a target within one back-off."""
         arrived = stage.runners[target_id].arrived
         most = 0
-        for refused in arrived:
-            entry = refused.request_id.rpartition("-")[0].rpartition("-")[0]
-            since = refused.turned_away_at + UNDER_WAY_SECONDS
-            until = refused.turned_away_at + refused.backoff
+        for rejected in arrived:
+            entry = rejected.request_id.rpartition("-")[0].rpartition("-")[0]
+            since = rejected.turned_away_at + UNDER_WAY_SECONDS
+            until = rejected.turned_away_at + rejected.backoff
             found = [
                 item
                 for item in arrived
@@ -36,7 +36,7 @@
 
     entries = 4
 
-    def test_targets_get_requests_during_the_backoff_that_they_asked_for(self) -> None:
+    def test_targets_get_no_requests_during_their_backoff(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 4)
             stage.runners["app-1"].refuses = True
@@ -47,7 +47,7 @@
 
         self.play(scene)
 
-    def test_requests_turned_away_are_refused_while_other_targets_have_room(self) -> None:
+    def test_rejected_requests_are_served_by_other_targets(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 3)
             stage.runners["app-1"].refuses = True
@@ -58,7 +58,7 @@
 
         self.play(scene)
 
-    def test_target_that_turns_all_away_without_a_word_gets_the_most_requests(self) -> None:
+    def test_target_that_rejects_without_backoff_does_not_attract_requests(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 4)
             runner, rates = stage.runners["app-1"], dict.fromkeys(stage.entry_names, 4.6)
@@ -86,7 +86,7 @@
 
         self.play(scene)
 
-    def test_callers_are_told_to_come_back_before_the_only_targets_backoff_ends(self) -> None:
+    def test_callers_are_told_to_retry_when_the_only_targets_backoff_has_ended(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
             runner = stage.runners["app-1"]
@@ -105,7 +105,7 @@
         self.play(scene)
 
     def test_short_backoff_is_waited_for(self) -> None:
-        """The route's aim is 0.5 s, a fifth of which a request may wait."""
+        """The route's objective is 0.5 s, a fifth of which a request may wait."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
@@ -118,7 +118,7 @@
 
         self.play(scene)
 
-    def test_requests_under_way_send_more_when_they_are_turned_away_late(self) -> None:
+    def test_late_rejections_cause_no_requests_during_the_backoff(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 3)
             runner = stage.runners["app-1"]
@@ -146,12 +146,12 @@
         self.play(scene)
 
 
-class KindsTest(BackoffCase):
-    """Each way in which a target gets requests."""
+class RequestKindsTest(BackoffCase):
+    """Each kind of request to a target."""
 
     entries = 2
 
-    def test_second_sends_go_to_targets_in_backoff(self) -> None:
+    def test_retries_avoid_targets_in_backoff(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 3)
             stage.runners["app-3"].answer_status = 500
@@ -163,7 +163,7 @@
 
         self.play(scene)
 
-    def test_streams_go_to_runners_in_backoff(self) -> None:
+    def test_streams_avoid_runners_in_backoff(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 3, "llm", length=20)
             runner = stage.runners["llm-1"]
@@ -177,7 +177,7 @@
 
         self.play(scene)
 
-    def test_runs_are_moved_to_a_runner_in_backoff(self) -> None:
+    def test_runs_are_not_moved_to_a_runner_in_backoff(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 3, "llm", length=150)
             rates = {"entry-1": 8.0}
@@ -185,10 +185,10 @@
                 self.ask(stage, rates, 2.0, "record", 20_000, **gateway_scenes.LONG)
             )
             await asyncio.sleep(0.5)
-            resting = stage.runners["llm-2"]
-            resting.refuses, resting.backoff = True, "4"
+            rejecting = stage.runners["llm-2"]
+            rejecting.refuses, rejecting.backoff = True, "4"
             await asyncio.sleep(1.6)
-            self.assertGreater(len(resting.turned_away), 0)
+            self.assertGreater(len(rejecting.turned_away), 0)
             self.heartbeats.cancel()
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await calls
@@ -198,7 +198,7 @@
 
         self.play(scene)
 
-    def test_run_with_a_copy_waits_for_a_place_after_a_backoff(self) -> None:
+    def test_runs_with_copies_are_not_bounded_after_a_backoff(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1, "llm", length=120)
             entry = stage.entries["entry-1"]
@@ -216,13 +216,13 @@
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await asyncio.gather(*calls)
             self.assertTrue(all(answer.is_whole for answer in answers))
-            taken_up = [run for run in stage.runners["llm-9"].ran if run.is_resumed]
-            self.assertEqual(len(taken_up), 6)
-            self.assertLess(max(run.began for run in taken_up), taken_up[0].began + 1.5)
+            resumed = [run for run in stage.runners["llm-9"].ran if run.is_resumed]
+            self.assertEqual(len(resumed), 6)
+            self.assertLess(max(run.began for run in resumed), resumed[0].began + 1.5)
 
         self.play(scene)
 
-    def test_runner_without_a_copy_counts_as_one_that_turns_requests_away(self) -> None:
+    def test_runner_without_a_copy_is_not_avoided(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1, "llm", length=150)
             call = asyncio.create_task(
@@ -243,7 +243,7 @@
 
         self.play(scene)
 
-    def test_answer_to_another_request_asks_for_no_backoff(self) -> None:
+    def test_response_to_another_request_sets_no_backoff(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
             runner = stage.runners["app-1"]
--- a/tillerlane/gateway/tests/test_backoff_records.py
+++ b/tillerlane/gateway/tests/test_backoff_records.py
@@ -1,4 +1,4 @@
-"""What one entry keeps of the back-off that targets ask for."""
+"""Records of the back-off that targets request from one entry."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 
 
 class BackoffsTest(unittest.TestCase):
-    """One target, at times that the test sets."""
+    """One target, with a clock set by the test."""
 
     def setUp(self) -> None:
-        """An entry at a moment."""
+        """Create an entry's records."""
         self.now = 100.0
         self.backoffs = backoff.Backoffs(lambda: self.now)
 
@@ -21,13 +21,13 @@
         self.assertIsNotNone(self.backoffs.record("t1", 4.0, "r3"))
         self.assertEqual(self.backoffs.find_end("t1", 0), 105.0)
 
-    def test_answer_of_a_request_sent_earlier_does_not_end_it(self) -> None:
+    def test_response_to_an_earlier_request_does_not_end_it(self) -> None:
         self.backoffs.record("t1", 3.0, "r1")
         self.now += 0.1
         self.assertIsNone(self.backoffs.record_accepted("t1", 99.9))
         self.assertEqual(self.backoffs.find_end("t1", 0), 103.0)
 
-    def test_one_probe_goes_first_when_it_is_over(self) -> None:
+    def test_one_probe_is_sent_after_the_end(self) -> None:
         self.backoffs.record("t1", 3.0, "r1")
         self.now = 103.0
         self.assertIsNone(self.backoffs.find_end("t1", 0))
@@ -56,20 +56,20 @@
         self.now = 103.5
         self.assertIsNone(self.backoffs.find_end("t1", 0))
 
-    def test_probe_without_an_answer_does_not_keep_the_target_away(self) -> None:
+    def test_unanswered_probe_does_not_block_the_target(self) -> None:
         self.backoffs.record("t1", 3.0, "r1")
         self.now = 103.0
         self.backoffs.record_send("t1")
         self.now += backoff.PROBE_INTERVAL_SECONDS
         self.assertIsNone(self.backoffs.find_end("t1", 0))
 
-    def test_word_of_no_time_or_of_days_is_bounded(self) -> None:
+    def test_zero_is_ignored_and_days_are_bounded(self) -> None:
         self.assertIsNone(self.backoffs.record("t1", 0.0, "r1"))
         self.assertIsNone(self.backoffs.find_end("t1", 0))
         self.backoffs.record("t1", 1e9, "r2")
         self.assertEqual(self.backoffs.find_end("t1", 0), 100.0 + backoff.MAX_BACKOFF_SECONDS)
 
-    def test_word_ends_with_its_target(self) -> None:
+    def test_record_is_discarded_with_its_target(self) -> None:
         self.backoffs.record("t1", 3.0, "r1")
         self.backoffs.discard("t1")
         self.assertIsNone(self.backoffs.find_end("t1", 0))
--- a/tillerlane/gateway/tests/test_named_limits.py
+++ b/tillerlane/gateway/tests/test_named_limits.py
@@ -1,4 +1,4 @@
-"""Targets that name limits, and what all entries together send to them."""
+"""Targets that name limits, and the requests that all entries together send to them."""
 
 import asyncio
 import unittest
@@ -7,8 +7,8 @@
 from tillerlane.gateway import directory as directories
 from tillerlane.testing import gateway_lab, gateway_scenes, limit_scenes
 
-FAIR_SHARE = 0.8
-"""Least part that a target is to get of what it would get without a limit above that."""
+MIN_FAIR_SHARE = 0.8
+"""Minimum part that a target gets of its requests without a limit, if its limit is above that."""
 
 
 class FewEntriesTest(limit_scenes.LimitCase):
@@ -16,7 +16,7 @@
 
     entries = 4
 
-    def test_targets_get_more_than_the_limit_that_they_name(self) -> None:
+    def test_targets_get_no_more_than_the_limit_that_they_name(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 4)
             for target_id in ("app-1", "app-2"):
@@ -26,13 +26,13 @@
             self.assertEqual({answer.status for answer in answers}, {200})
             for target_id in ("app-1", "app-2"):
                 self.assert_limit_kept(stage, target_id, 1.9, named_at)
-                # What is left to it is used, so that the end of its need shows.
+                # The limit is used, so that responses show when it is lifted.
                 self.assertGreater(len(self.list_sends(stage, target_id, named_at)), 6)
 
         self.play(scene)
 
-    def test_limits_are_not_used_where_traffic_is_uneven(self) -> None:
-        """All targets name limits, and all callers come to one of four entries."""
+    def test_limits_are_used_where_traffic_is_uneven(self) -> None:
+        """All targets name limits, and all callers use one of four entries."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 2)
@@ -50,7 +50,7 @@
 
         self.play(scene)
 
-    def test_refused_callers_are_told_to_come_back_one_after_another(self) -> None:
+    def test_refused_callers_get_staggered_retry_times(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
             stage.runners["app-1"].limit = "4"
@@ -62,7 +62,7 @@
 
         self.play(scene)
 
-    def test_lifted_limit_is_over_within_three_seconds(self) -> None:
+    def test_lifted_limit_ends_within_three_seconds(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
             stage.runners["app-1"].limit = "2"
@@ -75,7 +75,7 @@
 
         self.play(scene)
 
-    def test_target_that_takes_nothing_is_asked_until_it_takes_more(self) -> None:
+    def test_target_with_a_limit_of_zero_is_probed_until_it_is_lifted(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
             stage.runners["app-1"].limit = "0"
@@ -139,11 +139,11 @@
 
 
 class ThinTrafficTest(limit_scenes.LimitCase):
-    """Each entry seldom sends, so that it holds no permit when a request comes."""
+    """Each entry sends rarely, so that it holds no permit when a request arrives."""
 
     entries = 6
 
-    def test_targets_that_name_generous_limits_are_used_no_more(self) -> None:
+    def test_targets_with_high_limits_are_still_used(self) -> None:
         for limit in ("20", "5"):
             with self.subTest(limit=limit):
                 self.play(self._build_scene(limit))
@@ -157,24 +157,28 @@
             began = asyncio.get_running_loop().time()
             await self.ask(stage, rates, 30.0)
             self.assert_limit_kept(stage, "app-1", float(limit), began)
-            self.assertGreater(len(self.list_sends(stage, "app-1", began)), FAIR_SHARE * 300 / 3)
+            self.assertGreater(
+                len(self.list_sends(stage, "app-1", began)), MIN_FAIR_SHARE * 300 / 3
+            )
             runner.limit = ""
             await self.ask(stage, rates, 3.0)
             limits = [entry.permits.find_limit("app-1") for entry in stage.entries.values()]
             self.assertEqual(limits, [None] * 6)
             began = asyncio.get_running_loop().time()
             await self.ask(stage, rates, 30.0)
-            self.assertGreater(len(self.list_sends(stage, "app-1", began)), FAIR_SHARE * 300 / 3)
+            self.assertGreater(
+                len(self.list_sends(stage, "app-1", began)), MIN_FAIR_SHARE * 300 / 3
+            )
 
         return scene
 
 
-class KindsTest(limit_scenes.LimitCase):
-    """Each way in which a target gets requests."""
+class RequestKindsTest(limit_scenes.LimitCase):
+    """Each kind of request to a target."""
 
     entries = 2
 
-    def test_second_sends_count(self) -> None:
+    def test_retries_count(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 3)
             stage.runners["app-3"].answer_status = 500
@@ -187,7 +191,7 @@
 
         self.play(scene)
 
-    def test_streams_count_and_their_heads_name_limits(self) -> None:
+    def test_streams_count_and_their_response_heads_name_limits(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 2, "llm", length=20)
             stage.runners["llm-1"].limit = "0.5"
@@ -200,7 +204,7 @@
 
         self.play(scene)
 
-    def test_refusals_of_targets_name_limits(self) -> None:
+    def test_rejections_name_limits(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 2)
             stage.runners["app-1"].limit = "1"
@@ -215,9 +219,9 @@
             await self.add_targets(stage, 2, "llm", length=250)
             for runner in stage.runners.values():
                 runner.limit = "1"
-            wishes = dict.fromkeys(stage.entry_names, 1.0)
+            rates = dict.fromkeys(stage.entry_names, 1.0)
             calls = asyncio.create_task(
-                self.ask(stage, wishes, 3.0, "record", 20_000, **gateway_scenes.LONG)
+                self.ask(stage, rates, 3.0, "record", 20_000, **gateway_scenes.LONG)
             )
             await asyncio.sleep(3.0)
             self.heartbeats.cancel()
@@ -231,7 +235,7 @@
 
         self.play(scene)
 
-    def test_answer_to_another_request_names_no_limit(self) -> None:
+    def test_response_to_another_request_names_no_limit(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
             stage.runners["app-1"].limit = "1"
@@ -241,7 +245,7 @@
 
         self.play(scene)
 
-    def test_word_that_is_no_number_neither_sets_nor_lifts_a_limit(self) -> None:
+    def test_invalid_number_neither_sets_nor_lifts_a_limit(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
             runner, entry = stage.runners["app-1"], stage.entries["entry-1"]
@@ -249,20 +253,20 @@
                 runner.limit = named
                 await self.ask(stage, {"entry-1": 4.0}, 2.0)
                 self.assertEqual(entry.permits.find_limit("app-1"), limit)
-            unread = [event for event in entry.timeline.read() if event.name == "target.unread"]
-            self.assertEqual({event.fields["text"] for event in unread}, {"nan", "-1", "1e308"})
-            self.assertEqual({event.fields["word"] for event in unread}, {"limit"})
+            invalid = [event for event in entry.timeline.read() if event.name == "target.unread"]
+            self.assertEqual({event.fields["text"] for event in invalid}, {"nan", "-1", "1e308"})
+            self.assertEqual({event.fields["word"] for event in invalid}, {"limit"})
 
         self.play(scene)
 
 
-class OwnerTest(limit_scenes.LimitCase):
-    """The leader, which gives permits, is lost."""
+class IssuerTest(limit_scenes.LimitCase):
+    """The leader, which issues permits, is lost."""
 
     entries = 4
 
-    def assert_users_bound(self, stage: gateway_lab.GatewayLab, limit: float, since: float) -> None:
-        """The users' rule, which allows half as much again."""
+    def assert_bound_kept(self, stage: gateway_lab.GatewayLab, limit: float, since: float) -> None:
+        """Check the users' bound, which is higher than the limit by a half."""
         sends = self.list_sends(stage, "app-1", since)
         self.assertLessEqual(limit_scenes.count_most(sends), 1.5 * limit * 4 + 5)
 
@@ -272,7 +276,7 @@
             stage.runners["app-1"].limit = "4"
             rates = dict.fromkeys(stage.entry_names, 2.5)
             named_at = asyncio.get_running_loop().time()
-            asking = asyncio.create_task(self.ask(stage, rates, 18.0))
+            sending = asyncio.create_task(self.ask(stage, rates, 18.0))
             await asyncio.sleep(3.0)
             for _ in range(2):
                 lost = stage.find_leader()
@@ -280,14 +284,14 @@
                 await asyncio.sleep(5.0)
                 await stage.start_keeper(lost)
                 await asyncio.sleep(2.0)
-            await asking
-            self.assert_users_bound(stage, 4.0, named_at + 0.5)
+            await sending
+            self.assert_bound_kept(stage, 4.0, named_at + 0.5)
             sends = self.list_sends(stage, "app-1", named_at + 1.0)
             self.assertGreater(len(sends), 0.75 * 4.0 * 17.0)
 
         self.play(scene)
 
-    def test_entries_without_an_owner_keep_to_shares(self) -> None:
+    def test_entries_without_an_issuer_keep_to_their_shares(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 1)
             stage.runners["app-1"].limit = "4"
@@ -298,14 +302,14 @@
                 await stage.kill_keeper(name)
             began = asyncio.get_running_loop().time()
             await self.ask(stage, rates, 3.0)
-            self.assert_users_bound(stage, 4.0, named_at + 0.5)
+            self.assert_bound_kept(stage, 4.0, named_at + 0.5)
             self.assertGreater(len(self.list_sends(stage, "app-1", began + 1.5)), 0)
-            owners = [
+            replies = [
                 event.fields["answers"]
                 for event in stage.entries["entry-1"].timeline.read()
                 if event.name == "permits.owner"
             ]
-            self.assertIs(owners[-1], False)
+            self.assertIs(replies[-1], False)
 
         self.play(scene)
 
--- a/tillerlane/gateway/tests/test_permits.py
+++ b/tillerlane/gateway/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits given out and used, with answers that are late or lost and owners that change."""
+"""Permits issued and used, with late or lost replies and changes of the issuer."""
 
 import asyncio
 import dataclasses
@@ -18,42 +18,42 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Trouble:
-    """What goes wrong: shares of askings, and owners lost a second."""
+class Faults:
+    """Faults: fractions of late and lost replies, and losses of the issuer a second."""
 
     late: float = 0.0
     lost: float = 0.0
     changes: float = 0.0
     saves: bool = False
-    """Whether entries save permits up, and use them at moments that all know."""
+    """Whether entries accumulate permits and use them all at the same times."""
 
 
 class Fleet:
-    """Entries that press, and keepers of which one at most gives permits.
+    """Entries with more requests than permits, and keepers of which at most one issues permits.
 
     Parameters
     ----------
     entries : int
-        How many.
+        Number of entries.
     limit : float
-        What the target has named, in requests a second.
-    trouble : Trouble
-        What goes wrong.
+        Limit of the target, in requests a second.
+    faults : Faults
+        Faults to inject.
     rng : random.Random
-        Decides on it.
+        Random source of the faults.
     """
 
-    def __init__(self, entries: int, limit: float, trouble: Trouble, rng: random.Random) -> None:
+    def __init__(self, entries: int, limit: float, faults: Faults, rng: random.Random) -> None:
         self.sent: list[float] = []
         self._loop = asyncio.get_running_loop()
-        self._trouble = trouble
+        self._faults = faults
         self._rng = rng
         self._limit = limit
         self._entries = entries
         self._leader: int | None = 0
         self._term = 1
         self._keepers = [self._build_keeper(number) for number in range(KEEPERS)]
-        self._tasks = [self._loop.create_task(self._press(number)) for number in range(entries)]
+        self._tasks = [self._loop.create_task(self._generate(number)) for number in range(entries)]
         self._tasks.append(self._loop.create_task(self._change_leaders()))
 
     def _build_keeper(self, number: int) -> grants.PermitIssuer:
@@ -63,60 +63,60 @@
         return grants.PermitIssuer(limits.Limits(), get_term, lambda: None, self._loop.time)
 
     async def _change_leaders(self) -> None:
-        while self._trouble.changes:
-            await asyncio.sleep(self._rng.expovariate(self._trouble.changes))
+        while self._faults.changes:
+            await asyncio.sleep(self._rng.expovariate(self._faults.changes))
             self._leader = None
             await asyncio.sleep(self._rng.uniform(0.1, 6.0))
             self._term += 1
             self._leader = self._rng.randrange(KEEPERS)
 
-    async def _ask(self, wishes: list[messages.PermitWish]) -> list[messages.PermitGrant]:
+    async def _request(self, wishes: list[messages.PermitWish]) -> list[messages.PermitGrant]:
         leader = self._leader
         if leader is None:
             raise links.LinkLost("no leader")
-        if self._rng.random() < self._trouble.late:
+        if self._rng.random() < self._faults.late:
             await asyncio.sleep(self._rng.uniform(0.0, permits.REPLY_TIMEOUT_SECONDS))
         reply = await self._keepers[leader].handle_request(messages.PermitRequest(wishes))
-        if self._rng.random() < self._trouble.lost:
-            raise links.LinkLost("the answer got lost")
+        if self._rng.random() < self._faults.lost:
+            raise links.LinkLost("the reply was lost")
         return reply.grants
 
     def _start_entry(self, number: int) -> permits.Permits:
         table = limits.Limits()
         table.merge([limits.LimitRecord(TARGET, self._limit, 1, self._loop.time())])
         entry = permits.Permits(f"entry-{number}", table, self._loop.time)
-        entry.request_grants = self._ask
+        entry.request_grants = self._request
         entry.entries = self._entries
         self._tasks.append(self._loop.create_task(entry.run()))
         return entry
 
-    async def _press(self, number: int) -> None:
-        """Have more requests come to an entry than it may send; they wait for one answer."""
+    async def _generate(self, number: int) -> None:
+        """Give an entry more requests than it may send; each waits for one reply."""
         entry = self._start_entry(number)
         while True:
             await asyncio.sleep(self._rng.expovariate(3 * self._limit / self._entries))
             if not entry.can_send(TARGET):
                 entry.queue_request(TARGET)
                 await entry.wait_for_reply(0.1)
-            is_held_back = self._trouble.saves and self._loop.time() % 3.0 > 0.5
+            is_held_back = self._faults.saves and self._loop.time() % 3.0 > 0.5
             if is_held_back:
                 entry.queue_request(TARGET)
             while entry.can_send(TARGET) and not is_held_back:
                 entry.record_send(TARGET)
                 self.sent.append(self._loop.time())
-                is_held_back = not self._trouble.saves
+                is_held_back = not self._faults.saves
 
     def stop(self) -> None:
-        """End everything."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
 
-def play(entries: int, limit: float, trouble: Trouble, seed: int) -> list[float]:
+def play(entries: int, limit: float, faults: Faults, seed: int) -> list[float]:
     """Times of all sends."""
 
     async def run() -> list[float]:
-        fleet = Fleet(entries, limit, trouble, random.Random(seed))
+        fleet = Fleet(entries, limit, faults, random.Random(seed))
         await asyncio.sleep(SECONDS)
         fleet.stop()
         return fleet.sent
@@ -125,7 +125,7 @@
 
 
 class PermitsTest(unittest.TestCase):
-    """What all entries send within any window."""
+    """Requests of all entries within any window."""
 
     @profiles.choose(15)
     @given(
@@ -135,11 +135,11 @@
     )
     @example(6, 20.0, 1)
     @example(1, 20.0, 1)
-    def test_answers_late_or_lost_break_no_bound(
+    def test_late_or_lost_replies_break_no_bound(
         self, entries: int, limit: float, seed: int
     ) -> None:
         for saves in (False, True):
-            sent = play(entries, limit, Trouble(late=0.2, saves=saves), seed)
+            sent = play(entries, limit, Faults(late=0.2, saves=saves), seed)
             self.assertLessEqual(limit_scenes.count_most(sent), limit * 4 + 5)
 
     @profiles.choose(15)
@@ -150,22 +150,22 @@
     )
     @example(6, 20.0, 1)
     @example(1, 20.0, 1)
-    def test_owners_that_change_and_answers_lost_keep_to_the_users_bound(
+    def test_changes_of_the_issuer_and_lost_replies_keep_to_the_users_bound(
         self, entries: int, limit: float, seed: int
     ) -> None:
-        sent = play(entries, limit, Trouble(late=0.2, lost=0.1, changes=0.3), seed)
+        sent = play(entries, limit, Faults(late=0.2, lost=0.1, changes=0.3), seed)
         self.assertLessEqual(limit_scenes.count_most(sent), 1.5 * limit * 4 + 5)
 
     def test_most_of_the_limit_is_used(self) -> None:
         for entries in (1, 6, 40):
             for limit in (1.9, 20.0):
                 with self.subTest(entries=entries, limit=limit):
-                    sent = play(entries, limit, Trouble(), 1)
+                    sent = play(entries, limit, Faults(), 1)
                     self.assertGreater(len(sent), 0.85 * limit * (SECONDS - 1.0))
 
-    def test_permits_that_nobody_uses_are_given_back(self) -> None:
+    def test_unused_permits_are_returned(self) -> None:
         async def scene() -> tuple[int, int]:
-            fleet = Fleet(0, 2.0, Trouble(), random.Random(1))
+            fleet = Fleet(0, 2.0, Faults(), random.Random(1))
             idle, busy = fleet._start_entry(1), fleet._start_entry(2)
             used = 0
             for _ in range(200):
--- a/tillerlane/gateway/tests/test_suspects.py
+++ b/tillerlane/gateway/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""What is kept of requests under which targets ended: the daemons' table and the log's state."""
+"""State of requests under which targets exited: the daemons' table and the log's state."""
 
 import random
 import unittest
@@ -15,11 +15,11 @@
     """The replicated state alone."""
 
     def apply(self, state: state_machine.StateMachine, fingerprint: str, held: bool) -> bool:
-        """Apply a verdict; whether it was accepted."""
+        """Apply a decision; whether it was accepted."""
         command = commands.Quarantine(fingerprint, held, "keepers", 0, ["t1"])
         return state.apply(1, 1, command)["accepted"]
 
-    def test_told_again_it_changes_nothing(self) -> None:
+    def test_repeated_decision_changes_nothing(self) -> None:
         state = state_machine.StateMachine()
         for held in (True, True, False, False):
             self.assertTrue(self.apply(state, "f", held))
@@ -42,7 +42,7 @@
         self.assertTrue(self.apply(state, "one more", True))
 
 
-WORDS = strategies.lists(
+EXITS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from("fgh"), strategies.sampled_from("abcd"), strategies.booleans()
     ),
@@ -51,36 +51,44 @@
 
 
 class TableTest(unittest.TestCase):
-    """The table that daemons merge."""
+    """The table merged by daemons."""
 
     @profiles.choose(200)
-    @given(WORDS, strategies.randoms(use_true_random=False))
+    @given(EXITS, strategies.randoms(use_true_random=False))
     def test_order_and_repetition_make_no_difference(
-        self, words: list[tuple[str, str, bool]], rng: random.Random
+        self, rows: list[tuple[str, str, bool]], rng: random.Random
     ) -> None:
-        ends = [suspects.TargetExit(*word) for word in words]
-        again = ends + ends[: len(ends) // 2]
+        exits = [suspects.TargetExit(*word) for word in rows]
+        again = exits + exits[: len(exits) // 2]
         rng.shuffle(again)
         tables = [suspects.Suspects(), suspects.Suspects()]
-        tables[0].merge(ends)
-        for end in again:
-            tables[1].merge(suspects.decode_exits(suspects.encode_exits([end])))
+        tables[0].merge(exits)
+        for target_exit in again:
+            tables[1].merge(suspects.decode_exits(suspects.encode_exits([target_exit])))
         self.assertEqual(set(tables[0].list_all()), set(tables[1].list_all()))
-        cleared = {(end.fingerprint, end.target_id) for end in ends if end.is_cleared}
+        cleared = {
+            (target_exit.fingerprint, target_exit.target_id)
+            for target_exit in exits
+            if target_exit.is_cleared
+        }
         for fingerprint in "fgh":
-            expected = {end.target_id for end in ends if end.fingerprint == fingerprint}
+            expected = {
+                target_exit.target_id
+                for target_exit in exits
+                if target_exit.fingerprint == fingerprint
+            }
             expected -= {target for other, target in cleared if other == fingerprint}
             self.assertEqual(set(tables[0].list_targets(fingerprint)), expected)
 
-    def test_only_what_is_new_is_told(self) -> None:
+    def test_only_changes_are_returned(self) -> None:
         table = suspects.Suspects()
-        end = suspects.TargetExit("f", "a")
-        self.assertEqual(table.merge([end, end]), [end])
+        target_exit = suspects.TargetExit("f", "a")
+        self.assertEqual(table.merge([target_exit, target_exit]), [target_exit])
         cleared = table.clear("f")
         self.assertEqual(cleared, [suspects.TargetExit("f", "a", True)])
-        self.assertEqual((table.clear("f"), table.merge([end])), ([], []))
+        self.assertEqual((table.clear("f"), table.merge([target_exit])), ([], []))
 
-    def test_bounded_and_the_least_suspected_go_first(self) -> None:
+    def test_bounded_and_single_exits_are_evicted_first(self) -> None:
         table = suspects.Suspects()
         table.merge([suspects.TargetExit("guilty", f"t{number}") for number in range(100)])
         self.assertEqual(table.count("guilty"), suspects.MAX_EXITS)
@@ -89,7 +97,7 @@
         self.assertEqual(table.count("guilty"), suspects.MAX_EXITS)
         self.assertEqual((table.count("f0"), table.count("f99999")), (0, 1))
 
-    def test_rows_that_name_nothing_are_passed_over(self) -> None:
+    def test_invalid_rows_are_skipped(self) -> None:
         rows = [
             suspects.TargetExit("", "t"),
             suspects.TargetExit("f", ""),
