--- a/tillerlane/gateway/tests/test_quarantine_stateful.py
+++ b/tillerlane/gateway/tests/test_quarantine_stateful.py
@@ -1,8 +1,8 @@
-"""Requests that end targets, while entries and keepers are lost, replaced and cut off at random.
+"""Poison requests, while entries and keepers are lost, replaced and isolated at random.
 
-The bound of the users' rule is checked as they state it: later than three seconds after its third
-end a deadly request gets three more sends at most from entries in touch.  A request that ended no
-target is never held back, and once all is whole again, what is deadly is refused everywhere.
+The test checks the users' bound: later than three seconds after its third target exit, a poison
+request gets at most three more sends from connected entries.  A request that made no target exit is
+never quarantined, and after recovery all entries refuse poison requests.
 """
 
 import asyncio
@@ -22,12 +22,12 @@
 
 KEEPERS, ENTRIES, TARGETS = 3, 3, 6
 BODIES = tuple(f"deadly {number}".encode() for number in range(6))
-MOST_SENDS = 3
-CONTACT_SECONDS = 3.0
-"""Time without trouble after which an entry counts as in touch."""
+MAX_LATE_SENDS = 3
+CONNECTED_SECONDS = 3.0
+"""Time without faults after which an entry counts as connected."""
 SETTLE_SECONDS = 8.0
 CASES = {"deadly": 0, "good": 0, "troubles": 0, "settled": 0, "held": 0, "ends": 0}
-"""What was run, printed at the end."""
+"""Numbers of steps run, printed at the end."""
 
 KINDS = (
     *["deadly"] * 5,
@@ -39,7 +39,7 @@
 
 
 class QuarantineMachine(stateful.RuleBasedStateMachine):
-    """Random comings of requests, and random trouble."""
+    """Random requests and random faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,16 +47,16 @@
         self.loop = lab.new_loop()
         asyncio.set_event_loop(self.loop)
         self.numbers = itertools.count(1)
-        self.good: list[str] = []
-        """Fingerprints of requests that are not deadly."""
+        self.harmless: list[str] = []
+        """Fingerprints of harmless requests."""
         self.late: collections.Counter[bytes] = collections.Counter()
-        """Sends against the bound, by body."""
-        self.trouble_at = 0.0
+        """Sends that count towards the bound, by body."""
+        self.fault_at = 0.0
         self.is_cut = False
         self.stage = gateway_lab.GatewayLab(KEEPERS, ENTRIES, KEEPERS)
-        self.run(self.begin())
+        self.run(self.start())
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Start the fleet and a pool, and put a configuration in force."""
         await self.stage.start()
         await asyncio.sleep(SETTLE_SECONDS)
@@ -71,69 +71,69 @@
         return self.loop.run_until_complete(work)
 
     def list_entries(self) -> list[str]:
-        """Entries that run."""
+        """Running entries."""
         return sorted(self.stage.entries)
 
-    # What comes
+    # Steps
 
     @stateful.rule(
         kind=strategies.sampled_from(KINDS),
         number=strategies.integers(0, ENTRIES - 1),
         body=strategies.sampled_from(BODIES),
     )
-    def happen(self, kind: str, number: int, body: bytes) -> None:
-        """One thing of many; a rule for each would leave most of them out of an example."""
+    def take_step(self, kind: str, number: int, body: bytes) -> None:
+        """One of many steps; a rule for each would leave most of them out of an example."""
         if kind == "deadly":
-            self.send_deadly(number, body)
+            self.send_poison(number, body)
         elif kind == "good":
-            self.send_good(number)
+            self.send_harmless(number)
         elif kind == "settle":
             self.settle()
         elif kind.startswith("wait"):
             self.run(asyncio.sleep(float(kind.split()[1])))
         else:
-            self.make_trouble(kind, number)
+            self.inject_fault(kind, number)
 
-    def send_deadly(self, number: int, body: bytes) -> None:
-        """Have a deadly request come to an entry, and again to the next one."""
-        self.send_deadly_once(number, body)
-        self.send_deadly_once((number + 1) % ENTRIES, body)
+    def send_poison(self, number: int, body: bytes) -> None:
+        """Send a poison request to an entry, and again to the next one."""
+        self.send_poison_once(number, body)
+        self.send_poison_once((number + 1) % ENTRIES, body)
 
-    def send_deadly_once(self, number: int, body: bytes) -> None:
-        """Have it come once, and count its sends against the bound."""
+    def send_poison_once(self, number: int, body: bytes) -> None:
+        """Send it once, and count its sends towards the bound."""
         CASES["deadly"] += 1
         before = self.loop.time()
-        in_touch = not self.is_cut and before - self.trouble_at > CONTACT_SECONDS
-        ends = self.pool.list_ends(body)
-        is_late = len(ends) >= 3 and before > ends[2] + deadly_pool.REACTION_SECONDS
+        is_connected = not self.is_cut and before - self.fault_at > CONNECTED_SECONDS
+        exits = self.pool.list_ends(body)
+        is_late = len(exits) >= 3 and before > exits[2] + deadly_pool.REACTION_SECONDS
         self.run(self.call(self.list_entries()[number], body))
-        if in_touch and is_late:
+        if is_connected and is_late:
             self.late[body] += self.pool.count_sends(body, before)
-        assert self.late[body] <= MOST_SENDS
-        CASES["ends"] += len(self.pool.list_ends(body)) - len(ends)
+        assert self.late[body] <= MAX_LATE_SENDS
+        CASES["ends"] += len(self.pool.list_ends(body)) - len(exits)
 
-    def send_good(self, number: int) -> None:
-        """Have a request come that ends nothing."""
+    def send_harmless(self, number: int) -> None:
+        """Send a harmless request."""
         CASES["good"] += 1
         body = f"good {next(self.numbers)}".encode()
-        self.good.append(caller.compute_fingerprint("price", body))
+        self.harmless.append(caller.compute_fingerprint("price", body))
         self.run(self.call(self.list_entries()[number], body))
 
     async def call(self, entry: str, body: bytes) -> int:
-        """Send a request; the answer's status."""
+        """Send a request; returns the status of the response."""
         request_id = f"r{next(self.numbers)}"
         return (await self.stage.call(entry, "price", request_id, body=body)).status
 
-    # Trouble
+    # Faults
 
-    def make_trouble(self, kind: str, number: int) -> None:
-        """Do harm to a daemon, or end what cuts there are."""
+    def inject_fault(self, kind: str, number: int) -> None:
+        """Make a daemon fail, or heal all network faults."""
         CASES["troubles"] += 1
-        # Of three keepers one disk may be lost at a time, until all have caught up.
-        may_wipe = self.loop.time() - self.trouble_at > SETTLE_SECONDS
+        # Of three keepers one may lose its disk at a time, and not until all have caught up.
+        can_wipe = self.loop.time() - self.fault_at > SETTLE_SECONDS
         if kind in ("restart keeper", "wipe keeper"):
             name = self.stage.keeper_names[number % KEEPERS]
-            wipe = kind == "wipe keeper" and may_wipe
+            wipe = kind == "wipe keeper" and can_wipe
             self.run(self.stage.kill_keeper(name, wipe=wipe))
             self.run(self.stage.start_keeper(name))
         elif kind == "power":
@@ -144,50 +144,50 @@
             self.stage.network.isolate(self.list_entries()[number])
             self.is_cut = True
         else:
-            self.run(self.heal_cuts())
-        self.trouble_at = self.loop.time()
+            self.run(self.heal())
+        self.fault_at = self.loop.time()
 
-    async def replace_entry(self, former: str) -> None:
-        """End an entry; another one starts."""
+    async def replace_entry(self, old_name: str) -> None:
+        """Stop an entry and start another one."""
         name = f"new-{next(self.numbers)}"
         self.stage.add_entry(name)
-        await self.stage.entries.pop(former).stop()
+        await self.stage.entries.pop(old_name).stop()
         await self.stage.start_entry(name)
 
-    async def heal_cuts(self) -> None:
-        """End all cuts, within the loop."""
+    async def heal(self) -> None:
+        """Heal all network faults, within the loop."""
         self.stage.network.heal()
         self.is_cut = False
-        self.trouble_at = self.loop.time()
+        self.fault_at = self.loop.time()
 
-    # What must hold
+    # Checks
 
     @stateful.invariant()
-    def good_requests_go_to_targets(self) -> None:
-        """No entry holds back what ended no target."""
+    def harmless_requests_are_not_quarantined(self) -> None:
+        """No entry quarantines a request that made no target exit."""
         for entry in self.stage.entries.values():
-            for fingerprint in self.good[-5:]:
+            for fingerprint in self.harmless[-5:]:
                 assert not entry.quarantine.find_reason(fingerprint)
 
     def settle(self) -> None:
-        """Heal; what has ended three targets is refused everywhere, and stands in the log."""
+        """Heal; a request with three exits is then refused everywhere, and is in the log."""
         CASES["settled"] += 1
-        self.run(self.heal_cuts())
+        self.run(self.heal())
         self.run(asyncio.sleep(SETTLE_SECONDS))
         for body in BODIES:
             self.check_held(body)
 
     def check_held(self, body: bytes) -> None:
-        """What any entry holds back, all refuse, and all keepers have in the log."""
+        """What any entry quarantines, all refuse, and all keepers have in the log."""
         fingerprint = caller.compute_fingerprint("price", body)
         entries = self.stage.entries.values()
         if not any(entry.quarantine.find_reason(fingerprint) for entry in entries):
             return
         CASES["held"] += 1
-        ends = len(self.pool.list_ends(body))
+        exits = len(self.pool.list_ends(body))
         for name in self.list_entries():
             assert self.run(self.call(name, body)) == 503
-        assert len(self.pool.list_ends(body)) == ends
+        assert len(self.pool.list_ends(body)) == exits
         for keeper in self.stage.keepers.values():
             assert fingerprint in keeper.replica.state_machine.store.list_names(stores.QUARANTINE)
 
--- a/tillerlane/gateway/tests/test_spread.py
+++ b/tillerlane/gateway/tests/test_spread.py
@@ -1,4 +1,4 @@
-"""How entries hear of each other's loads by their keepers, while keepers and entries fail."""
+"""Distribution of loads among entries through their keepers, while keepers and entries fail."""
 
 import asyncio
 import dataclasses
@@ -15,12 +15,12 @@
 PROMPT_TOKENS = 3_000
 TARGETS = 300
 SETTLE_SECONDS = 0.6
-"""Two pauses of an entry, two of keepers, and their hops."""
+"""Two report intervals of an entry, two batch intervals of keepers, and their hops."""
 SAMPLE_SECONDS = 0.05
 
 
-async def begin_run(stage: gateway_lab.GatewayLab) -> asyncio.Task[object]:
-    """Begin a stream of 16 s through the first entry, and let the word of it spread."""
+async def start_run(stage: gateway_lab.GatewayLab) -> asyncio.Task[object]:
+    """Start a stream of 16 s through the first entry, and let its load be distributed."""
     await stage.add_runner("t1", "llm", length=800)
     await asyncio.sleep(SETTLE_SECONDS)
     call = stage.call("entry-1", "record", "r1", wait_ms=30_000, **gateway_scenes.LONG)
@@ -30,12 +30,12 @@
 
 
 def count_requests(stage: gateway_lab.GatewayLab, name: str) -> int:
-    """Requests at the runner, as an entry knows them."""
+    """Requests at the runner, as known to an entry."""
     return stage.entries[name].usage.get(stage.runners["t1"].address).requests
 
 
-def read_primary(stage: gateway_lab.GatewayLab, name: str) -> str:
-    """The keeper that an entry tells its load."""
+def get_primary_keeper(stage: gateway_lab.GatewayLab, name: str) -> str:
+    """The keeper to which an entry reports its load."""
     link = stage.entries[name].homes.get_primary()
     assert link is not None
     return link.peer_id
@@ -44,7 +44,7 @@
 async def sample(
     stage: gateway_lab.GatewayLab, names: list[str], seconds: float
 ) -> list[tuple[float, int]]:
-    """Requests that entries know at the runner, with the time, again and again."""
+    """Repeated samples of the requests at the runner as known to entries, with the time."""
     began = asyncio.get_running_loop().time()
     seen = []
     while (passed := asyncio.get_running_loop().time() - began) < seconds:
@@ -54,7 +54,7 @@
 
 
 @mock.patch.object(homes, "SMALL_FLEET_ENTRIES", 0)
-class SpreadTest(gateway_scenes.GatewayCase):
+class LoadDistributionTest(gateway_scenes.GatewayCase):
     """Five keepers, of which each of six entries knows two."""
 
     keepers = 5
@@ -63,7 +63,7 @@
 
     def test_all_entries_count_a_run_once(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            task = await begin_run(stage)
+            task = await start_run(stage)
             self.assertEqual({count_requests(stage, name) for name in stage.entry_names}, {1})
             await asyncio.sleep(1.0)
             use = stage.entries["entry-6"].usage.get(stage.runners["t1"].address)
@@ -75,11 +75,13 @@
 
         self.play(scene)
 
-    def test_run_counts_once_again_soon_after_its_entry_lost_its_keeper(self) -> None:
+    def test_run_counts_once_while_its_entry_changes_keepers(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            task = await begin_run(stage)
-            primary = read_primary(stage, "entry-1")
-            others = [name for name in stage.entry_names if read_primary(stage, name) != primary]
+            task = await start_run(stage)
+            primary = get_primary_keeper(stage, "entry-1")
+            others = [
+                name for name in stage.entry_names if get_primary_keeper(stage, name) != primary
+            ]
             self.assertTrue(others)
             await stage.kill_keeper(primary, wipe=True)
             seen = await sample(stage, others, 6.0)
@@ -88,9 +90,9 @@
 
         self.play(scene)
 
-    def test_what_a_cut_off_entry_had_goes_out_after_three_seconds_and_not_before(self) -> None:
+    def test_load_of_an_isolated_entry_expires_after_three_seconds(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            task = await begin_run(stage)
+            task = await start_run(stage)
             stage.network.isolate("entry-1")
             others = stage.entry_names[1:]
             seen = await sample(stage, others, 5.0)
@@ -106,24 +108,26 @@
 
         self.play(scene)
 
-    def test_heartbeats_that_change_nothing_are_told_to_no_entry(self) -> None:
-        """Whichever keeper hears them, and however old they are when it does."""
+    def test_unchanged_heartbeats_are_forwarded_to_no_entry(self) -> None:
+        """No matter which keeper receives them, and how old they are on arrival."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=800)
             await asyncio.sleep(SETTLE_SECONDS)
-            told: list[str] = []
+            notified: list[str] = []
             for daemon in [*stage.entries.values(), *stage.keepers.values()]:
-                daemon.directory.add_listener(lambda target, former: told.append(target.target_id))
+                daemon.directory.add_listener(
+                    lambda target, former: notified.append(target.target_id)
+                )
             for keeper in stage.keeper_names * 3:
                 stage.beat("t1", "llm", keeper=keeper)
                 await asyncio.sleep(0.2)
-            self.assertEqual(told, [])
+            self.assertEqual(notified, [])
 
         self.play(scene)
 
-    def test_prompt_that_is_sent_is_known_everywhere_at_once(self) -> None:
-        """Within 0.06 s; before, up to 0.3 s, in which all entries chose the same runner."""
+    def test_sent_prompt_is_known_everywhere_soon(self) -> None:
+        """Within 0.06 s; a delay of 0.3 s made all entries choose the same runner."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await stage.add_runner("t1", "llm", length=800)
@@ -144,16 +148,16 @@
         tasks: list[asyncio.Task[object]] = []
         self.play(scene)
 
-    def test_digest_that_was_missed_is_asked_for(self) -> None:
+    def test_missed_digest_is_requested(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             entry = stage.entries["entry-6"]
             take = entry.usage.handle_digest
             with mock.patch.object(
                 entry.usage, "handle_digest", return_value=usages.DigestResult.APPLIED
             ):
-                task = await begin_run(stage)
+                task = await start_run(stage)
             self.assertEqual(entry.usage.handle_digest, take)
-            # The next digest, which shows the gap, comes within this time at the latest.
+            # The next digest, which reveals the gap, arrives within this time.
             await asyncio.sleep(control.MAX_LOADS_INTERVAL_SECONDS + 0.1)
             self.assertEqual(count_requests(stage, "entry-6"), 1)
             task.cancel()
@@ -169,7 +173,7 @@
     desired_voters = 5
 
     def play(self, scene: Callable[[gateway_lab.GatewayLab], Awaitable[None]]) -> None:
-        """Start keepers, and only then, all at once, entries."""
+        """Start keepers only; the scene starts entries."""
 
         async def run() -> None:
             stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.desired_voters)
@@ -198,7 +202,7 @@
 
         self.play(scene)
 
-    def test_each_hears_few_messages_whatever_their_number(self) -> None:
+    def test_each_entry_receives_few_messages(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for name in stage.entry_names:
                 await stage.start_entry(name)
@@ -215,16 +219,16 @@
             await asyncio.sleep(2.0)
             after = [link.messages_in for link in links if link is not None]
             self.assertEqual(len(before), 68)
-            # Digests come 8.3 times a second, answers to questions 2.5 times, heartbeats of the
-            # runner not at all here.
+            # Digests arrive 8.3 times a second, replies to queries 2.5 times, and heartbeats of the
+            # runner not at all in this test.
             self.assertLess(max(b - a for a, b in zip(before, after, strict=True)), 2 * 12)
             for task in tasks:
                 task.cancel()
 
         self.play(scene)
 
-    def test_targets_that_all_come_at_once_are_told_in_few_messages(self) -> None:
-        """1,500 messages an entry with one for each target and each of five keepers."""
+    def test_many_new_targets_are_sent_in_few_messages(self) -> None:
+        """One for each target and each of five keepers would be 1,500 messages an entry."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for name in stage.entry_names[:-1]:
@@ -238,8 +242,8 @@
             ]
             before = sum(link.messages_in for link in links)
             await self.beat_all(stage)
-            told = (sum(link.messages_in for link in links) - before) / len(stage.entries)
-            self.assertLess(told, 90)
+            notified = (sum(link.messages_in for link in links) - before) / len(stage.entries)
+            self.assertLess(notified, 90)
             for entry in stage.entries.values():
                 self.assertEqual(len(entry.directory.targets), TARGETS + 1)
             late = await stage.start_entry(stage.entry_names[-1])
@@ -249,7 +253,7 @@
         self.play(scene)
 
     async def beat_all(self, stage: gateway_lab.GatewayLab) -> None:
-        """Have all targets tell of themselves, each at one keeper, within 1.2 s."""
+        """Have all targets send a heartbeat, each to one keeper, within 1.2 s."""
         keepers = list(stage.keepers.values())
         for number in range(TARGETS):
             await asyncio.sleep(1.2 / TARGETS)
@@ -267,7 +271,7 @@
             keepers[number % len(keepers)].handle_heartbeat(target)
         await asyncio.sleep(0.3)
 
-    def test_target_that_turns_cold_is_told_to_all(self) -> None:
+    def test_target_that_turns_cold_is_announced_to_all(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             for name in stage.entry_names:
                 await stage.start_entry(name)
@@ -275,10 +279,10 @@
             now = asyncio.get_running_loop().time()
             keeper = stage.keepers["keeper-2"]
             known = keeper.directory.targets["t1"]
-            told = dataclasses.replace(
+            notified = dataclasses.replace(
                 known, sequence=known.sequence + 1, heard_at=now, warm_at=now + 2.0
             )
-            keeper.handle_heartbeat(told)
+            keeper.handle_heartbeat(notified)
             await asyncio.sleep(0.3)
             for entry in stage.entries.values():
                 self.assertAlmostEqual(entry.directory.targets["t1"].warm_at, now + 2.0, delta=0.1)
