--- a/tillerlane/gateway/admission.py
+++ b/tillerlane/gateway/admission.py
@@ -14,8 +14,8 @@
 STALE_RETRY_AFTER_SECONDS = 1.0
 """Delay for a caller that is refused without a trusted configuration: about the time to connect to
 another keeper, or to elect a leader.  Callers with less time retry sooner."""
-DEFAULT_WAIT_SECONDS = 60.0
-"""Time for a request if neither it nor its route names one."""
+DEFAULT_TIMEOUT_SECONDS = 60.0
+"""Time-out of a request if neither it nor its route names one."""
 LONG_RUN_TOKENS = 40
 """Shorter runs end before a copy of their memory would be of use: a run writes some 130 tokens a
 second, and a runner leaves with 1.5 s of notice or more."""
@@ -61,7 +61,7 @@
 
     @property
     def work(self) -> placing.Work:
-        """Work that it is for a runner."""
+        """Work that the request causes at a runner."""
         facts = self.facts
         return placing.Work(self.tokens, facts.prompt_tokens, self.count_remaining_events(0))
 
@@ -150,7 +150,8 @@
                 return Refusal(401, f"unknown key in version {table.version}")
         timeouts = [facts.wait_seconds, route.timeout_seconds]
         timeout = min(
-            [seconds for seconds in timeouts if seconds is not None], default=DEFAULT_WAIT_SECONDS
+            [seconds for seconds in timeouts if seconds is not None],
+            default=DEFAULT_TIMEOUT_SECONDS,
         )
         pool = table.pools[self._pick_pool(route)]
         deadline = request.arrived + timeout
--- a/tillerlane/gateway/availability.py
+++ b/tillerlane/gateway/availability.py
@@ -188,7 +188,7 @@
         await self._permits.wait_for_reply(seconds)
 
     def queue_permit_request(self, target: directories.Target) -> None:
-        """Queue a request for a permit that a request could have used at a target."""
+        """Queue a request for a permit, for later requests to a target."""
         self._permits.queue_request(target.target_id)
 
     def needs_permit(self, target: directories.Target) -> bool:
@@ -202,7 +202,7 @@
         return not self.needs_permit(target)
 
     def is_permit_likely(self, target: directories.Target) -> bool:
-        """Whether a request that waits for a permit will probably get one soon."""
+        """Whether a permit will probably be granted soon if requested."""
         return self._permits.is_permit_likely(target.target_id)
 
     def find_limit(self, target: directories.Target) -> float | None:
--- a/tillerlane/gateway/permits.py
+++ b/tillerlane/gateway/permits.py
@@ -1,10 +1,10 @@
 """Permits of one entry to send to targets that have named limits.
 
-A request for such a target requests a permit and waits for the reply, a round trip.  While permits
-are denied, requests go elsewhere and queue a request for a permit without waiting, for later
-requests.  Permits that are not used soon are returned.  The leader of the keepers' log issues them
-(`gateway.grants`); the keeper that receives the request forwards it.  Without an issuer, the entry
-keeps to its hash-based share.
+The entry requests a permit for a caller's request to such a target and waits for the reply, a round
+trip.  While permits are denied, callers' requests go elsewhere, and permits are requested without
+waiting for later ones.  Permits that are not used soon are returned.  The leader of the keepers'
+log issues them (`gateway.grants`); the keeper that receives the request forwards it.  Without an
+issuer, the entry keeps to its hash-based share.
 """
 
 import asyncio
@@ -80,10 +80,10 @@
         self._has_queued = asyncio.Event()
         self._next_reply: asyncio.Future[None] | None = None
         """Awaited by requests without a permit."""
-        self._has_owner = True
+        self._is_issuer_reachable = True
         """Whether the last request for permits had a reply."""
         self.request_grants: RequestGrants = _raise_no_keeper
-        self.on_owner_change: Callable[[bool, str], None] = lambda is_answered, reason: None
+        self.on_owner_change: Callable[[bool, str], None] = lambda is_reachable, reason: None
         self.entries = 0
         self.unused = 0
 
@@ -101,19 +101,19 @@
             return True
         if self._has_permit(target_id, now):
             return True
-        return not self._has_owner and self._count_sent(target_id, now) < self._compute_share(
-            target_id, limit
-        )
+        return not self._is_issuer_reachable and self._count_sent(
+            target_id, now
+        ) < self._compute_share(target_id, limit)
 
     def is_permit_likely(self, target_id: str) -> bool:
-        """Whether a request that waits for a permit will probably get one soon."""
+        """Whether a permit will probably be granted soon if requested."""
         denied_at = self._denied.get(target_id)
-        return self._has_owner and (
+        return self._is_issuer_reachable and (
             denied_at is None or self._now() - denied_at >= DENIAL_DELAY_SECONDS
         )
 
     def queue_request(self, target_id: str) -> None:
-        """Queue a request for a permit that a request could have used at a target."""
+        """Queue a request for a permit, for later requests to a target."""
         self._queued[target_id] += 1
         self._has_queued.set()
 
@@ -190,9 +190,9 @@
         try:
             grants = await self.request_grants(requests)
         except (links.LinkLost, faults.FaultError) as error:
-            self._record_owner(False, str(error))
+            self._record_issuer(False, str(error))
             return
-        self._record_owner(True, "")
+        self._record_issuer(True, "")
         granted = {grant.target_id for grant in grants}
         for request in requests:
             if request.count and request.target_id not in granted:
@@ -215,10 +215,10 @@
                 requests.append(messages.PermitWish(target_id, count, limit, returned))
         return requests
 
-    def _record_owner(self, is_answered: bool, reason: str) -> None:
-        if is_answered != self._has_owner:
-            self.on_owner_change(is_answered, reason)
-        self._has_owner = is_answered
+    def _record_issuer(self, is_reachable: bool, reason: str) -> None:
+        if is_reachable != self._is_issuer_reachable:
+            self.on_owner_change(is_reachable, reason)
+        self._is_issuer_reachable = is_reachable
 
 
 async def _raise_no_keeper(
--- a/tillerlane/gateway/quarantine.py
+++ b/tillerlane/gateway/quarantine.py
@@ -55,9 +55,9 @@
         """Why a request is sent to no target; empty if it may be sent."""
         if fingerprint in self._held:
             return f"held back, as targets ended under it: {fingerprint}"
-        ended = self.suspects.count(fingerprint)
-        if quarantine.is_poison(ended):
-            return f"held back, as {ended} targets ended under it: {fingerprint}"
+        exits = self.suspects.count(fingerprint)
+        if quarantine.is_poison(exits):
+            return f"held back, as {exits} targets ended under it: {fingerprint}"
         return ""
 
     def count_held(self) -> int:
--- a/tillerlane/gateway/quarantine_coordinator.py
+++ b/tillerlane/gateway/quarantine_coordinator.py
@@ -89,8 +89,8 @@
         if not repeated:
             return
         for fingerprint in repeated:
-            ended = self.suspects.count(fingerprint)
-            self._timeline.record("request.suspected", fingerprint=fingerprint, ended=ended)
+            exits = self.suspects.count(fingerprint)
+            self._timeline.record("request.suspected", fingerprint=fingerprint, ended=exits)
         self._send_to_entries(suspects.encode_exits(self.suspects.list_exits(repeated)))
 
     def build_for_keeper(self) -> messages.TargetEnds:
@@ -124,7 +124,7 @@
         target_ids = self.suspects.list_targets(fingerprint)
         command = commands.Quarantine(fingerprint, hold, "keepers", self._now_ms(), target_ids)
         try:
-            answer = await self._propose(commands.encode(command))
+            result = await self._propose(commands.encode(command))
         except faults.FaultError as error:
             # The next check proposes it again; until then daemons act on the exits that they know.
             self._timeline.record(
@@ -136,5 +136,5 @@
             fingerprint=fingerprint,
             held=hold,
             targets=target_ids,
-            accepted=answer["accepted"],
+            accepted=result["accepted"],
         )
--- a/tillerlane/gateway/tests/test_loads.py
+++ b/tillerlane/gateway/tests/test_loads.py
@@ -199,7 +199,7 @@
         return self.usage.handle_digest(digest, now)
 
     def report_other(self, sequence: int, tokens: int) -> messages.LoadDigest | None:
-        """The digest after another entry's word."""
+        """The digest after another entry's report."""
         self.ledger.handle_report(build_report("entry-2", sequence, tokens), 0.0)
         return self.ledger.build_delta_digest()
 
--- a/tillerlane/gateway/tests/test_suspects.py
+++ b/tillerlane/gateway/tests/test_suspects.py
@@ -58,7 +58,7 @@
     def test_order_and_repetition_make_no_difference(
         self, rows: list[tuple[str, str, bool]], rng: random.Random
     ) -> None:
-        exits = [suspects.TargetExit(*word) for word in rows]
+        exits = [suspects.TargetExit(*row) for row in rows]
         again = exits + exits[: len(exits) // 2]
         rng.shuffle(again)
         tables = [suspects.Suspects(), suspects.Suspects()]
