--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -50,10 +50,10 @@
 
 def make_round_robin() -> object:
     """Targets in turn."""
-    turn = itertools.count()
+    counter = itertools.count()
 
     def choose(request: requests.Request, records: list[fleet.TargetRecord]) -> fleet.TargetRecord:
-        return records[next(turn) % len(records)]
+        return records[next(counter) % len(records)]
 
     return choose
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -25,19 +25,19 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[1]
 RESULTS = ROOT / "benchmarks" / "results" / "capacity.json"
-SIZES = (50, 100, 200, 420)
-ENTRY_SIZES = (10, 25, 50, 100)
-SECONDS = 5.0
+DAEMON_COUNTS = (50, 100, 200, 420)
+AGENT_COUNTS = (10, 25, 50, 100)
+MEASURE_SECONDS = 5.0
 SETTLE_SECONDS = 2.5
-CHANGES = 8
+CHANGES_PER_SIZE = 8
 CLAIM_WORKERS = (1, 8, 64)
-REPORTS_A_SECOND = 1.0
+REPORTS_PER_SECOND = 1.0
 """Reports of a busy agent; it sends one when a target's load has changed enough."""
 
 Figures = dict[str, Any]
 
 
-def write_document(workspaces: int, *, runners: int = 2, weight: float = 1.0) -> dict[str, Any]:
+def build_document(workspaces: int, *, runners: int = 2, weight: float = 1.0) -> dict[str, Any]:
     """A configuration of the size asked for, with keys, classes and one policy."""
     document: dict[str, Any] = {
         "workspaces": {
@@ -81,16 +81,16 @@
 def read_links(fleet: deployment.Fleet, names: list[str]) -> dict[str, dict[str, int]]:
     """Bytes and messages on the links of some daemons so far."""
     headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
-    found = {}
+    links = {}
     for name in names:
         url = fleet.plan.get_http(name) + "/admin/self"
         answer = httpx.get(url, headers=headers, timeout=10, trust_env=False)
-        found[name] = answer.json()["links"]
-    return found
+        links[name] = answer.json()["links"]
+    return links
 
 
 @dataclasses.dataclass(slots=True)
-class Span:
+class UsageRates:
     """What a process used over a span of time, each a second."""
 
     cpu: float
@@ -99,26 +99,28 @@
     memory: int
 
 
-async def watch(fleet: deployment.Fleet, names: list[str], seconds: float) -> dict[str, Span]:
+async def measure_rates(
+    fleet: deployment.Fleet, names: list[str], seconds: float
+) -> dict[str, UsageRates]:
     """Watch processes for some seconds."""
     before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
     links_before = await asyncio.to_thread(read_links, fleet, names)
     await asyncio.sleep(seconds)
     after = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
     links_after = await asyncio.to_thread(read_links, fleet, names)
-    spans = {}
+    rates = {}
     for name in names:
-        passed = after[name].at - before[name].at
+        elapsed_seconds = after[name].at - before[name].at
         old, new = links_before[name], links_after[name]
-        moved = sum(new[key] - old[key] for key in ("bytes_in", "bytes_out"))
+        byte_count = sum(new[key] - old[key] for key in ("bytes_in", "bytes_out"))
         count = sum(new[key] - old[key] for key in ("messages_in", "messages_out"))
-        spans[name] = Span(
-            (after[name].cpu - before[name].cpu) / passed,
-            moved / passed,
-            count / passed,
+        rates[name] = UsageRates(
+            (after[name].cpu - before[name].cpu) / elapsed_seconds,
+            byte_count / elapsed_seconds,
+            count / elapsed_seconds,
             after[name].memory,
         )
-    return spans
+    return rates
 
 
 async def measure_keepers() -> Figures:
@@ -127,42 +129,44 @@
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
     names = list(keepers)
     rows = []
-    standing: list[standins.StandIn] = []
+    stand_ins: list[standins.StandIn] = []
     version = 0
     try:
         answer = await asyncio.to_thread(
-            fleet.apply, write_document(350), version, f"change-{version}-first"
+            fleet.apply, build_document(350), version, f"change-{version}-first"
         )
         version = answer["version"]
-        for size in SIZES:
-            standing += await standins.start_many(len(standing), size - len(standing), keepers)
+        for size in DAEMON_COUNTS:
+            stand_ins += await standins.start_many(len(stand_ins), size - len(stand_ins), keepers)
             await asyncio.sleep(SETTLE_SECONDS + size / 100)
-            idle = await watch(fleet, names, SECONDS)
+            idle = await measure_rates(fleet, names, MEASURE_SECONDS)
             before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
             delays = []
-            for _ in range(CHANGES):
-                changed = write_document(350, weight=1.0 + random.random())
+            for _ in range(CHANGES_PER_SIZE):
+                changed = build_document(350, weight=1.0 + random.random())
                 sent_at = time.monotonic()
                 answer = await asyncio.to_thread(
                     fleet.apply, changed, version, f"change-{version}-{size}"
                 )
                 version = answer["version"]
                 accepted_at = time.monotonic()
-                await wait_in_force(standing, version)
-                times = [item.in_force_at[version] for item in standing]
+                await wait_in_force(stand_ins, version)
+                times = [item.in_force_at[version] for item in stand_ins]
                 delays.append((accepted_at - sent_at, max(times) - sent_at))
             after = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
-            each = [after[name].cpu - before[name].cpu for name in names]
-            passed = after[names[0]].at - before[names[0]].at
-            change_cpu = (sum(each) - sum(idle[name].cpu for name in names) * passed) / CHANGES
+            keeper_cpu = [after[name].cpu - before[name].cpu for name in names]
+            elapsed_seconds = after[names[0]].at - before[names[0]].at
+            change_cpu = (
+                sum(keeper_cpu) - sum(idle[name].cpu for name in names) * elapsed_seconds
+            ) / CHANGES_PER_SIZE
             rows.append(
                 {
                     "daemons": size,
-                    "idle_cpu": max(span.cpu for span in idle.values()),
-                    "idle_cpu_mean": statistics.mean(span.cpu for span in idle.values()),
-                    "idle_bytes": max(span.bytes_moved for span in idle.values()),
-                    "idle_messages": max(span.messages for span in idle.values()),
-                    "memory": max(span.memory for span in idle.values()),
+                    "idle_cpu": max(usage.cpu for usage in idle.values()),
+                    "idle_cpu_mean": statistics.mean(usage.cpu for usage in idle.values()),
+                    "idle_bytes": max(usage.bytes_moved for usage in idle.values()),
+                    "idle_messages": max(usage.messages for usage in idle.values()),
+                    "memory": max(usage.memory for usage in idle.values()),
                     "cpu_a_change_all_keepers": max(0.0, change_cpu),
                     "accepted_s_p50": statistics.median(item[0] for item in delays),
                     "everywhere_s_p50": statistics.median(item[1] for item in delays),
@@ -171,16 +175,16 @@
             )
             print(json.dumps(rows[-1]), flush=True)
     finally:
-        for item in standing:
+        for item in stand_ins:
             await item.stop()
         fleet.kill_all()
     return {"rows": rows}
 
 
-async def wait_in_force(standing: list[standins.StandIn], version: int) -> None:
+async def wait_in_force(stand_ins: list[standins.StandIn], version: int) -> None:
     """Wait until every stand-in has a version, for a minute at most."""
     for _ in range(6_000):
-        if all(version in item.in_force_at for item in standing):
+        if all(version in item.in_force_at for item in stand_ins):
             return
         await asyncio.sleep(0.01)
     raise TimeoutError(f"version {version} is not everywhere")
@@ -191,32 +195,32 @@
     rows = []
     fleet = start_fleet("entry")
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
-    ports = deployment.free_ports(max(ENTRY_SIZES))
-    standing: list[standins.StandIn] = []
+    ports = deployment.free_ports(max(AGENT_COUNTS))
+    stand_ins: list[standins.StandIn] = []
     try:
-        for size in ENTRY_SIZES:
-            standing += await standins.start_many(
-                len(standing),
-                size - len(standing),
+        for size in AGENT_COUNTS:
+            stand_ins += await standins.start_many(
+                len(stand_ins),
+                size - len(stand_ins),
                 keepers,
-                ports=ports[len(standing) : size],
+                ports=ports[len(stand_ins) : size],
                 targets_each=3,
-                report_rate=REPORTS_A_SECOND,
+                report_rate=REPORTS_PER_SECOND,
             )
             await asyncio.sleep(SETTLE_SECONDS)
-            span = (await watch(fleet, ["entry-1"], SECONDS))["entry-1"]
+            usage = (await measure_rates(fleet, ["entry-1"], MEASURE_SECONDS))["entry-1"]
             rows.append(
                 {
                     "agents": size,
-                    "cpu": span.cpu,
-                    "bytes": span.bytes_moved,
-                    "messages": span.messages,
-                    "memory": span.memory,
+                    "cpu": usage.cpu,
+                    "bytes": usage.bytes_moved,
+                    "messages": usage.messages,
+                    "memory": usage.memory,
                 }
             )
             print(json.dumps(rows[-1]), flush=True)
     finally:
-        for item in standing:
+        for item in stand_ins:
             await item.stop()
         fleet.kill_all()
     return {"rows": rows}
@@ -228,12 +232,12 @@
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
     rows = []
     try:
-        standing = await standins.start_many(0, 4, keepers)
+        stand_ins = await standins.start_many(0, 4, keepers)
         await asyncio.sleep(SETTLE_SECONDS)
         for workers in CLAIM_WORKERS:
-            rows.append(await run_claims(fleet, standing, list(keepers), workers))
+            rows.append(await run_claims(fleet, stand_ins, list(keepers), workers))
             print(json.dumps(rows[-1]), flush=True)
-        for item in standing:
+        for item in stand_ins:
             await item.stop()
     finally:
         fleet.kill_all()
@@ -241,32 +245,32 @@
 
 
 async def run_claims(
-    fleet: deployment.Fleet, standing: list[standins.StandIn], keepers: list[str], workers: int
+    fleet: deployment.Fleet, stand_ins: list[standins.StandIn], keepers: list[str], workers: int
 ) -> Figures:
     """Open and settle claims from some workers at once."""
     before = {name: processes.read_usage(fleet.read_pid(name)) for name in keepers}
     times: list[float] = []
-    until = time.monotonic() + SECONDS / 2
+    deadline = time.monotonic() + MEASURE_SECONDS / 2
 
-    async def work(number: int) -> None:
-        client = standing[number % len(standing)].client
+    async def run_worker(number: int) -> None:
+        client = stand_ins[number % len(stand_ins)].client
         count = 0
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             key = f"{workers}-{number}-{count}"
             count += 1
-            began = time.monotonic()
+            started_at = time.monotonic()
             await client.propose(commands.ClaimOpen("w", key, "d", f"g-{key}", 0, 60_000))
-            times.append(time.monotonic() - began)
+            times.append(time.monotonic() - started_at)
             await client.propose(commands.ClaimSettle("w", key, 1, "ended", 3, ["a", "b", "c"]))
 
-    began = time.monotonic()
-    await asyncio.gather(*(work(number) for number in range(workers)))
-    passed = time.monotonic() - began
+    started_at = time.monotonic()
+    await asyncio.gather(*(run_worker(number) for number in range(workers)))
+    elapsed_seconds = time.monotonic() - started_at
     after = {name: processes.read_usage(fleet.read_pid(name)) for name in keepers}
     cpu = [after[name].cpu - before[name].cpu for name in keepers]
     return {
         "workers": workers,
-        "claims_a_second": len(times) / passed,
+        "claims_a_second": len(times) / elapsed_seconds,
         "claim_s_p50": statistics.median(times),
         "claim_s_p99": sorted(times)[int(len(times) * 0.99)],
         "leader_cpu_s_a_claim": max(cpu) / len(times),
@@ -277,30 +281,30 @@
     """Size and time of configurations on one daemon, by workspaces."""
     rows = []
     for workspaces in (50, 100, 200, 350):
-        document = documents.Document.model_validate(write_document(workspaces, runners=1_000))
+        document = documents.Document.model_validate(build_document(workspaces, runners=1_000))
         store = stores.Store()
         entities = stores.split_document(document)
         store.apply_change(1, entities, [])
         delta = store.build_delta(0)
         data = codec.encode(messages.Envelope(1, 1, 0, delta))
         receiver = stores.Store()
-        began = time.process_time()
+        started_at = time.process_time()
         receiver.apply_delta(codec.decode(data).body)
-        whole = time.process_time() - began
+        full_seconds = time.process_time() - started_at
         key = ("workspaces", "workspace-0")
         store.apply_change(2, {key: '{"weight":3.0}'}, [])
-        small = store.build_delta(1)
-        small_data = codec.encode(messages.Envelope(1, 2, 0, small))
-        began = time.process_time()
-        receiver.apply_delta(small)
+        change = store.build_delta(1)
+        change_data = codec.encode(messages.Envelope(1, 2, 0, change))
+        started_at = time.process_time()
+        receiver.apply_delta(change)
         rows.append(
             {
                 "workspaces": workspaces,
                 "entities": len(entities),
                 "whole_bytes": len(data),
-                "whole_s": whole,
-                "change_bytes": len(small_data),
-                "change_s": time.process_time() - began,
+                "whole_s": full_seconds,
+                "change_bytes": len(change_data),
+                "change_s": time.process_time() - started_at,
             }
         )
         print(json.dumps(rows[-1]), flush=True)
@@ -310,12 +314,12 @@
 async def measure_all(only: list[str]) -> dict[str, Figures]:
     """Run the measurements asked for."""
     results: dict[str, Figures] = {}
-    wanted = {
+    measurements = {
         "keepers": measure_keepers,
         "entry": measure_entry,
         "claims": measure_claims,
     }
-    for name, measure in wanted.items():
+    for name, measure in measurements.items():
         if not only or name in only:
             print(f"-- {name}", flush=True)
             results[name] = await measure()
@@ -333,10 +337,10 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("only", nargs="*", help="keepers, entry, claims, configuration, decisions")
     arguments = parser.parse_args()
-    known = json.loads(RESULTS.read_text()) if RESULTS.exists() else {}
-    known |= asyncio.run(measure_all(arguments.only))
+    results = json.loads(RESULTS.read_text()) if RESULTS.exists() else {}
+    results |= asyncio.run(measure_all(arguments.only))
     RESULTS.parent.mkdir(exist_ok=True)
-    RESULTS.write_text(json.dumps(known, indent=1) + "\n")
+    RESULTS.write_text(json.dumps(results, indent=1) + "\n")
     print(f"written to {RESULTS.relative_to(ROOT)}")
 
 
--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -18,14 +18,14 @@
 
 __all__ = ["measure_choice", "measure_digest"]
 
-SIZES = ((3, 5), (67, 30), (67, 300), (400, 300))
+FLEET_SIZES = ((3, 5), (67, 30), (67, 300), (400, 300))
 """Other entries and targets: a small fleet, a large one, and towards the users' target."""
-TARGETS_AN_ENTRY = 4
+TARGETS_PER_ENTRY = 4
 """Targets at which one entry has something under way."""
-REQUESTS = 2
+RECENT_REQUESTS = 2
 """Requests that the entry has sent within the last seconds: 0.4 a second."""
 ROUNDS = 7
-CALLS = 20
+CALLS_PER_ROUND = 20
 ENGINE = routes.Engine(24, 34_000, 131_072, 19_000.0, 4, True, True, 2.0)
 POOL = routes.Pool("llm", "/health", 200, ENGINE)
 WORK = placing.Work(3_300, 3_000, 200)
@@ -36,19 +36,19 @@
     return f"10.{number // 250}.{number % 250}.9:9000"
 
 
-def build_ledger(entries: int, targets: int) -> loads.LoadAggregator:
+def build_aggregator(entries: int, targets: int) -> loads.LoadAggregator:
     """A keeper that was told the loads of so many entries."""
     rng = random.Random(1)
-    ledger = loads.LoadAggregator("keeper-1", 1)
+    aggregator = loads.LoadAggregator("keeper-1", 1)
     for entry in range(entries):
-        uses = [
+        target_loads = [
             messages.TargetUse(
                 get_address(number), 1, 3_300 + rng.randrange(500), 0, 3_300, 20, 700
             )
-            for number in rng.sample(range(targets), TARGETS_AN_ENTRY)
+            for number in rng.sample(range(targets), TARGETS_PER_ENTRY)
         ]
-        ledger.handle_report(messages.EntryLoads(f"entry-{entry}", 1, uses), 0.0)
-    return ledger
+        aggregator.handle_report(messages.EntryLoads(f"entry-{entry}", 1, target_loads), 0.0)
+    return aggregator
 
 
 def build_selector(entries: int, targets: int) -> selection.Selector:
@@ -60,12 +60,12 @@
             directories.Target(f"t{number}", "llm", address, "hall-a", 24, phase, 1, 0.0)
         )
     usage = usages.Usage("entry-own")
-    ledger = build_ledger(entries, targets)
-    while ledger.build_delta_digest() is not None:
+    aggregator = build_aggregator(entries, targets)
+    while aggregator.build_delta_digest() is not None:
         pass  # what is told is bounded a digest
-    usage.handle_digest(ledger.build_full_digest(), 0.0)
+    usage.handle_digest(aggregator.build_full_digest(), 0.0)
     usage.entries = entries + 1
-    for _ in range(REQUESTS):
+    for _ in range(RECENT_REQUESTS):
         usage.record_request("llm", 0.0)
     return selectors.build_selector(directory, usage, "hall-a", 0.0)
 
@@ -73,39 +73,47 @@
 def measure_choice(entries: int, targets: int) -> float:
     """Microseconds of one choice."""
     selector = build_selector(entries, targets)
-    times = timeit.repeat(lambda: selector.choose(POOL, WORK, ()), number=CALLS, repeat=ROUNDS)
-    return min(times) / CALLS * 1e6
+    times = timeit.repeat(
+        lambda: selector.choose(POOL, WORK, ()), number=CALLS_PER_ROUND, repeat=ROUNDS
+    )
+    return min(times) / CALLS_PER_ROUND * 1e6
 
 
 def measure_digest(targets: int) -> tuple[float, float, int]:
     """Microseconds to write a digest and to take it in, and its bytes on the wire."""
-    ledger = build_ledger(targets * 4, targets)
+    aggregator = build_aggregator(targets * 4, targets)
     table = loads.encode_loads(
-        (get_address(number), ledger.get(get_address(number))) for number in range(targets)
+        (get_address(number), aggregator.get(get_address(number))) for number in range(targets)
     )
     digest = messages.LoadDigest("keeper-1", 1, 0, True, table)
     frame = codec.encode(messages.Envelope(1, 1, 0, digest))
 
-    def take() -> None:
+    def handle_frame() -> None:
         body = codec.decode(frame).body
         assert isinstance(body, messages.LoadDigest)
         usages.Usage("entry-own").handle_digest(body, 0.0)
 
-    uses = list(loads.decode_loads(table).items())
-    writing = timeit.repeat(lambda: loads.encode_loads(uses), number=CALLS, repeat=ROUNDS)
-    taking = timeit.repeat(take, number=CALLS, repeat=ROUNDS)
-    return min(writing) / CALLS * 1e6, min(taking) / CALLS * 1e6, len(frame)
+    target_loads = list(loads.decode_loads(table).items())
+    encode_times = timeit.repeat(
+        lambda: loads.encode_loads(target_loads), number=CALLS_PER_ROUND, repeat=ROUNDS
+    )
+    decode_times = timeit.repeat(handle_frame, number=CALLS_PER_ROUND, repeat=ROUNDS)
+    return (
+        min(encode_times) / CALLS_PER_ROUND * 1e6,
+        min(decode_times) / CALLS_PER_ROUND * 1e6,
+        len(frame),
+    )
 
 
 def main() -> None:
     """Print the tables."""
     print("| other entries | targets | us a choice |\n| --- | --- | --- |")
-    for entries, targets in SIZES:
+    for entries, targets in FLEET_SIZES:
         print(f"| {entries} | {targets} | {measure_choice(entries, targets):.0f} |")
     print("\n| targets told | us to write | us to take | bytes |\n| --- | --- | --- | --- |")
     for targets in (10, 30, loads.MAX_ROWS):
-        writing, taking, size = measure_digest(targets)
-        print(f"| {targets} | {writing:.0f} | {taking:.0f} | {size} |")
+        encode_us, decode_us, size = measure_digest(targets)
+        print(f"| {targets} | {encode_us:.0f} | {decode_us:.0f} | {size} |")
 
 
 if __name__ == "__main__":
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -14,9 +14,9 @@
 
 __all__ = ["measure_slopes"]
 
-WAITING = (10, 100, 1_000, 10_000)
-RUNNING = 100
-REPEATS = 40
+WAITING_COUNTS = (10, 100, 1_000, 10_000)
+RUNNING_COUNT = 100
+DECISIONS_PER_SIZE = 40
 POLICY = documents.Policy(
     rank="priority + 0.2 * waited_s - 0.01 * workspace_lead",
     sacrifice="urgent ? -1.0 : memory_tokens + expected_left_tokens",
@@ -37,32 +37,36 @@
         start = messages.Start(
             f"t~c~{number}", f"r-{number}", workspace, "c", "m", "t", b"", 200, 2_000
         )
-        book = state.length_book.get(workspace, "c", "m")
+        length_model = state.length_book.get(workspace, "c", "m")
         urgent = number % 2 == 0
-        item = generations.Generation(start, number / 1e4, 1e9, 50, urgent, True, book)
+        generation = generations.Generation(
+            start, number / 1e4, 1e9, 50, urgent, True, length_model
+        )
         if number < running:
-            item.state = generations.State.RUNNING
-            item.texts = ["x"] * (number * 7 % 400)
-            state.running.append(item)
-            state.held[item.id] = item
+            generation.state = generations.State.RUNNING
+            generation.texts = ["x"] * (number * 7 % 400)
+            state.running.append(generation)
+            state.held[generation.id] = generation
         else:
-            state.enqueue(item)
+            state.enqueue(generation)
     return state
 
 
 def measure_slopes() -> list[dict[str, float]]:
     """Seconds of a decision for each number of waiting requests; the median of some."""
     rows = []
-    for waiting in WAITING:
-        state = build_state(waiting, RUNNING)
+    for waiting in WAITING_COUNTS:
+        state = build_state(waiting, RUNNING_COUNT)
         scheduling.decide(state, 2.0)
         times = []
-        for number in range(REPEATS):
-            began = time.process_time()
+        for number in range(DECISIONS_PER_SIZE):
+            started_at = time.process_time()
             scheduling.decide(state, 3.0 + number)
-            times.append(time.process_time() - began)
+            times.append(time.process_time() - started_at)
         times.sort()
-        rows.append({"waiting": waiting, "running": RUNNING, "decision_s": times[len(times) // 2]})
+        rows.append(
+            {"waiting": waiting, "running": RUNNING_COUNT, "decision_s": times[len(times) // 2]}
+        )
         print(json.dumps(rows[-1]), flush=True)
     return rows
 
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -20,15 +20,15 @@
 
 ROUNDS = 7
 BODY_BYTES = (0, 3_000, 1_000_000)
-REQUESTS = 100_000
-DEADLY = b"a request that no target survives"
-TARGETS = 8
-LIMIT_SECONDS = 3.0
+REQUEST_COUNT = 100_000
+POISON_BODY = b"a request that no target survives"
+TARGET_COUNT = 8
+SPREAD_TIMEOUT_SECONDS = 3.0
 
 
-def time_call(work: Callable[[], object], calls: int) -> float:
+def time_call(function: Callable[[], object], calls: int) -> float:
     """Microseconds of one call."""
-    return min(timeit.repeat(work, number=calls, repeat=ROUNDS)) / calls * 1e6
+    return min(timeit.repeat(function, number=calls, repeat=ROUNDS)) / calls * 1e6
 
 
 def measure_fingerprint(size: int) -> float:
@@ -45,22 +45,22 @@
     """Requests remembered of 100,000 different ones with one end each, and their megabytes."""
     tracemalloc.start()
     table = suspects.Suspects()
-    for number in range(REQUESTS):
+    for number in range(REQUEST_COUNT):
         table.merge(
             [suspects.TargetExit(f"{number:032x}", f"i-{number % 5_000:010x}#1790479201332")]
         )
-    used = tracemalloc.get_traced_memory()[0]
+    used_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return len(table), used / 1e6
+    return len(table), used_bytes / 1e6
 
 
-async def _end_targets(stage: gateway_lab.GatewayLab, targets: list[str]) -> None:
+async def _crash_targets(stage: gateway_lab.GatewayLab, targets: list[str]) -> None:
     """Send a deadly request to one entry after another until it is held back."""
     for name in stage.entry_names:
-        ended = sum(stage.runners[target].has_crashed for target in targets)
-        if ended >= 3:
+        crashed = sum(stage.runners[target].has_crashed for target in targets)
+        if crashed >= 3:
             return
-        await stage.call(name, "price", f"deadly-{name}", body=DEADLY)
+        await stage.call(name, "price", f"deadly-{name}", body=POISON_BODY)
 
 
 async def measure_spread(entries: int) -> dict[str, float]:
@@ -69,29 +69,29 @@
     await stage.start()
     await asyncio.sleep(6)
     await stage.publish("keeper-1", gateway_lab.build_document(1))
-    targets = [f"t{number}" for number in range(TARGETS)]
+    targets = [f"t{number}" for number in range(TARGET_COUNT)]
     for name in targets:
         runner = await stage.add_runner(name, "app")
-        runner.deadly = frozenset({DEADLY})
+        runner.deadly = frozenset({POISON_BODY})
     await asyncio.sleep(1.0)
 
-    def read_sent() -> tuple[int, int]:
-        found = [link for keeper in stage.keepers.values() for link in keeper.node.get_links()]
-        return sum(link.messages_out for link in found), sum(link.bytes_out for link in found)
+    def count_sent() -> tuple[int, int]:
+        links = [link for keeper in stage.keepers.values() for link in keeper.node.get_links()]
+        return sum(link.messages_out for link in links), sum(link.bytes_out for link in links)
 
     loop = asyncio.get_running_loop()
-    before = read_sent()
-    await _end_targets(stage, targets)
-    ended_at = loop.time()
-    fingerprint = caller.compute_fingerprint("price", DEADLY)
-    known: dict[str, float] = {}
-    while len(known) < entries and loop.time() < ended_at + LIMIT_SECONDS:
+    before = count_sent()
+    await _crash_targets(stage, targets)
+    crashed_at = loop.time()
+    fingerprint = caller.compute_fingerprint("price", POISON_BODY)
+    quarantined_after: dict[str, float] = {}
+    while len(quarantined_after) < entries and loop.time() < crashed_at + SPREAD_TIMEOUT_SECONDS:
         for name, entry in stage.entries.items():
-            if name not in known and entry.quarantine.find_reason(fingerprint):
-                known[name] = loop.time() - ended_at
+            if name not in quarantined_after and entry.quarantine.find_reason(fingerprint):
+                quarantined_after[name] = loop.time() - crashed_at
         await asyncio.sleep(0.005)
-    after = read_sent()
-    times = sorted(known.values())
+    after = count_sent()
+    times = sorted(quarantined_after.values())
     return {
         "entries": entries,
         "known": len(times),
@@ -111,7 +111,7 @@
     for size in BODY_BYTES:
         print(f"fingerprint of {size} bytes: {measure_fingerprint(size):.1f} us")
     count, megabytes = measure_table()
-    print(f"table after {REQUESTS} requests: {count} remembered, {megabytes:.1f} MB")
+    print(f"table after {REQUEST_COUNT} requests: {count} remembered, {megabytes:.1f} MB")
     for entries in sizes:
         print(lab.run_virtual(measure_spread(entries)))
 
--- a/benchmarks/mixes.py
+++ b/benchmarks/mixes.py
@@ -7,7 +7,15 @@
 
 from tillerlane.testing import deployment, engine, texts
 
-__all__ = ["BRATTVIK", "KAARNA", "Arrival", "Kind", "Mix", "draw_arrivals", "draw_output"]
+__all__ = [
+    "BRATTVIK",
+    "KAARNA",
+    "Arrival",
+    "Kind",
+    "Mix",
+    "sample_arrivals",
+    "sample_output_length",
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,9 +26,9 @@
     workspaces: tuple[str, ...]
     share: float
     prompt: int
-    median: float
-    spread: float
-    longest: int
+    median_tokens: float
+    sigma: float
+    longest_tokens: int
     is_long: bool = False
     is_urgent: bool = False
 
@@ -68,26 +76,30 @@
     length: int
 
 
-def draw_output(prompt: str, stretch: float = 1.0) -> int:
+def sample_output_length(prompt: str, length_factor: float = 1.0) -> int:
     """Length that a prompt's answer turns out to have; the prompt carries its seed and shape."""
-    _, median, spread, longest, seed = prompt.split("|")[0].split(" ")
-    drawn = texts.draw_length(int(seed), float(median) * stretch, float(spread), int(longest))
-    return min(drawn, int(longest))
+    _, median_tokens, sigma, longest_tokens, seed = prompt.split("|")[0].split(" ")
+    sampled_length = texts.draw_length(
+        int(seed), float(median_tokens) * length_factor, float(sigma), int(longest_tokens)
+    )
+    return min(sampled_length, int(longest_tokens))
 
 
-def _memory_time(kind: Kind, spec: engine.EngineSpec, stretch: float) -> float:
+def _estimate_memory_seconds(kind: Kind, spec: engine.EngineSpec, length_factor: float) -> float:
     """Mean of memory times time that a request of a kind holds, in token seconds."""
     rng = random.Random(7)
-    step = spec.step_seconds + spec.step_seconds_a_sequence * spec.batch_limit / 2
+    step_seconds_mean = spec.step_seconds + spec.step_seconds_a_sequence * spec.batch_limit / 2
     total = 0.0
     for _ in range(4_000):
-        drawn = rng.lognormvariate(math.log(kind.median * stretch), kind.spread)
-        length = max(1, min(kind.longest, round(drawn)))
-        total += length * step * (kind.prompt + length / 2)
+        sampled_length = rng.lognormvariate(
+            math.log(kind.median_tokens * length_factor), kind.sigma
+        )
+        length = max(1, min(kind.longest_tokens, round(sampled_length)))
+        total += length * step_seconds_mean * (kind.prompt + length / 2)
     return total / 4_000
 
 
-def draw_arrivals(
+def sample_arrivals(
     mix: Mix,
     spec: engine.EngineSpec,
     runners: int,
@@ -122,23 +134,23 @@
     rng = random.Random(f"{mix.name} {seed}")
     arrivals = []
     for kind in mix.kinds:
-        capacity = runners * spec.memory_tokens / _memory_time(kind, spec, 1.0)
+        capacity = runners * spec.memory_tokens / _estimate_memory_seconds(kind, spec, 1.0)
         for workspace in kind.workspaces:
             factor = 5.0 if workspace == flood else 1.0
             rate = load * kind.share * capacity / len(kind.workspaces) * factor
             at = rng.expovariate(rate)
             while at < seconds:
                 if not burst or at % 40 < 20:
-                    arrivals.append(_draw(kind, workspace, at, rng))
+                    arrivals.append(_build_arrival(kind, workspace, at, rng))
                 at += rng.expovariate(rate * (2 if burst else 1))
     arrivals.sort(key=lambda item: item.at)
     return arrivals
 
 
-def _draw(kind: Kind, workspace: str, at: float, rng: random.Random) -> Arrival:
-    shape = f"p {kind.median} {kind.spread} {kind.longest} {rng.getrandbits(32)}|"
+def _build_arrival(kind: Kind, workspace: str, at: float, rng: random.Random) -> Arrival:
+    shape = f"p {kind.median_tokens} {kind.sigma} {kind.longest_tokens} {rng.getrandbits(32)}|"
     prompt = shape + "x" * max(0, kind.prompt * 4 - len(shape))
-    return Arrival(at, kind, workspace, prompt, draw_output(prompt))
+    return Arrival(at, kind, workspace, prompt, sample_output_length(prompt))
 
 
 def build_document(mix: Mix, runners: int, *, guided: bool) -> dict[str, Any]:
@@ -146,15 +158,15 @@
     example, _ = deployment.read_example(mix.example)
     classes = {}
     for kind in mix.kinds:
-        known = example["classes"].get(kind.class_name, {})
+        example_class = example["classes"].get(kind.class_name, {})
         values = {
             "pool": "pool",
             "model": "m",
             "deadline_seconds": 900 if kind.is_long else 60,
-            "max_tokens": kind.longest,
+            "max_tokens": kind.longest_tokens,
         }
         if guided:
-            values["priority"] = known.get("priority", 50)
+            values["priority"] = example_class.get("priority", 50)
             values["urgent"] = kind.is_urgent
         classes[kind.class_name] = values
     workspaces: dict[str, Any] = {
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -34,10 +34,10 @@
     prefill_seconds_a_token=0.00005,
     prefix_cache_tokens=0,
 )
-WARM_SECONDS = 40.0
-SPAN_SECONDS = 160.0
+WARM_UP_SECONDS = 40.0
+MEASURE_SECONDS = 160.0
 GRACE_SECONDS = 300.0
-STALL_GAP_SECONDS = 0.5
+MIN_STALL_SECONDS = 0.5
 """A wait longer than this with no token counts as stall."""
 RULES = ("tillerlane", "arrival-order", "fixed-share", "round-robin", "least-reported", "oracle")
 MIXES = {"brattvik": mixes.BRATTVIK, "kaarna": mixes.KAARNA}
@@ -55,7 +55,7 @@
     seed: int
 
 
-class _KnownLengths:
+class _OracleLengths:
     """Perfect knowledge of lengths, for the oracle: one generation's own length model."""
 
     def __init__(self, length: int) -> None:
@@ -72,9 +72,9 @@
         return lengths.Survival(float(left), alive)
 
 
-def know_length(start: messages.Start) -> _KnownLengths:
+def build_oracle_lengths(start: messages.Start) -> _OracleLengths:
     """Perfect knowledge of one request."""
-    return _KnownLengths(mixes.draw_output(start.payload.decode()))
+    return _OracleLengths(mixes.sample_output_length(start.payload.decode()))
 
 
 def build_rules(rule: str) -> dict[str, Any]:
@@ -95,12 +95,12 @@
     """The fleet of a case."""
     mix = MIXES[case.mix]
     guided = case.rule in ("tillerlane", "oracle")
-    stretch = {"tripled": 3.0}
+    length_factors = {"tripled": 3.0}
 
     def get_length(generation_id: str, prompt: str, longest: int) -> int:
-        is_late = asyncio.get_running_loop().time() > WARM_SECONDS
-        factor = stretch.get(case.situation, 1.0) if is_late else 1.0
-        return min(longest, mixes.draw_output(prompt, factor))
+        is_after_warm_up = asyncio.get_running_loop().time() > WARM_UP_SECONDS
+        factor = length_factors.get(case.situation, 1.0) if is_after_warm_up else 1.0
+        return min(longest, mixes.sample_output_length(prompt, factor))
 
     stage = lab.Lab(
         mixes.build_document(mix, RUNNERS, guided=guided),
@@ -108,7 +108,7 @@
         seed=case.seed,
         get_length=get_length,
         rules=build_rules(case.rule),
-        get_length_model=know_length if case.rule == "oracle" else None,
+        get_length_model=build_oracle_lengths if case.rule == "oracle" else None,
     )
     if case.situation == "stale":
         stage.load_lag = 5.0
@@ -116,47 +116,47 @@
     return stage
 
 
-async def cause_trouble(stage: lab.Lab, case: Case) -> None:
+async def inject_fault(stage: lab.Lab, case: Case) -> None:
     """Let a runner die or stall in the middle."""
-    middle = WARM_SECONDS + SPAN_SECONDS / 3
+    fault_at = WARM_UP_SECONDS + MEASURE_SECONDS / 3
     if case.situation == "runner-dies":
-        await asyncio.sleep(middle)
+        await asyncio.sleep(fault_at)
         stage.kill_engine("r0")
         await asyncio.sleep(30)
         stage.start_engine("r0")
     elif case.situation == "runner-stalls":
-        await asyncio.sleep(middle)
+        await asyncio.sleep(fault_at)
         stage.engines["r0"].stalled = True
         await asyncio.sleep(8)
         stage.engines["r0"].stalled = False
 
 
-async def play(case: Case) -> dict[str, Any]:
+async def simulate(case: Case) -> dict[str, Any]:
     """Run a case and reduce it to figures."""
     mix = MIXES[case.mix]
     stage = build_lab(case)
     await stage.begin()
     loop = asyncio.get_running_loop()
-    begin = loop.time()
-    arrivals = mixes.draw_arrivals(
+    started_at = loop.time()
+    arrivals = mixes.sample_arrivals(
         mix,
         SPEC,
         RUNNERS,
         case.load,
-        WARM_SECONDS + SPAN_SECONDS,
+        WARM_UP_SECONDS + MEASURE_SECONDS,
         case.seed,
         flood=mix.kinds[0].workspaces[1] if case.situation == "flood" else "",
         burst=case.situation == "burst",
     )
-    trouble = asyncio.create_task(cause_trouble(stage, case))
+    fault_injection = asyncio.create_task(inject_fault(stage, case))
     calls = []
     for arrival in arrivals:
-        await asyncio.sleep(max(0.0, begin + arrival.at - loop.time()))
+        await asyncio.sleep(max(0.0, started_at + arrival.at - loop.time()))
         answer, task = stage.begin_call(arrival.workspace, arrival.kind.class_name, arrival.prompt)
         calls.append((arrival, answer, task))
-    end = begin + WARM_SECONDS + SPAN_SECONDS
+    end = started_at + WARM_UP_SECONDS + MEASURE_SECONDS
     await asyncio.sleep(max(0.0, end - loop.time()))
-    done_in_span = [
+    finished_calls = [
         (arrival, answer) for arrival, answer, _ in calls if answer.ended and answer.ended_at
     ]
     memory = sum(item.memory_used for item in stage.engines.values() if item) / (
@@ -165,11 +165,11 @@
     _, pending = await asyncio.wait([task for _, _, task in calls], timeout=GRACE_SECONDS)
     for task in pending:
         task.cancel()
-    trouble.cancel()
-    return reduce(stage, calls, done_in_span, begin, end, memory)
+    fault_injection.cancel()
+    return summarize(stage, calls, finished_calls, started_at, end, memory)
 
 
-def percentile(values: list[float], share: float) -> float:
+def compute_percentile(values: list[float], share: float) -> float:
     """A percentile; 0 of nothing."""
     if not values:
         return 0.0
@@ -177,45 +177,47 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
 
 
-def measure_stall(answer: lab.Answer) -> float:
+def compute_stall_seconds(answer: lab.Answer) -> float:
     """Seconds that a caller waited with no token arriving."""
     times = [answer.sent_at, *answer.times]
     if not answer.ended:
         times.append(answer.ended_at or times[-1])
     gaps = (later - earlier for earlier, later in itertools.pairwise(times))
-    return sum(gap for gap in gaps if gap > STALL_GAP_SECONDS)
+    return sum(gap for gap in gaps if gap > MIN_STALL_SECONDS)
 
 
-def reduce(
+def summarize(
     stage: lab.Lab,
     calls: list[Any],
-    done_in_span: list[Any],
-    begin: float,
+    finished_calls: list[Any],
+    started_at: float,
     end: float,
     memory: float,
 ) -> dict[str, Any]:
     """Figures of one run; what came before the warm-up's end is left out."""
-    counted = [(arrival, answer) for arrival, answer, _ in calls if arrival.at >= WARM_SECONDS]
+    measured_calls = [
+        (arrival, answer) for arrival, answer, _ in calls if arrival.at >= WARM_UP_SECONDS
+    ]
     gaps: list[float] = []
-    for _, answer in counted:
+    for _, answer in measured_calls:
         gaps += [
             later - earlier for earlier, later in zip(answer.times, answer.times[1:], strict=False)
         ]
-    stalls = [measure_stall(answer) for _, answer in counted]
+    stalls = [compute_stall_seconds(answer) for _, answer in measured_calls]
     urgent = [
         (answer.times[0] if answer.times else end + GRACE_SECONDS) - answer.sent_at
-        for arrival, answer in counted
+        for arrival, answer in measured_calls
         if arrival.kind.is_urgent
     ]
-    span = end - begin - WARM_SECONDS
+    measured_seconds = end - started_at - WARM_UP_SECONDS
     long_tokens = sum(
         len(answer.texts)
-        for arrival, answer in done_in_span
-        if arrival.kind.is_long and answer.ended_at >= begin + WARM_SECONDS
+        for arrival, answer in finished_calls
+        if arrival.kind.is_long and answer.ended_at >= started_at + WARM_UP_SECONDS
     )
     by_workspace: dict[str, int] = {}
-    for arrival, answer in done_in_span:
-        if answer.ended_at >= begin + WARM_SECONDS:
+    for arrival, answer in finished_calls:
+        if answer.ended_at >= started_at + WARM_UP_SECONDS:
             by_workspace[arrival.workspace] = by_workspace.get(arrival.workspace, 0) + len(
                 answer.texts
             )
@@ -227,28 +229,30 @@
     ]
     engines = [item for item in stage.engines.values() if item is not None]
     held = [item for executor in executors for item in executor.state.held.values()]
-    refused = [answer for _, answer in counted if answer.fault is not None]
+    refused = [answer for _, answer in measured_calls if answer.fault is not None]
     return {
-        "requests": len(counted),
+        "requests": len(measured_calls),
         "preemptions": sum(item.state.preemptions for item in executors)
         + sum(item.preemptions for item in engines),
         "engine_preemptions": sum(item.preemptions for item in engines),
         "tokens_lost": sum(item.tokens_recomputed for item in engines),
         "most_pauses": max((item.times_paused for item in held), default=0),
-        "stall_p50": percentile(stalls, 0.5),
-        "stall_p99": percentile(stalls, 0.99),
+        "stall_p50": compute_percentile(stalls, 0.5),
+        "stall_p99": compute_percentile(stalls, 0.99),
         "stall_total": sum(stalls),
-        "gap_p50": percentile(gaps, 0.5),
-        "gap_p99": percentile(gaps, 0.99),
-        "gap_p999": percentile(gaps, 0.999),
-        "urgent_first_p99": percentile(urgent, 0.99),
-        "long_tokens_a_second": long_tokens / span,
-        "tokens_a_second": sum(by_workspace.values()) / span,
+        "gap_p50": compute_percentile(gaps, 0.5),
+        "gap_p99": compute_percentile(gaps, 0.99),
+        "gap_p999": compute_percentile(gaps, 0.999),
+        "urgent_first_p99": compute_percentile(urgent, 0.99),
+        "long_tokens_a_second": long_tokens / measured_seconds,
+        "tokens_a_second": sum(by_workspace.values()) / measured_seconds,
         "by_workspace": by_workspace,
         "refused": len(refused),
         "refused_not_run": sum(answer.fault.ran == "no" for answer in refused),
-        "unfinished": sum(not answer.ended and answer.fault is None for _, answer in counted),
-        "wrong": sum(not answer.is_right for _, answer in counted if answer.texts),
+        "unfinished": sum(
+            not answer.ended and answer.fault is None for _, answer in measured_calls
+        ),
+        "wrong": sum(not answer.is_right for _, answer in measured_calls if answer.texts),
         "memory_share": memory,
     }
 
@@ -256,9 +260,9 @@
 def run_case(case: Case) -> dict[str, Any]:
     """Run a case in this process."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
-    began = time.monotonic()
-    figures = lab.run_virtual(play(case))
-    return {**dataclasses.asdict(case), **figures, "real_seconds": time.monotonic() - began}
+    started_at = time.monotonic()
+    figures = lab.run_virtual(simulate(case))
+    return {**dataclasses.asdict(case), **figures, "real_seconds": time.monotonic() - started_at}
 
 
 COLUMNS = (
@@ -288,8 +292,8 @@
     cells = [titles]
     for key, group in groups.items():
         line = [str(part) for part in key]
-        for name, _, form in COLUMNS:
-            line.append(form.format(statistics.median(row[name] for row in group)))
+        for name, _, number_format in COLUMNS:
+            line.append(number_format.format(statistics.median(row[name] for row in group)))
         cells.append(line)
     widths = [max(len(line[column]) for line in cells) for column in range(len(titles))]
     for line in cells:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -8,8 +8,8 @@
 
 __all__ = ["Fit", "Usage", "fit_line", "read_usage"]
 
-_TICKS = os.sysconf("SC_CLK_TCK")
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,7 +25,11 @@
     """Usage of a process."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1])
-    return Usage((int(fields[11]) + int(fields[12])) / _TICKS, pages * _PAGE, time.monotonic())
+    return Usage(
+        (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND,
+        pages * _PAGE_BYTES,
+        time.monotonic(),
+    )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,10 +38,10 @@
 
     slope: float
     base: float
-    worst: float
+    max_error: float
     """Largest distance of a point from the line, as a share of the largest y."""
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Value on the line."""
         return self.base + self.slope * x
 
@@ -47,5 +51,5 @@
     xs, ys = zip(*points, strict=True)
     slope, base = statistics.linear_regression(xs, ys)
     largest = max(abs(y) for y in ys) or 1.0
-    worst = max(abs(y - base - slope * x) for x, y in points) / largest
-    return Fit(slope, base, worst)
+    max_error = max(abs(y - base - slope * x) for x, y in points) / largest
+    return Fit(slope, base, max_error)
--- a/benchmarks/pulse.py
+++ b/benchmarks/pulse.py
@@ -14,52 +14,52 @@
 
 from tillerlane.testing import gateway_lab, gateway_scenes, lab
 
-__all__ = ["Load", "play"]
+__all__ = ["CallCounts", "simulate"]
 
 TARGETS, SLOTS, QUEUE = 4, 6, 6
-PACE_SECONDS, SLOWDOWN = 0.2, 0.5
-CAPACITY = TARGETS * SLOTS / (PACE_SECONDS * (1 + SLOWDOWN))
+SERVICE_SECONDS, SLOWDOWN = 0.2, 0.5
+CAPACITY = TARGETS * SLOTS / (SERVICE_SECONDS * (1 + SLOWDOWN))
 """Requests a second that all targets serve when all slots are taken."""
-AIM_SECONDS = 2.0
+OBJECTIVE_SECONDS = 2.0
 BASE_SHARE, PULSE_SHARE = 0.6, 2.0
 """Requests a second before and after the pulse, and within it, as parts of the capacity."""
 BEFORE_SECONDS, PULSE_SECONDS, AFTER_SECONDS = 5, 10, 12
-MOST_TRIES = 4
-REFUSED = 503
+MAX_ATTEMPTS = 4
+REFUSED_STATUS = 503
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Load:
+class CallCounts:
     """What one play saw, by second: calls begun, calls served in time, tries."""
 
-    begun: collections.Counter[int]
+    started: collections.Counter[int]
     served: collections.Counter[int]
-    tries: collections.Counter[int]
+    attempts: collections.Counter[int]
 
 
-def play(backoff: str, entries: int = 4) -> Load:
+def simulate(backoff: str, entries: int = 4) -> CallCounts:
     """Play the pulse with targets that ask for so many seconds of back-off; empty for none."""
-    load = Load(collections.Counter(), collections.Counter(), collections.Counter())
+    load = CallCounts(collections.Counter(), collections.Counter(), collections.Counter())
 
-    async def call(stage: gateway_lab.GatewayLab, number: int, began: float) -> None:
+    async def call(stage: gateway_lab.GatewayLab, number: int, started_at: float) -> None:
         loop = asyncio.get_running_loop()
-        at = loop.time()
-        load.begun[int(at - began)] += 1
-        for attempt in range(MOST_TRIES):
-            left = at + AIM_SECONDS - loop.time()
-            if left <= 0.1:
+        called_at = loop.time()
+        load.started[int(called_at - started_at)] += 1
+        for attempt in range(MAX_ATTEMPTS):
+            remaining_seconds = called_at + OBJECTIVE_SECONDS - loop.time()
+            if remaining_seconds <= 0.1:
                 return
-            load.tries[int(loop.time() - began)] += 1
+            load.attempts[int(loop.time() - started_at)] += 1
             name = stage.entry_names[(number + attempt) % entries]
-            answer = await stage.call(
-                name, "order", f"r{number}-{attempt}", wait_ms=int(left * 1000)
+            response = await stage.call(
+                name, "order", f"r{number}-{attempt}", wait_ms=int(remaining_seconds * 1000)
             )
-            if answer.status == 200 and loop.time() - at <= AIM_SECONDS:
-                load.served[int(loop.time() - began)] += 1
+            if response.status == 200 and loop.time() - called_at <= OBJECTIVE_SECONDS:
+                load.served[int(loop.time() - started_at)] += 1
                 return
-            if answer.status != REFUSED:
+            if response.status != REFUSED_STATUS:
                 return
-            await asyncio.sleep(min(float(answer.headers["retry-after"]), left / 3))
+            await asyncio.sleep(min(float(response.headers["retry-after"]), remaining_seconds / 3))
 
     async def run() -> None:
         stage = gateway_lab.GatewayLab(3, entries)
@@ -71,31 +71,31 @@
             runner = await stage.add_runner(
                 f"app-{position}",
                 "app",
-                pace=PACE_SECONDS,
+                pace=SERVICE_SECONDS,
                 slots=SLOTS,
                 queue=QUEUE,
                 slowdown=SLOWDOWN,
             )
             runner.backoff = backoff
-        beating = asyncio.create_task(_beat(stage))
+        heartbeats = asyncio.create_task(_send_heartbeats(stage))
         await asyncio.sleep(2.0)
         loop = asyncio.get_running_loop()
-        began, number, calls = loop.time(), 0, []
+        started_at, number, calls = loop.time(), 0, []
         total = BEFORE_SECONDS + PULSE_SECONDS + AFTER_SECONDS
-        while (now := loop.time() - began) < total:
+        while (now := loop.time() - started_at) < total:
             in_pulse = BEFORE_SECONDS <= now < BEFORE_SECONDS + PULSE_SECONDS
             number += 1
-            calls.append(asyncio.create_task(call(stage, number, began)))
+            calls.append(asyncio.create_task(call(stage, number, started_at)))
             share = PULSE_SHARE if in_pulse else BASE_SHARE
             await asyncio.sleep(1 / (share * CAPACITY))
         await asyncio.gather(*calls)
-        beating.cancel()
+        heartbeats.cancel()
 
     lab.run_virtual(run())
     return load
 
 
-async def _beat(stage: gateway_lab.GatewayLab) -> None:
+async def _send_heartbeats(stage: gateway_lab.GatewayLab) -> None:
     while True:
         await asyncio.sleep(1.0)
         for target_id in list(stage.runners):
@@ -105,14 +105,14 @@
 def main() -> None:
     """Print the table."""
     gateway_scenes.drop_log_lines()
-    ways = {"no word": "", "0.5 s": "0.5", "3 s": "3"}
-    loads = {name: play(backoff) for name, backoff in ways.items()}
+    backoffs = {"no word": "", "0.5 s": "0.5", "3 s": "3"}
+    loads = {name: simulate(backoff) for name, backoff in backoffs.items()}
     print(f"capacity {CAPACITY:.0f} a second; pulse from second {BEFORE_SECONDS}")
-    print("| second | " + " | ".join(f"{name}: served, tries" for name in ways) + " |")
-    print("| --- |" + " --- |" * len(ways))
+    print("| second | " + " | ".join(f"{name}: served, tries" for name in backoffs) + " |")
+    print("| --- |" + " --- |" * len(backoffs))
     for second in range(BEFORE_SECONDS + PULSE_SECONDS + AFTER_SECONDS):
         cells = [
-            f"{load.served[second] / CAPACITY:.2f}, {load.tries[second] / CAPACITY:.2f}"
+            f"{load.served[second] / CAPACITY:.2f}, {load.attempts[second] / CAPACITY:.2f}"
             for load in loads.values()
         ]
         print(f"| {second} | " + " | ".join(cells) + " |")
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -18,19 +18,19 @@
 
 from tillerlane.decisions import quarantine
 
-__all__ = ["Figures", "Load", "play", "play_all"]
+__all__ = ["Figures", "Load", "simulate", "simulate_all"]
 
-SECONDS = 80.0
-BACK_SECONDS = 3.0
-DEADLY_SECONDS = 0.08
+RUN_SECONDS = 80.0
+RESTART_SECONDS = 3.0
+POISON_SECONDS = 0.08
 """Time from the beginning of a deadly request to the end of its runner, as users saw it."""
 REACTION_SECONDS = 3.0
 """Time after the third end from which the users' bound counts sends."""
 SHORT_SECONDS, LONG_SECONDS = 0.7, 8.0
-SENDS, TRIES = 2, 2
+MAX_SENDS, MAX_ATTEMPTS = 2, 2
 """Runners that one attempt may reach, and attempts of a caller."""
 
-Cases = dict[str, dict[str, int]]
+ExitRecords = dict[str, dict[str, int]]
 """Request to the targets that ended under it, with how many requests each had."""
 
 
@@ -42,9 +42,9 @@
     runners: int
     short_rate: float
     long_rate: float
-    deadly: int
+    poison_requests: int
     """Different deadly requests; each comes again every two to five seconds."""
-    other_rate: float = 0.0
+    unrelated_exit_rate: float = 0.0
     """Runners that end for another reason."""
 
 
@@ -61,14 +61,14 @@
 class Figures:
     """What one or many plays cost."""
 
-    ended: int = 0
+    target_exits: int = 0
     """Targets that ended."""
     late_sends: int = 0
     """Sends of a deadly request later than the reaction time after its third end, at most."""
     innocent: int = 0
     lost: int = 0
     """Innocent requests that were not served."""
-    held: int = 0
+    quarantined: int = 0
     """Innocent requests that were held back."""
 
 
@@ -77,218 +77,222 @@
     name: str
     seconds: float
     sends: int = 0
-    tries: int = 1
+    attempts: int = 1
     comings: int = 1
 
 
-Judge = Callable[[Cases, str], bool]
+Rule = Callable[[ExitRecords, str], bool]
 
 
-def judge_never(cases: Cases, name: str) -> bool:
+def never_quarantine(exit_records: ExitRecords, name: str) -> bool:
     """Hold nothing back."""
     return False
 
 
-def judge_by_two(cases: Cases, name: str) -> bool:
+def quarantine_after_two(exit_records: ExitRecords, name: str) -> bool:
     """Two ends are enough."""
-    return len(cases.get(name, ())) >= 2
+    return len(exit_records.get(name, ())) >= 2
 
 
-def judge_by_count(cases: Cases, name: str) -> bool:
+def quarantine_by_count(exit_records: ExitRecords, name: str) -> bool:
     """The decision that stands."""
-    return quarantine.is_poison(len(cases.get(name, ())))
+    return quarantine.is_poison(len(exit_records.get(name, ())))
 
 
-def judge_unexplained(cases: Cases, name: str) -> bool:
+def quarantine_unexplained(exit_records: ExitRecords, name: str) -> bool:
     """Ends that a more suspected request explains do not count against the others."""
-    if len(cases.get(name, ())) < quarantine.MIN_TARGET_EXITS:
+    if len(exit_records.get(name, ())) < quarantine.MIN_TARGET_EXITS:
         return False
-    explained: set[str] = set()
-    for other, ends in sorted(cases.items(), key=lambda item: -len(item[1])):
-        left = len(ends.keys() - explained)
+    explained_exits: set[str] = set()
+    for other, exits in sorted(exit_records.items(), key=lambda item: -len(item[1])):
+        left = len(exits.keys() - explained_exits)
         if other == name:
             return left >= quarantine.MIN_TARGET_EXITS
         if left >= quarantine.MIN_TARGET_EXITS:
-            explained |= ends.keys()
+            explained_exits |= exits.keys()
     return False
 
 
-def judge_alone(cases: Cases, name: str) -> bool:
+def quarantine_single_suspect(exit_records: ExitRecords, name: str) -> bool:
     """Three ends, or two of which one took nobody else along."""
-    ends = cases.get(name, {})
-    return len(ends) >= quarantine.MIN_TARGET_EXITS or (len(ends) >= 2 and 1 in ends.values())
+    exits = exit_records.get(name, {})
+    return len(exits) >= quarantine.MIN_TARGET_EXITS or (len(exits) >= 2 and 1 in exits.values())
 
 
-WAYS: tuple[tuple[str, Judge, bool], ...] = (
-    ("nothing is held back", judge_never, False),
-    ("two ends", judge_by_two, False),
-    ("three ends (stands)", judge_by_count, False),
-    ("three unexplained ends", judge_unexplained, False),
-    ("two if one was alone, suspects apart", judge_alone, True),
+RULES: tuple[tuple[str, Rule, bool], ...] = (
+    ("nothing is held back", never_quarantine, False),
+    ("two ends", quarantine_after_two, False),
+    ("three ends (stands)", quarantine_by_count, False),
+    ("three unexplained ends", quarantine_unexplained, False),
+    ("two if one was alone, suspects apart", quarantine_single_suspect, True),
 )
 """Name, decision, and whether requests under which a target ended get one without others."""
 
 
-class _Play:
+class _Simulation:
     """One play of a load."""
 
-    def __init__(self, load: Load, judge: Judge, apart: bool, seed: int) -> None:
+    def __init__(self, load: Load, rule: Rule, isolate_suspects: bool, seed: int) -> None:
         self._load = load
-        self._judge = judge
-        self._apart = apart
+        self._rule = rule
+        self._isolate_suspects = isolate_suspects
         self._rng = random.Random(seed)
-        self._placing = random.Random(seed + 1)
-        self._order = itertools.count()
+        self._placement_rng = random.Random(seed + 1)
+        self._event_numbers = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._now = 0.0
         self._runners: dict[str, set[_Request]] = {}
-        self._starts = itertools.count()
-        self._cases: Cases = collections.defaultdict(dict)
-        self._third_at: dict[str, float] = {}
-        self._late: collections.Counter[str] = collections.Counter()
+        self._runner_numbers = itertools.count()
+        self._exit_records: ExitRecords = collections.defaultdict(dict)
+        self._quarantinable_at: dict[str, float] = {}
+        self._late_sends: collections.Counter[str] = collections.Counter()
         self.figures = Figures()
 
-    def _at(self, time: float, what: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (time, next(self._order), what))
+    def _schedule(self, time: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (time, next(self._event_numbers), action))
 
     def run(self) -> Figures:
         """Play to the end."""
         for _ in range(self._load.runners):
             self._start_runner()
-        for time, request in self._draw_callers():
-            self._at(time, lambda request=request: self._send(request))
-        for time in self._draw_ends():
-            self._at(time, self._end_any)
+        for time, request in self._sample_arrivals():
+            self._schedule(time, lambda request=request: self._send(request))
+        for time in self._sample_unrelated_exits():
+            self._schedule(time, self._crash_random_runner)
         while self._events:
-            self._now, _, what = heapq.heappop(self._events)
-            what()
-        self.figures.late_sends = max(self._late.values(), default=0)
+            self._now, _, action = heapq.heappop(self._events)
+            action()
+        self.figures.late_sends = max(self._late_sends.values(), default=0)
         return self.figures
 
-    def _draw_callers(self) -> Iterator[tuple[float, _Request]]:
+    def _sample_arrivals(self) -> Iterator[tuple[float, _Request]]:
         for kind, rate, seconds in (
             ("short", self._load.short_rate, SHORT_SECONDS),
             ("long", self._load.long_rate, LONG_SECONDS),
         ):
             time = self._rng.expovariate(rate)
-            while time < SECONDS:
+            while time < RUN_SECONDS:
                 name = f"{kind}-{time}"
                 yield time, _Request(name, seconds * self._rng.uniform(0.5, 1.5))
                 time += self._rng.expovariate(rate)
-        for number in range(self._load.deadly):
+        for number in range(self._load.poison_requests):
             time = self._rng.uniform(5.0, 10.0)
-            while time < SECONDS:
-                yield time, _Request(f"deadly-{number}", DEADLY_SECONDS)
+            while time < RUN_SECONDS:
+                yield time, _Request(f"deadly-{number}", POISON_SECONDS)
                 time += self._rng.uniform(2.0, 5.0)
 
-    def _draw_ends(self) -> Iterator[float]:
+    def _sample_unrelated_exits(self) -> Iterator[float]:
         time = 0.0
-        while self._load.other_rate and time < SECONDS:
-            time += self._rng.expovariate(self._load.other_rate)
+        while self._load.unrelated_exit_rate and time < RUN_SECONDS:
+            time += self._rng.expovariate(self._load.unrelated_exit_rate)
             yield time
 
-    def _end_any(self) -> None:
+    def _crash_random_runner(self) -> None:
         """End a runner that is there for a reason that has to do with no request."""
         if self._runners:
-            runner = self._placing.choice(list(self._runners))
-            self._end_runner(runner, self._runners[runner])
+            runner = self._placement_rng.choice(list(self._runners))
+            self._crash_runner(runner, self._runners[runner])
 
     def _start_runner(self) -> None:
-        self._runners[f"r{next(self._starts)}"] = set()
+        self._runners[f"r{next(self._runner_numbers)}"] = set()
 
-    def _choose(self, request: _Request) -> str | None:
+    def _choose_runner(self, request: _Request) -> str | None:
         """The least loaded of two; suspects go where nothing runs, if they are kept apart."""
         names = list(self._runners)
-        if self._apart and request.name in self._cases:
+        if self._isolate_suspects and request.name in self._exit_records:
             empty = [name for name in names if not self._runners[name]]
             names = empty or names
-        elif self._apart:
-            clean = [
+        elif self._isolate_suspects:
+            unsuspected = [
                 name
                 for name in names
-                if not any(other.name in self._cases for other in self._runners[name])
+                if not any(other.name in self._exit_records for other in self._runners[name])
             ]
-            names = clean or names
-        drawn = self._placing.sample(names, min(2, len(names)))
-        return min(drawn, key=lambda name: len(self._runners[name]), default=None)
+            names = unsuspected or names
+        sampled = self._placement_rng.sample(names, min(2, len(names)))
+        return min(sampled, key=lambda name: len(self._runners[name]), default=None)
 
     def _send(self, request: _Request) -> None:
-        is_deadly = request.name.startswith("deadly")
-        if self._judge(self._cases, request.name):
-            self._end_request(request, served=False, held=True)
+        is_poison = request.name.startswith("deadly")
+        if self._rule(self._exit_records, request.name):
+            self._record_outcome(request, served=False, is_quarantined=True)
             return
-        runner = self._choose(request)
+        runner = self._choose_runner(request)
         if runner is None:
-            self._end_request(request, served=False)
+            self._record_outcome(request, served=False)
             return
         request.sends += 1
-        third_at = self._third_at.get(request.name)
-        if third_at is not None and self._now > third_at + REACTION_SECONDS:
-            self._late[request.name] += 1
-        held = self._runners[runner]
-        held.add(request)
-        seconds = DEADLY_SECONDS if is_deadly else request.seconds
-        self._at(self._now + seconds, lambda: self._finish(request, runner, held))
-
-    def _finish(self, request: _Request, runner: str, held: set[_Request]) -> None:
-        if request not in held:
+        quarantinable_at = self._quarantinable_at.get(request.name)
+        if quarantinable_at is not None and self._now > quarantinable_at + REACTION_SECONDS:
+            self._late_sends[request.name] += 1
+        in_progress = self._runners[runner]
+        in_progress.add(request)
+        seconds = POISON_SECONDS if is_poison else request.seconds
+        self._schedule(
+            self._now + seconds, lambda: self._finish_service(request, runner, in_progress)
+        )
+
+    def _finish_service(self, request: _Request, runner: str, in_progress: set[_Request]) -> None:
+        if request not in in_progress:
             return  # its runner has ended
-        held.discard(request)
+        in_progress.discard(request)
         if not request.name.startswith("deadly"):
-            self._cases.pop(request.name, None)
-            self._end_request(request, served=True)
+            self._exit_records.pop(request.name, None)
+            self._record_outcome(request, served=True)
             return
-        held.add(request)
-        self._end_runner(runner, held)
+        in_progress.add(request)
+        self._crash_runner(runner, in_progress)
 
-    def _end_runner(self, runner: str, held: set[_Request]) -> None:
+    def _crash_runner(self, runner: str, in_progress: set[_Request]) -> None:
         del self._runners[runner]
-        self.figures.ended += 1
-        self._at(self._now + BACK_SECONDS, self._start_runner)
-        victims = sorted(held, key=lambda item: item.name)
-        held.clear()
-        for victim in victims:
-            ends = self._cases[victim.name]
-            ends[runner] = len(victims)
-            if len(ends) == quarantine.MIN_TARGET_EXITS:
-                self._third_at.setdefault(victim.name, self._now)
-        for victim in victims:
-            self._come_again(victim)
-
-    def _come_again(self, request: _Request) -> None:
+        self.figures.target_exits += 1
+        self._schedule(self._now + RESTART_SECONDS, self._start_runner)
+        affected = sorted(in_progress, key=lambda item: item.name)
+        in_progress.clear()
+        for request in affected:
+            exits = self._exit_records[request.name]
+            exits[runner] = len(affected)
+            if len(exits) == quarantine.MIN_TARGET_EXITS:
+                self._quarantinable_at.setdefault(request.name, self._now)
+        for request in affected:
+            self._retry(request)
+
+    def _retry(self, request: _Request) -> None:
         if request.name.startswith("long"):
-            self._end_request(request, served=False)
-        elif request.sends < SENDS:
+            self._record_outcome(request, served=False)
+        elif request.sends < MAX_SENDS:
             self._send(request)
-        elif request.tries < TRIES:
-            request.tries += 1
+        elif request.attempts < MAX_ATTEMPTS:
+            request.attempts += 1
             request.sends = 0
-            self._at(self._now + 0.1, lambda: self._send(request))
+            self._schedule(self._now + 0.1, lambda: self._send(request))
         else:
-            self._end_request(request, served=False)
+            self._record_outcome(request, served=False)
 
-    def _end_request(self, request: _Request, *, served: bool, held: bool = False) -> None:
+    def _record_outcome(
+        self, request: _Request, *, served: bool, is_quarantined: bool = False
+    ) -> None:
         if request.name.startswith("deadly"):
             return
         self.figures.innocent += 1
         self.figures.lost += not served
-        self.figures.held += held
+        self.figures.quarantined += is_quarantined
 
 
-def play(load: Load, judge: Judge, apart: bool, seed: int) -> Figures:
+def simulate(load: Load, rule: Rule, isolate_suspects: bool, seed: int) -> Figures:
     """Play a load once."""
-    return _Play(load, judge, apart, seed).run()
+    return _Simulation(load, rule, isolate_suspects, seed).run()
 
 
-def play_all(load: Load, judge: Judge, apart: bool, plays: int) -> Figures:
+def simulate_all(load: Load, rule: Rule, isolate_suspects: bool, plays: int) -> Figures:
     """Sums of many plays; of late sends the most of any request."""
     total = Figures()
     for seed in range(plays):
-        figures = play(load, judge, apart, seed)
-        total.ended += figures.ended
+        figures = simulate(load, rule, isolate_suspects, seed)
+        total.target_exits += figures.target_exits
         total.innocent += figures.innocent
         total.lost += figures.lost
-        total.held += figures.held
+        total.quarantined += figures.quarantined
         total.late_sends = max(total.late_sends, figures.late_sends)
     return total
 
@@ -301,12 +305,12 @@
     print("| load | way | targets ended a play | late sends, most | innocent lost | held back |")
     print("| --- | --- | --- | --- | --- | --- |")
     for load in LOADS:
-        for name, judge, apart in WAYS:
-            found = play_all(load, judge, apart, plays)
-            lost = f"{1e4 * found.lost / found.innocent:.1f}"
-            held = f"{1e4 * found.held / found.innocent:.2f}"
-            ended = f"{found.ended / plays:.1f}"
-            print(f"| {load.name} | {name} | {ended} | {found.late_sends} | {lost} | {held} |")
+        for name, rule, isolate_suspects in RULES:
+            figures = simulate_all(load, rule, isolate_suspects, plays)
+            lost = f"{1e4 * figures.lost / figures.innocent:.1f}"
+            held = f"{1e4 * figures.quarantined / figures.innocent:.2f}"
+            exits = f"{figures.target_exits / plays:.1f}"
+            print(f"| {load.name} | {name} | {exits} | {figures.late_sends} | {lost} | {held} |")
     print("\nInnocent requests of 10,000.")
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -12,12 +12,12 @@
 from tillerlane.testing import deployment
 
 RESULTS = capacity.ROOT / "benchmarks" / "results" / "recovery.json"
-ENTRIES = 10_000
+MISSED_ENTRIES = 10_000
 WORKERS = 64
 FAILOVERS = 5
 
 
-def read_keeper(fleet: deployment.Fleet, name: str) -> dict[str, object]:
+def read_keeper_status(fleet: deployment.Fleet, name: str) -> dict[str, object]:
     """A keeper's own status; empty while it does not answer."""
     headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
     url = fleet.plan.get_http(name) + "/admin/self"
@@ -29,10 +29,10 @@
 
 async def wait_until(check: object, timeout: float = 60.0) -> float:
     """Seconds until a check holds."""
-    began = time.monotonic()
-    while time.monotonic() - began < timeout:
+    started_at = time.monotonic()
+    while time.monotonic() - started_at < timeout:
         if await asyncio.to_thread(check):  # type: ignore[arg-type]
-            return time.monotonic() - began
+            return time.monotonic() - started_at
         await asyncio.sleep(0.02)
     raise TimeoutError("it did not come about")
 
@@ -41,77 +41,81 @@
     """The keeper that leads, waiting until there is one."""
     while True:
         for name in names:
-            if (await asyncio.to_thread(read_keeper, fleet, name)).get("has_lease"):
+            if (await asyncio.to_thread(read_keeper_status, fleet, name)).get("has_lease"):
                 return name
         await asyncio.sleep(0.1)
 
 
-async def measure_failover(fleet: deployment.Fleet, standing: list[standins.StandIn]) -> float:
+async def measure_failover(fleet: deployment.Fleet, stand_ins: list[standins.StandIn]) -> float:
     """Seconds from the leader's kill until a claim is granted again."""
     names = fleet.plan.list_role("keeper")
     leader = await find_leader(fleet, names)
-    others = [item.client for item in standing if item.client.home_name != leader]
-    client = (others or [standing[0].client])[0]
+    others = [item.client for item in stand_ins if item.client.home_name != leader]
+    client = (others or [stand_ins[0].client])[0]
     await asyncio.to_thread(fleet.kill, leader)
-    began = time.monotonic()
-    key = f"failover-{began}"
+    started_at = time.monotonic()
+    key = f"failover-{started_at}"
     while True:
         try:
             await client.propose(commands.ClaimOpen("w", key, "d", f"g-{key}", 0, 60_000))
             break
         except Exception:
             await asyncio.sleep(0.02)
-    took = time.monotonic() - began
+    failover_seconds = time.monotonic() - started_at
     fleet.start(leader)
-    await wait_until(lambda: bool(read_keeper(fleet, leader).get("is_voter")))
+    await wait_until(lambda: bool(read_keeper_status(fleet, leader).get("is_voter")))
     await asyncio.sleep(2)
-    return took
+    return failover_seconds
 
 
 async def measure_catch_up(
-    fleet: deployment.Fleet, standing: list[standins.StandIn]
+    fleet: deployment.Fleet, stand_ins: list[standins.StandIn]
 ) -> dict[str, float]:
     """Seconds until a keeper that missed many entries has all of them."""
     names = fleet.plan.list_role("keeper")
     leader = await find_leader(fleet, names)
-    behind = next(name for name in names if name != leader)
-    await asyncio.to_thread(fleet.kill, behind)
+    lagging_keeper = next(name for name in names if name != leader)
+    await asyncio.to_thread(fleet.kill, lagging_keeper)
     await asyncio.sleep(1.5)
-    numbers = iter(range(ENTRIES))
+    claim_numbers = iter(range(MISSED_ENTRIES))
 
-    async def work(client: object) -> None:
-        for number in numbers:
+    async def run_worker(client: object) -> None:
+        for number in claim_numbers:
             command = commands.ClaimOpen("w", f"k-{number}", "d", f"g-{number}", 0, 600_000)
             await client.propose(command)  # type: ignore[attr-defined]
 
-    clients = [standing[number % len(standing)].client for number in range(WORKERS)]
-    await asyncio.gather(*(work(client) for client in clients))
-    target = (await asyncio.to_thread(read_keeper, fleet, leader))["commit"]
-    fleet.start(behind)
-    began = time.monotonic()
-    await asyncio.to_thread(fleet.wait_answering, behind)
-    up = time.monotonic() - began
-    await wait_until(lambda: read_keeper(fleet, behind).get("commit", 0) >= target)
-    caught_up = time.monotonic() - began
-    await asyncio.to_thread(fleet.stop, behind)
-    fleet.start(behind)
-    began = time.monotonic()
-    await wait_until(lambda: read_keeper(fleet, behind).get("commit", 0) >= target)
+    clients = [stand_ins[number % len(stand_ins)].client for number in range(WORKERS)]
+    await asyncio.gather(*(run_worker(client) for client in clients))
+    target_index = (await asyncio.to_thread(read_keeper_status, fleet, leader))["commit"]
+    fleet.start(lagging_keeper)
+    started_at = time.monotonic()
+    await asyncio.to_thread(fleet.wait_answering, lagging_keeper)
+    answering_seconds = time.monotonic() - started_at
+    await wait_until(
+        lambda: read_keeper_status(fleet, lagging_keeper).get("commit", 0) >= target_index
+    )
+    caught_up_seconds = time.monotonic() - started_at
+    await asyncio.to_thread(fleet.stop, lagging_keeper)
+    fleet.start(lagging_keeper)
+    started_at = time.monotonic()
+    await wait_until(
+        lambda: read_keeper_status(fleet, lagging_keeper).get("commit", 0) >= target_index
+    )
     return {
-        "answers_s": up,
-        "caught_up_s": caught_up,
-        "restart_with_them_s": time.monotonic() - began,
+        "answers_s": answering_seconds,
+        "caught_up_s": caught_up_seconds,
+        "restart_with_them_s": time.monotonic() - started_at,
     }
 
 
 async def measure(fleet: deployment.Fleet) -> dict[str, object]:
     """All measurements."""
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
-    standing = await standins.start_many(0, 6, keepers)
+    stand_ins = await standins.start_many(0, 6, keepers)
     await asyncio.sleep(3)
-    failovers = [await measure_failover(fleet, standing) for _ in range(FAILOVERS)]
-    catch_up = await measure_catch_up(fleet, standing)
-    for item in standing:
+    failovers = [await measure_failover(fleet, stand_ins) for _ in range(FAILOVERS)]
+    catch_up = await measure_catch_up(fleet, stand_ins)
+    for item in stand_ins:
         await item.stop()
     return {
         "failover_s": failovers,
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -23,7 +23,7 @@
 KEY = "relay-caller"
 STEP_MS = 50
 TOKENS = 200
-WARM_SECONDS = 2.0
+WARM_UP_SECONDS = 2.0
 DOCUMENT: dict[str, Any] = {
     "workspaces": {"w": {"keys": [documents.hash_key(KEY)]}},
     "classes": {"c": {"pool": "p", "model": "m", "max_tokens": TOKENS}},
@@ -49,41 +49,41 @@
     fleet.wait_answering()
     fleet.apply(DOCUMENT, 0, "change-relay")
     fleet.wait_ready()
-    time.sleep(WARM_SECONDS)
+    time.sleep(WARM_UP_SECONDS)
     return fleet
 
 
-async def read_caller(
+async def read_through_entry(
     client: httpx.AsyncClient, url: str, number: int, found: asyncio.Future[str]
 ) -> dict[int, float]:
     """Arrival of each token through the entry, by its offset."""
     arrivals: dict[int, float] = {}
     body = {"model": "c", "stream": True, "max_tokens": TOKENS, "prompt": f"stream {number}"}
     headers = {"authorization": f"Bearer {KEY}"}
-    last = 0
-    async with client.stream("POST", url, json=body, headers=headers) as answer:
-        answer.raise_for_status()
-        async for line in answer.aiter_lines():
+    received = 0
+    async with client.stream("POST", url, json=body, headers=headers) as response:
+        response.raise_for_status()
+        async for line in response.aiter_lines():
             if line.startswith("id: "):
                 generation_id, _, next_offset = line[4:].rpartition(":")
                 if not found.done():
                     found.set_result(generation_id)
                 now = time.monotonic()
-                for offset in range(last, int(next_offset)):
+                for offset in range(received, int(next_offset)):
                     arrivals[offset] = now
-                last = int(next_offset)
+                received = int(next_offset)
     return arrivals
 
 
-async def read_runner(
+async def read_from_runner(
     client: httpx.AsyncClient, base: str, found: asyncio.Future[str]
 ) -> dict[int, float]:
     """Arrival of each token directly from the runner."""
     arrivals: dict[int, float] = {}
     generation_id = await found
     url = f"{base}/v1/generations/{generation_id}"
-    async with client.stream("GET", url) as answer:
-        async for line in answer.aiter_lines():
+    async with client.stream("GET", url) as response:
+        async for line in response.aiter_lines():
             if not line.startswith("data: "):
                 continue
             event = json.loads(line[6:])
@@ -93,7 +93,7 @@
     return arrivals
 
 
-async def measure(fleet: deployment.Fleet, streams: int, direct: int) -> dict[str, Any]:
+async def measure(fleet: deployment.Fleet, streams: int, direct_count: int) -> dict[str, Any]:
     """Run so many streams at once; read some of them directly too."""
     url = fleet.plan.get_http("entry-1") + "/v1/completions"
     limits = httpx.Limits(max_connections=None)
@@ -103,29 +103,29 @@
         names = ["entry-1", "agent-hall-a"]
         before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
         callers = [
-            asyncio.create_task(read_caller(client, url, number, found[number]))
+            asyncio.create_task(read_through_entry(client, url, number, found[number]))
             for number in range(streams)
         ]
         readers = [
-            asyncio.create_task(read_runner(client, fleet.plan.urls["r"], found[number]))
-            for number in range(direct)
+            asyncio.create_task(read_from_runner(client, fleet.plan.urls["r"], found[number]))
+            for number in range(direct_count)
         ]
-        through = await asyncio.gather(*callers)
-        beside = await asyncio.gather(*readers)
+        relayed = await asyncio.gather(*callers)
+        direct_arrivals = await asyncio.gather(*readers)
         after = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
-    tokens = sum(len(arrivals) for arrivals in through)
+    tokens = sum(len(arrivals) for arrivals in relayed)
     delays = sorted(
-        one[offset] - other[offset]
-        for one, other in zip(through, beside, strict=False)
-        for offset in one
-        if offset > 5 and offset in other
+        through_entry[offset] - from_runner[offset]
+        for through_entry, from_runner in zip(relayed, direct_arrivals, strict=False)
+        for offset in through_entry
+        if offset > 5 and offset in from_runner
     )
     cpu = {name: (after[name].cpu - before[name].cpu) / tokens * 1e6 for name in names}
-    passed = after["entry-1"].at - before["entry-1"].at
+    elapsed_seconds = after["entry-1"].at - before["entry-1"].at
     return {
         "streams": streams,
         "tokens": tokens,
-        "tokens_a_second": tokens / passed,
+        "tokens_a_second": tokens / elapsed_seconds,
         "entry_us_a_token": cpu["entry-1"],
         "agent_us_a_token": cpu["agent-hall-a"],
         "both_us_a_token": sum(cpu.values()),
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -31,21 +31,21 @@
     announcer: exchange.Announcer
     in_force_at: dict[int, float]
     """Version to the wall time at which it was in force here."""
-    reporting: asyncio.Task[None] | None = None
+    report_task: asyncio.Task[None] | None = None
 
     async def stop(self) -> None:
         """End the stand-in."""
-        if self.reporting is not None:
-            self.reporting.cancel()
+        if self.report_task is not None:
+            self.report_task.cancel()
         self.client.stop()
         await self.node.close()
 
 
-async def _serve(exchange_: links.Exchange, body: messages.Body) -> None:
+async def _refuse_exchange(exchange_: links.Exchange, body: messages.Body) -> None:
     exchange_.close()
 
 
-async def _report(node: nodes.Node, targets: list[str], rate: float) -> None:
+async def _report_load(node: nodes.Node, targets: list[str], rate: float) -> None:
     """Report load as a busy agent does."""
     sequence = 0
     while True:
@@ -81,12 +81,12 @@
     store = stores.Store()
     members = views.MemberView(keepers.values())
     in_force_at: dict[int, float] = {}
-    pulled: dict[links.Link, float] = {}
+    requested_at: dict[links.Link, float] = {}
 
-    def note_version(link: links.Link, version: int) -> None:
+    def request_update(link: links.Link, version: int) -> None:
         now = time.monotonic()
-        if version > store.version and now - pulled.get(link, 0) > 0.2:
-            pulled[link] = now
+        if version > store.version and now - requested_at.get(link, 0) > 0.2:
+            requested_at[link] = now
             link.send(messages.ConfigPull(store.version))
 
     def notify(link: links.Link, body: messages.Body) -> None:
@@ -102,8 +102,8 @@
         incarnation=1,
         clock=clocks.HybridClock(),
         get_config_version=lambda: store.version,
-        on_peer_version=note_version,
-        serve=_serve,
+        on_peer_version=request_update,
+        serve=_refuse_exchange,
         notify=notify,
     )
     node = nodes.Node(local)
@@ -115,15 +115,15 @@
     )
     announcer = exchange.Announcer(member, members, lambda: client.home)
 
-    def note_configuration(configuration: stores.Configuration) -> None:
+    def record_configuration(configuration: stores.Configuration) -> None:
         in_force_at[configuration.version] = time.monotonic()
         announcer.update(config_version=configuration.version)
 
-    store.add_listener(note_configuration)
+    store.add_listener(record_configuration)
     client.start()
     stand_in = StandIn(name, node, store, client, announcer, in_force_at)
     if report_rate:
-        stand_in.reporting = asyncio.create_task(_report(node, targets, report_rate))
+        stand_in.report_task = asyncio.create_task(_report_load(node, targets, report_rate))
     return stand_in
 
 
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -14,15 +14,15 @@
 import sys
 
 ROOT = pathlib.Path(__file__).parent.parent
-COMMON = "tillerlane.platform.programs"
+COMMON_MODULES = "tillerlane.platform.programs"
 MODULES = {
-    "entry": f"{COMMON}, tillerlane.gateway.entry, tillerlane.platform.adapter",
-    "keeper": f"{COMMON}, tillerlane.gateway.control, tillerlane.platform.control_api",
+    "entry": f"{COMMON_MODULES}, tillerlane.gateway.entry, tillerlane.platform.adapter",
+    "keeper": f"{COMMON_MODULES}, tillerlane.gateway.control, tillerlane.platform.control_api",
 }
-WAYS = {"with site packages": [], "without (-S)": ["-S"]}
+START_OPTIONS = {"with site packages": [], "without (-S)": ["-S"]}
 
 
-def read_children() -> float:
+def get_children_cpu_seconds() -> float:
     """Processor seconds of all processes that have ended."""
     usage = resource.getrusage(resource.RUSAGE_CHILDREN)
     return usage.ru_utime + usage.ru_stime
@@ -32,12 +32,12 @@
     """Processor seconds of several starts."""
     environment = {"PATH": os.environ["PATH"], "PYTHONPATH": str(ROOT / "target" / "deps")}
     command = [sys.executable, *options, "-c", f"import {modules}"]
-    found = []
+    cpu_seconds = []
     for _ in range(starts):
-        before = read_children()
+        before = get_children_cpu_seconds()
         subprocess.run(command, env=environment, cwd=ROOT, check=True)
-        found.append(read_children() - before)
-    return found
+        cpu_seconds.append(get_children_cpu_seconds() - before)
+    return cpu_seconds
 
 
 def main() -> None:
@@ -46,9 +46,11 @@
     parser.add_argument("--starts", type=int, default=12)
     starts = parser.parse_args().starts
     for program, modules in MODULES.items():
-        for way, options in WAYS.items():
-            found = measure_starts(options, modules, starts)
-            print(f"{program} {way}: least {min(found):.3f}, median {statistics.median(found):.3f}")
+        for name, options in START_OPTIONS.items():
+            times = measure_starts(options, modules, starts)
+            print(
+                f"{program} {name}: least {min(times):.3f}, median {statistics.median(times):.3f}"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/tests/test_bounds.py
+++ b/benchmarks/tests/test_bounds.py
@@ -14,15 +14,15 @@
 
 BOUNDS = pathlib.Path(__file__).resolve().parents[1] / "bounds.json"
 LOAD = 1.1
-SLACK = 1.25
-AT_MOST = ("preemptions", "stall_total", "gap_p999", "urgent_first_p99", "refused")
-AT_LEAST = ("long_tokens_a_second", "tokens_a_second")
+TOLERANCE_FACTOR = 1.25
+UPPER_BOUNDED = ("preemptions", "stall_total", "gap_p999", "urgent_first_p99", "refused")
+LOWER_BOUNDED = ("long_tokens_a_second", "tokens_a_second")
 
 
 def run_short(mix: str, rule: str) -> dict[str, Any]:
     """A run of 50 seconds of virtual time."""
-    policies.WARM_SECONDS = 10.0
-    policies.SPAN_SECONDS = 40.0
+    policies.WARM_UP_SECONDS = 10.0
+    policies.MEASURE_SECONDS = 40.0
     policies.GRACE_SECONDS = 60.0
     return policies.run_case(policies.Case(mix, LOAD, "steady", rule, 1))
 
@@ -35,10 +35,10 @@
         figures = run_short(mix, "tillerlane")
         self.assertEqual(figures["wrong"], 0)
         self.assertEqual(figures["refused"], figures["refused_not_run"])
-        for name in AT_MOST:
-            self.assertLessEqual(figures[name], bounds[name] * SLACK + 1e-9, name)
-        for name in AT_LEAST:
-            self.assertGreaterEqual(figures[name], bounds[name] / SLACK, name)
+        for name in UPPER_BOUNDED:
+            self.assertLessEqual(figures[name], bounds[name] * TOLERANCE_FACTOR + 1e-9, name)
+        for name in LOWER_BOUNDED:
+            self.assertGreaterEqual(figures[name], bounds[name] / TOLERANCE_FACTOR, name)
 
     def test_brattvik(self) -> None:
         self.check_mix("brattvik")
@@ -56,10 +56,10 @@
 if __name__ == "__main__":
     if "--write" in sys.argv:
         measured = {mix: run_short(mix, "tillerlane") for mix in policies.MIXES}
-        kept = {
-            mix: {name: figures[name] for name in (*AT_MOST, *AT_LEAST)}
+        bounds = {
+            mix: {name: figures[name] for name in (*UPPER_BOUNDED, *LOWER_BOUNDED)}
             for mix, figures in measured.items()
         }
-        BOUNDS.write_text(json.dumps(kept, indent=1) + "\n")
+        BOUNDS.write_text(json.dumps(bounds, indent=1) + "\n")
     else:
         unittest.main()
--- a/benchmarks/tests/test_pulse.py
+++ b/benchmarks/tests/test_pulse.py
@@ -16,12 +16,12 @@
         gateway_scenes.drop_log_lines()
 
     def test_little_is_served_for_long_after_a_pulse(self) -> None:
-        load = pulse.play("3")
+        load = pulse.simulate("3")
         since = pulse.BEFORE_SECONDS + pulse.PULSE_SECONDS + RECOVERY_SECONDS
         seconds = range(since, since + pulse.AFTER_SECONDS - RECOVERY_SECONDS)
-        begun = sum(load.begun[second] for second in seconds)
+        started = sum(load.started[second] for second in seconds)
         served = sum(load.served[second] for second in seconds)
-        self.assertGreaterEqual(served, 0.95 * begun)
+        self.assertGreaterEqual(served, 0.95 * started)
 
 
 if __name__ == "__main__":
