--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: apart from the tests, never part of CI's verdict."""
+"""Benchmarks; apart from their tests they do not affect the result of CI."""
--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -1,4 +1,4 @@
-"""Fixed rules to compare with: at the agent and at the entry."""
+"""Baseline rules for comparison: scheduling at the agent and routing at the entry."""
 
 import itertools
 
@@ -9,11 +9,11 @@
 __all__ = ["decide_arrival_order", "decide_fixed_share", "make_least_reported", "make_round_robin"]
 
 FIXED_SHARE = 0.25
-"""Share of ``max_tokens`` that the rule of fixed shares reserves for each request."""
+"""Share of ``max_tokens`` that `decide_fixed_share` reserves for each request."""
 
 
 def decide_arrival_order(state: targets.TargetState, now: float) -> list[scheduling.Action]:
-    """Start in the order of arrival while the prompt fits; the engine pushes the newest aside."""
+    """Admit in arrival order while the prompt fits; the engine preempts the newest."""
     actions: list[scheduling.Action] = []
     used = state.memory_used
     count = len(state.running)
@@ -27,7 +27,7 @@
 
 
 def decide_fixed_share(state: targets.TargetState, now: float) -> list[scheduling.Action]:
-    """Start in the order of arrival while a fixed share of each one's bound is reserved."""
+    """Admit in arrival order, reserving a fixed share of each request's ``max_tokens``."""
 
     def reserve(generation: object) -> float:
         start = generation.start  # type: ignore[attr-defined]
@@ -49,7 +49,7 @@
 
 
 def make_round_robin() -> object:
-    """Targets in turn."""
+    """Build a rule that picks the targets in turn."""
     counter = itertools.count()
 
     def choose(request: requests.Request, records: list[fleet.TargetRecord]) -> fleet.TargetRecord:
@@ -59,7 +59,10 @@
 
 
 def make_least_reported() -> object:
-    """The target with the least in its last report, whatever was sent since."""
+    """Build a rule that picks the target with the fewest requests in its last report.
+
+    Requests sent since that report are not counted.
+    """
 
     def choose(request: requests.Request, records: list[fleet.TargetRecord]) -> fleet.TargetRecord:
         return min(
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,6 +1,7 @@
-"""Slopes behind ``docs/CAPACITY.md``: real daemons as processes, hundreds of stand-ins around them.
+"""Measures the cost per daemon, agent and workspace for ``docs/CAPACITY.md``.
 
-Prints a table and writes ``benchmarks/results/capacity.json``.  Takes about three minutes.
+Real daemons run as processes with hundreds of stand-ins connected to them.  Prints the rows as JSON
+and writes ``benchmarks/results/capacity.json``.  Takes about three minutes.
 """
 
 import argparse
@@ -32,13 +33,13 @@
 CHANGES_PER_SIZE = 8
 CLAIM_WORKERS = (1, 8, 64)
 REPORTS_PER_SECOND = 1.0
-"""Reports of a busy agent; it sends one when a target's load has changed enough."""
+"""Report rate of a busy agent, which reports when a target's load has changed enough."""
 
 Figures = dict[str, Any]
 
 
 def build_document(workspaces: int, *, runners: int = 2, weight: float = 1.0) -> dict[str, Any]:
-    """A configuration of the size asked for, with keys, classes and one policy."""
+    """Build a configuration of the given size, with keys, classes and one policy."""
     document: dict[str, Any] = {
         "workspaces": {
             f"workspace-{number}": {
@@ -68,7 +69,7 @@
 
 
 def start_fleet(name: str, **options: Any) -> deployment.Fleet:
-    """Three keepers and an entry; agents only where runners are planned."""
+    """Start three keepers and an entry, and agents only where the plan has runners."""
     folder = ROOT / "out" / "capacity" / name
     shutil.rmtree(folder, ignore_errors=True)
     plan = deployment.plan(documents.Document(), str(folder), entries=1, **options)
@@ -79,7 +80,7 @@
 
 
 def read_links(fleet: deployment.Fleet, names: list[str]) -> dict[str, dict[str, int]]:
-    """Bytes and messages on the links of some daemons so far."""
+    """Read the byte and message counters of the links of some daemons."""
     headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
     links = {}
     for name in names:
@@ -91,7 +92,7 @@
 
 @dataclasses.dataclass(slots=True)
 class UsageRates:
-    """What a process used over a span of time, each a second."""
+    """Resource use of a process: rates per second, and resident memory in bytes."""
 
     cpu: float
     bytes_moved: float
@@ -102,7 +103,7 @@
 async def measure_rates(
     fleet: deployment.Fleet, names: list[str], seconds: float
 ) -> dict[str, UsageRates]:
-    """Watch processes for some seconds."""
+    """Measure the resource use of processes over some seconds."""
     before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
     links_before = await asyncio.to_thread(read_links, fleet, names)
     await asyncio.sleep(seconds)
@@ -124,7 +125,7 @@
 
 
 async def measure_keepers() -> Figures:
-    """Keepers' cost by the number of daemons: idle, and for each change in force everywhere."""
+    """Measure the keepers' cost by number of daemons: idle, and per configuration change."""
     fleet = start_fleet("keepers")
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
     names = list(keepers)
@@ -182,16 +183,16 @@
 
 
 async def wait_in_force(stand_ins: list[standins.StandIn], version: int) -> None:
-    """Wait until every stand-in has a version, for a minute at most."""
+    """Wait up to a minute until a configuration version is in force on every stand-in."""
     for _ in range(6_000):
         if all(version in item.in_force_at for item in stand_ins):
             return
         await asyncio.sleep(0.01)
-    raise TimeoutError(f"version {version} is not everywhere")
+    raise TimeoutError(f"version {version} is not in force on all stand-ins after 60 s")
 
 
 async def measure_entry() -> Figures:
-    """An entry's cost by the number of agents that it keeps links to."""
+    """Measure an entry's cost by the number of agents that it has links to."""
     rows = []
     fleet = start_fleet("entry")
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
@@ -227,7 +228,7 @@
 
 
 async def measure_claims() -> Figures:
-    """Claims a second and the time that one adds, with synced disks on three keepers."""
+    """Measure claim throughput and latency on three keepers that sync their disks."""
     fleet = start_fleet("claims")
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
     rows = []
@@ -247,7 +248,7 @@
 async def run_claims(
     fleet: deployment.Fleet, stand_ins: list[standins.StandIn], keepers: list[str], workers: int
 ) -> Figures:
-    """Open and settle claims from some workers at once."""
+    """Open and settle claims from concurrent workers."""
     before = {name: processes.read_usage(fleet.read_pid(name)) for name in keepers}
     times: list[float] = []
     deadline = time.monotonic() + MEASURE_SECONDS / 2
@@ -278,7 +279,7 @@
 
 
 def measure_configuration() -> Figures:
-    """Size and time of configurations on one daemon, by workspaces."""
+    """Measure size and apply time of configurations on one daemon, by number of workspaces."""
     rows = []
     for workspaces in (50, 100, 200, 350):
         document = documents.Document.model_validate(build_document(workspaces, runners=1_000))
@@ -312,7 +313,7 @@
 
 
 async def measure_all(only: list[str]) -> dict[str, Figures]:
-    """Run the measurements asked for."""
+    """Run the selected measurements, or all if none is selected."""
     results: dict[str, Figures] = {}
     measurements = {
         "keepers": measure_keepers,
@@ -328,7 +329,7 @@
         results["configuration"] = measure_configuration()
     if not only or "decisions" in only:
         print("-- decisions", flush=True)
-        results["decisions"] = {"rows": decisions.measure_slopes()}
+        results["decisions"] = {"rows": decisions.measure_decisions()}
     return results
 
 
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -22,7 +22,7 @@
 BUDGET_BYTES_PER_SECOND = 10_000
 MEMORY_BUDGET_BYTES = 128_000_000
 CLAIMS_PER_SECOND = 115.0
-"""4,600 requests a second, one in forty of a class that may not be repeated."""
+"""From 4,600 requests per second, of which one in forty is of a non-repeatable class."""
 MEASURED_KEEPER_COUNT = 3
 
 
@@ -45,7 +45,7 @@
 
 
 def format_slopes(results: dict[str, Any]) -> list[str]:
-    """The fits: what was measured, over which range."""
+    """Format the fitted lines with the range over which each was measured."""
     keepers, entry = results["keepers"]["rows"], results["entry"]["rows"]
     keeper_share = 1.0 / MEASURED_KEEPER_COUNT
     lines = [_format_row("what", "by", "range measured", "fit"), _format_row(*["---"] * 4)]
@@ -98,7 +98,7 @@
 
 
 def format_budgets(results: dict[str, Any]) -> list[str]:
-    """Each role at the target size against its budget."""
+    """Format the cost of each role at the target size, next to its budget."""
     keepers, entry = results["keepers"]["rows"], results["entry"]["rows"]
     keeper_share = 1.0 / MEASURED_KEEPER_COUNT
     subscribers = DAEMONS / KEEPERS
@@ -176,7 +176,7 @@
 
 
 def format_relay() -> list[str]:
-    """The data path's figures."""
+    """Format the results of the data path."""
     rows = json.loads((RESULTS / "relay.json").read_text())["rows"]
     titles = ("streams", "tokens/s", "entry us/token", "agent us/token", "added p50 ms", "p99 ms")
     lines = [_format_row(*titles), _format_row(*["---"] * len(titles))]
@@ -195,7 +195,7 @@
 
 
 def main() -> None:
-    """Replace what stands between the marks."""
+    """Replace the part of the page between the marks."""
     results = json.loads((RESULTS / "capacity.json").read_text())
     parts = [
         *format_slopes(results),
--- a/benchmarks/choices.py
+++ b/benchmarks/choices.py
@@ -1,9 +1,9 @@
-"""Processor time of what an entry does with other entries' loads, by how many there are.
+"""Processor time of an entry's work on the loads of other entries, by fleet size.
 
     python -m benchmarks.choices
 
-A choice among runners, and the digest that a keeper pushes; the least of several rounds, in
-microseconds, as a table.  What another version takes is measured by running this file there.
+Measures a choice among runners and the digest that a keeper pushes.  Prints tables of the minimum
+over several rounds, in microseconds.  To compare with another version, run this file on it.
 """
 
 import random
@@ -19,11 +19,12 @@
 __all__ = ["measure_choice", "measure_digest"]
 
 FLEET_SIZES = ((3, 5), (67, 30), (67, 300), (400, 300))
-"""Other entries and targets: a small fleet, a large one, and towards the users' target."""
+"""Numbers of other entries and of targets: a small fleet, a large one, and two with more targets,
+up to the size that users aim for."""
 TARGETS_PER_ENTRY = 4
-"""Targets at which one entry has something under way."""
+"""Targets at which one entry has requests in progress."""
 RECENT_REQUESTS = 2
-"""Requests that the entry has sent within the last seconds: 0.4 a second."""
+"""Requests that the entry sent within the last seconds: 0.4 per second."""
 ROUNDS = 7
 CALLS_PER_ROUND = 20
 ENGINE = routes.Engine(24, 34_000, 131_072, 19_000.0, 4, True, True, 2.0)
@@ -32,12 +33,12 @@
 
 
 def get_address(number: int) -> str:
-    """Address of a target."""
+    """Get the address of a target."""
     return f"10.{number // 250}.{number % 250}.9:9000"
 
 
 def build_aggregator(entries: int, targets: int) -> loads.LoadAggregator:
-    """A keeper that was told the loads of so many entries."""
+    """Build a keeper's aggregator with the load reports of some entries."""
     rng = random.Random(1)
     aggregator = loads.LoadAggregator("keeper-1", 1)
     for entry in range(entries):
@@ -52,7 +53,7 @@
 
 
 def build_selector(entries: int, targets: int) -> selection.Selector:
-    """An entry that has heard of so many others."""
+    """Build an entry's selector that has received the loads of other entries."""
     directory = directories.Directory()
     for number in range(targets):
         address, phase = get_address(number), directories.Phase.READY
@@ -62,7 +63,7 @@
     usage = usages.Usage("entry-own")
     aggregator = build_aggregator(entries, targets)
     while aggregator.build_delta_digest() is not None:
-        pass  # what is told is bounded a digest
+        pass  # the rows per digest are bounded
     usage.handle_digest(aggregator.build_full_digest(), 0.0)
     usage.entries = entries + 1
     for _ in range(RECENT_REQUESTS):
@@ -71,7 +72,7 @@
 
 
 def measure_choice(entries: int, targets: int) -> float:
-    """Microseconds of one choice."""
+    """Measure the microseconds per choice."""
     selector = build_selector(entries, targets)
     times = timeit.repeat(
         lambda: selector.choose(POOL, WORK, ()), number=CALLS_PER_ROUND, repeat=ROUNDS
@@ -80,7 +81,7 @@
 
 
 def measure_digest(targets: int) -> tuple[float, float, int]:
-    """Microseconds to write a digest and to take it in, and its bytes on the wire."""
+    """Measure the microseconds to encode and to handle a digest, and its size in bytes."""
     aggregator = build_aggregator(targets * 4, targets)
     table = loads.encode_loads(
         (get_address(number), aggregator.get(get_address(number))) for number in range(targets)
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""Processor time of one decision at an agent, by how many wait and run."""
+"""Processor time of one scheduling decision at an agent, by number of waiting requests."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from tillerlane.policy import program as programs
 from tillerlane.testing import engine, engine_client
 
-__all__ = ["measure_slopes"]
+__all__ = ["measure_decisions"]
 
 WAITING_COUNTS = (10, 100, 1_000, 10_000)
 RUNNING_COUNT = 100
@@ -26,7 +26,7 @@
 
 
 def build_state(waiting: int, running: int) -> targets.TargetState:
-    """A target with so many requests, of 20 workspaces and two classes."""
+    """Build a target with requests of 20 workspaces, half of them urgent."""
     client = engine_client.connect(lambda: engine.Engine(engine.EngineSpec()), ["m"])
     program = programs.compile_program("policy", POLICY).unwrap()
     state = targets.TargetState("t", settings.TargetKind.RUNNER, client, program)
@@ -52,8 +52,8 @@
     return state
 
 
-def measure_slopes() -> list[dict[str, float]]:
-    """Seconds of a decision for each number of waiting requests; the median of some."""
+def measure_decisions() -> list[dict[str, float]]:
+    """Measure the median seconds of a decision for each number of waiting requests."""
     rows = []
     for waiting in WAITING_COUNTS:
         state = build_state(waiting, RUNNING_COUNT)
@@ -73,4 +73,4 @@
 
 if __name__ == "__main__":
     asyncio.set_event_loop(asyncio.new_event_loop())
-    measure_slopes()
+    measure_decisions()
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -1,9 +1,10 @@
-"""What it costs to remember requests under which targets ended, and how soon all entries know.
+"""Cost of tracking requests that crash targets, and time until all entries quarantine them.
 
     python -m benchmarks.endings [--entries 68,300]
 
-Processor time is the least of several rounds; times of spreading are virtual, with no delay between
-daemons; messages and bytes are those that keepers sent meanwhile, other traffic included.
+Processor time is the minimum of several rounds.  Propagation times are virtual, with no delay
+between daemons.  Messages and bytes are all that the keepers sent meanwhile, including other
+traffic.
 """
 
 import argparse
@@ -27,12 +28,12 @@
 
 
 def time_call(function: Callable[[], object], calls: int) -> float:
-    """Microseconds of one call."""
+    """Measure the microseconds per call."""
     return min(timeit.repeat(function, number=calls, repeat=ROUNDS)) / calls * 1e6
 
 
 def measure_fingerprint(size: int) -> float:
-    """Microseconds of the fingerprint of a request with a body of so many bytes."""
+    """Measure the microseconds to fingerprint a request with a body of ``size`` bytes."""
     headers = [(b"Accept", b"*/*"), (b"Host", b"shop.example"), (b"Request-Id", b"9c41d07be2a3")]
     head = http_head.RequestHead(b"POST", b"/records/2f", headers)
     body = random.Random(1).randbytes(size)
@@ -42,7 +43,7 @@
 
 
 def measure_table() -> tuple[int, float]:
-    """Requests remembered of 100,000 different ones with one end each, and their megabytes."""
+    """Record 100,000 requests with one target exit each; return the number kept and megabytes."""
     tracemalloc.start()
     table = suspects.Suspects()
     for number in range(REQUEST_COUNT):
@@ -55,7 +56,7 @@
 
 
 async def _crash_targets(stage: gateway_lab.GatewayLab, targets: list[str]) -> None:
-    """Send a deadly request to one entry after another until it is held back."""
+    """Send a poison request to one entry after another until three targets have crashed."""
     for name in stage.entry_names:
         crashed = sum(stage.runners[target].has_crashed for target in targets)
         if crashed >= 3:
@@ -64,7 +65,10 @@
 
 
 async def measure_spread(entries: int) -> dict[str, float]:
-    """Seconds from a third end until entries hold the request back, and what keepers sent."""
+    """Measure the seconds from the third target exit until entries quarantine the request.
+
+    Also counts the messages and bytes that the keepers sent.
+    """
     stage = gateway_lab.GatewayLab(5, entries, 5)
     await stage.start()
     await asyncio.sleep(6)
@@ -103,7 +107,7 @@
 
 
 def main() -> None:
-    """Print all figures."""
+    """Print all results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--entries", default="68,300")
     sizes = [int(item) for item in parser.parse_args().entries.split(",")]
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -1,7 +1,7 @@
-"""What a flood of unauthenticated peers costs: callers' delays and an entry's memory.
+"""Effect of a flood of unauthenticated connections on callers' latency and an entry's memory.
 
-A thousand connections to the callers' listener send their heads byte by byte, some announce a body
-of 1 GB, and others connect to the peer listener and say nothing.
+Of a thousand connections, some send request heads to the callers' listener byte by byte, some
+announce a body of 1 GB, and others stay idle there or at the peer listener.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 
 async def hold_connection(address: str, attack_kind: int, stop: asyncio.Event) -> None:
-    """One hostile connection, opened again whenever it is closed."""
+    """Keep one hostile connection open, reconnecting whenever it is closed."""
     host, port = nodes.split_address(address)
     while not stop.is_set():
         try:
@@ -47,7 +47,7 @@
 
 
 async def measure_first_tokens(url: str) -> list[float]:
-    """Seconds until the first token of calls one after the other."""
+    """Measure the seconds to the first token of sequential calls, in ascending order."""
     times = []
     headers = {"authorization": f"Bearer {relay.KEY}"}
     body = {"model": "c", "stream": True, "max_tokens": 2, "prompt": "x"}
@@ -63,7 +63,7 @@
 
 
 async def measure(fleet: deployment.Fleet) -> dict[str, float]:
-    """Calls without and with the flood."""
+    """Measure calls without and with the flood."""
     url = fleet.plan.get_http("entry-1") + "/v1/completions"
     entry_settings = fleet.plan.daemons["entry-1"]
     baseline = await measure_first_tokens(url)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,9 +1,9 @@
-"""Ways for many entries to keep to a target's limit together, on the same loads.
+"""Compares strategies for many entries to share one target's rate limit, under the same loads.
 
     python -m benchmarks.limits [--plays N]
 
-One target, in simulated time; callers come to the entries at random, and whoever finds no room is
-turned away at once.  A play draws all from its number, so that each way meets the same callers.
+Simulates one target.  Requests arrive at random entries, and those beyond the limit are refused at
+once.  A run samples everything from its seed, so that each strategy gets the same arrivals.
 """
 
 import argparse
@@ -20,24 +20,24 @@
 
 RUN_SECONDS = 40.0
 OVERLOAD_FACTOR = 3.0
-"""Requests that come, as a multiple of the limit."""
+"""Arrival rate, as a multiple of the limit."""
 REPORT_AGE_SECONDS = 0.2
-"""Age of other entries' word of what comes to them."""
+"""Age of other entries' reports of their arrivals."""
 ROUND_TRIP_SECONDS = 0.005
-"""Time from a wish to the owner's answer."""
+"""Time from a permit request to the owner's reply."""
 DEMAND_WINDOW_SECONDS = 2.0
-"""Time over which an entry counts what comes to it."""
+"""Window over which an entry counts its arrivals."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What comes, and where."""
+    """The limit, and how the arrivals are spread over entries."""
 
     name: str
     entries: int
     limit: float
     busy_entries: int
-    """Entries that get all the traffic; others do in the second half."""
+    """Number of entries that get all the traffic; in the second half of a run these are others."""
 
 
 LOADS = tuple(
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figures:
-    """What one or many plays showed."""
+    """Result of one run."""
 
     peak_share: float
     """Most requests in any window, as a share of the limit and the slack."""
@@ -59,13 +59,13 @@
 
 
 Arrival = tuple[float, int]
-"""Time, and the entry that it comes to."""
+"""Time, and number of the entry."""
 Strategy = Callable[[Load, list[Arrival], random.Random], Iterator[float]]
-"""Gives the times of sends."""
+"""Yields the times at which requests are sent to the target."""
 
 
 def sample_arrivals(load: Load, rng: random.Random) -> list[Arrival]:
-    """Callers over the whole time."""
+    """Sample the arrivals of a run."""
     now, arrivals = 0.0, []
     while (now := now + rng.expovariate(OVERLOAD_FACTOR * load.limit)) < RUN_SECONDS:
         first = (
@@ -76,17 +76,17 @@
 
 
 def send_unlimited(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
-    """Nobody heeds the limit."""
+    """Ignore the limit."""
     yield from (at for at, _ in arrivals)
 
 
 def count_since(times: list[float], since: float) -> int:
-    """Times later than a moment, of times in order."""
+    """Count the times later than ``since``, given times in ascending order."""
     return len(times) - bisect.bisect_right(times, since)
 
 
 def send_independently(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
-    """Each entry keeps to the limit by itself."""
+    """Each entry applies the full limit on its own."""
     sent: list[list[float]] = [[] for _ in range(load.entries)]
     for at, entry in arrivals:
         if count_since(sent[entry], at - limits.WINDOW_SECONDS) < load.limit * 4:
@@ -95,7 +95,7 @@
 
 
 def send_equal_shares(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
-    """Equal shares, in whole requests by lot."""
+    """Equal shares, converted to whole requests by randomized rounding."""
     window_limit = load.limit * limits.WINDOW_SECONDS
     quota = limits.WindowQuota(window_limit, window_limit + limits.SLACK_REQUESTS)
     shares = [limits.compute_share(quota, load.entries, rng.random()) for _ in range(load.entries)]
@@ -109,10 +109,10 @@
 def send_proportional_shares(
     load: Load, arrivals: list[Arrival], rng: random.Random
 ) -> Iterator[float]:
-    """Shares by what came to each entry, told among them: flow-proportional shares.
+    """Flow-proportional shares, from the arrivals that entries report to each other.
 
-    After "Cloud Control with Distributed Rate Limiting" (Raghavan et al., SIGCOMM 2007): an entry
-    gets the limit's part that its traffic has in that of all, and drops the rest at random.
+    After "Cloud Control with Distributed Rate Limiting" (Raghavan et al., SIGCOMM 2007): an entry's
+    share of the limit is its share of all traffic; it drops the rest at random.
     """
     arrived: list[list[float]] = [[] for _ in range(load.entries)]
     times: list[float] = []
@@ -130,22 +130,22 @@
 
 @dataclasses.dataclass(slots=True)
 class _PermitRequester:
-    """An entry that asks for permits."""
+    """An entry that requests permits."""
 
     requested_at: float = -permits.REQUEST_INTERVAL_SECONDS
     pending_requests: int = 0
     permit_deadlines: list[float] = dataclasses.field(default_factory=list)
-    """Until when each permit is to be used."""
+    """Expiry time of each unused permit."""
 
     def drop_expired(self, now: float) -> int:
-        """Drop the permits whose time is over; their number."""
+        """Drop expired permits and return their number."""
         number = len(self.permit_deadlines)
         self.permit_deadlines = [deadline for deadline in self.permit_deadlines if deadline > now]
         return number - len(self.permit_deadlines)
 
 
 def send_by_permit(load: Load, arrivals: list[Arrival], rng: random.Random) -> Iterator[float]:
-    """Permits of one owner, asked for when a request could use one; it waits for the answer."""
+    """Permits from one owner, requested when a request needs one and waits for the reply."""
     use_seconds = limits.compute_hold_seconds(load.limit) * permits.USE_SHARE
     max_requests = max(1, math.ceil(load.limit * permits.REQUEST_INTERVAL_SECONDS))
     bucket = limits.Bucket(0.0, 0.0)
@@ -179,7 +179,7 @@
 
 
 def simulate(strategy: Strategy, load: Load, seed: int) -> Figures:
-    """One play of a way."""
+    """Run a strategy under a load."""
     arrivals = sample_arrivals(load, random.Random(seed))
     sent = sorted(strategy(load, arrivals, random.Random(seed + 10_000)))
     window = limits.WINDOW_SECONDS
@@ -193,9 +193,9 @@
 
 
 def main() -> None:
-    """Print a row for each load and way."""
+    """Print a row for each load and strategy."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--plays", type=int, default=20, help="plays of each load")
+    parser.add_argument("--plays", type=int, default=20, help="runs of each load")
     options = parser.parse_args()
     print(
         "| load | way | most in 4 s / (limit + 5) | used of the limit |\n| --- | --- | --- | --- |"
--- a/benchmarks/mixes.py
+++ b/benchmarks/mixes.py
@@ -1,4 +1,4 @@
-"""The two users' mixes of work: classes, lengths with a long tail, arrivals at a given load."""
+"""The two users' workload mixes: classes, long-tailed lengths, and arrivals at a given load."""
 
 import dataclasses
 import math
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of request: lengths in tokens, `share` of the memory-time offered."""
+    """A kind of request: lengths in tokens, and its share of the offered memory-time."""
 
     class_name: str
     workspaces: tuple[str, ...]
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mix:
-    """A user's mix on one pool."""
+    """A user's workload mix on one pool."""
 
     name: str
     example: str
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request of a mix: when it comes, and how long its answer will turn out to be."""
+    """One request of a mix, with its arrival time and the length of its output in tokens."""
 
     at: float
     kind: Kind
@@ -77,7 +77,7 @@
 
 
 def sample_output_length(prompt: str, length_factor: float = 1.0) -> int:
-    """Length that a prompt's answer turns out to have; the prompt carries its seed and shape."""
+    """Sample the output length of a prompt, which carries its seed and length distribution."""
     _, median_tokens, sigma, longest_tokens, seed = prompt.split("|")[0].split(" ")
     sampled_length = texts.draw_length(
         int(seed), float(median_tokens) * length_factor, float(sigma), int(longest_tokens)
@@ -86,7 +86,7 @@
 
 
 def _estimate_memory_seconds(kind: Kind, spec: engine.EngineSpec, length_factor: float) -> float:
-    """Mean of memory times time that a request of a kind holds, in token seconds."""
+    """Estimate the mean memory-time of a request of a kind, in token-seconds."""
     rng = random.Random(7)
     step_seconds_mean = spec.step_seconds + spec.step_seconds_a_sequence * spec.batch_limit / 2
     total = 0.0
@@ -110,26 +110,26 @@
     flood: str = "",
     burst: bool = False,
 ) -> list[Arrival]:
-    """Arrivals at a load: 1.0 would fill all memory at all times if it could be packed perfectly.
+    """Sample arrivals; load 1.0 would fill all memory at all times if packed perfectly.
 
     Parameters
     ----------
     mix : Mix
-        Whose work.
+        Workload mix.
     spec : engine.EngineSpec
-        The runners.
+        Properties of each runner.
     runners : int
-        How many.
+        Number of runners.
     load : float
-        Offered memory-time over what there is.
+        Offered memory-time, relative to the memory-time available.
     seconds : float
-        Length of the span.
+        Length of the run.
     seed : int
-        For all draws.
+        Seed of all samples.
     flood : str
-        A workspace that sends five times its share.
+        Workspace that sends five times its share; empty for none.
     burst : bool
-        Whether arrivals come in waves of 20 s, at twice and at none of the rate.
+        Whether arrivals come in waves of 20 s, at twice the rate and at none in turn.
     """
     rng = random.Random(f"{mix.name} {seed}")
     arrivals = []
@@ -154,7 +154,7 @@
 
 
 def build_document(mix: Mix, runners: int, *, guided: bool) -> dict[str, Any]:
-    """One pool with all the mix's classes; without guidance all classes are alike."""
+    """Build a pool with all classes of a mix; unless guided, without policy and priorities."""
     example, _ = deployment.read_example(mix.example)
     classes = {}
     for kind in mix.kinds:
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,7 +1,8 @@
-"""Decision benchmarks in virtual time: real entries, links and agents, fake engines, one pool.
+"""Scheduling and routing benchmarks in virtual time, with fake engines in one pool.
 
-Each run is one (mix, load, situation, rule, seed).  Prints a table of medians over the seeds and
-writes ``benchmarks/results/policies.json``; the counts are the same on every run.
+Entries, links and agents are real.  Each run is one (mix, load, situation, rule, seed).  Prints a
+table of medians over the seeds and writes ``benchmarks/results/policies.json``; the counts are
+deterministic.
 """
 
 import argparse
@@ -38,7 +39,7 @@
 MEASURE_SECONDS = 160.0
 GRACE_SECONDS = 300.0
 MIN_STALL_SECONDS = 0.5
-"""A wait longer than this with no token counts as stall."""
+"""Longer waits without a token count as stalls."""
 RULES = ("tillerlane", "arrival-order", "fixed-share", "round-robin", "least-reported", "oracle")
 MIXES = {"brattvik": mixes.BRATTVIK, "kaarna": mixes.KAARNA}
 SITUATIONS = ("steady", "burst", "flood", "runner-dies", "runner-stalls", "stale", "tripled")
@@ -56,29 +57,29 @@
 
 
 class _OracleLengths:
-    """Perfect knowledge of lengths, for the oracle: one generation's own length model."""
+    """Length model of one generation with perfect knowledge, for the oracle."""
 
     def __init__(self, length: int) -> None:
         self._length = length
 
     def survive(self, length: float) -> float:
-        """Whether the answer is longer."""
+        """Return the probability that the output is longer than ``length``."""
         return float(self._length > length)
 
     def look_ahead(self, written: int, longest: int) -> lengths.Survival:
-        """What is left, exactly."""
+        """Return the exact remaining length."""
         left = max(1, self._length - written)
         alive = tuple(1.0 if ahead < left else 0.0 for ahead in lengths.HORIZONS)
         return lengths.Survival(float(left), alive)
 
 
 def build_oracle_lengths(start: messages.Start) -> _OracleLengths:
-    """Perfect knowledge of one request."""
+    """Build the exact length model of one request."""
     return _OracleLengths(mixes.sample_output_length(start.payload.decode()))
 
 
 def build_rules(rule: str) -> dict[str, Any]:
-    """Rules at agent and entry."""
+    """Build the rules of agent and entry; empty for the product's own."""
     if rule in ("tillerlane", "oracle"):
         return {}
     rules: dict[str, Any] = {"decide": baselines.decide_arrival_order}
@@ -92,7 +93,7 @@
 
 
 def build_lab(case: Case) -> lab.Lab:
-    """The fleet of a case."""
+    """Build the fleet of a case."""
     mix = MIXES[case.mix]
     guided = case.rule in ("tillerlane", "oracle")
     length_factors = {"tripled": 3.0}
@@ -117,7 +118,7 @@
 
 
 async def inject_fault(stage: lab.Lab, case: Case) -> None:
-    """Let a runner die or stall in the middle."""
+    """Crash or stall a runner one third into the measured time."""
     fault_at = WARM_UP_SECONDS + MEASURE_SECONDS / 3
     if case.situation == "runner-dies":
         await asyncio.sleep(fault_at)
@@ -132,7 +133,7 @@
 
 
 async def simulate(case: Case) -> dict[str, Any]:
-    """Run a case and reduce it to figures."""
+    """Run a case and summarize it."""
     mix = MIXES[case.mix]
     stage = build_lab(case)
     await stage.begin()
@@ -170,7 +171,7 @@
 
 
 def compute_percentile(values: list[float], share: float) -> float:
-    """A percentile; 0 of nothing."""
+    """Compute a percentile; 0 if there are no values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -178,7 +179,7 @@
 
 
 def compute_stall_seconds(answer: lab.Answer) -> float:
-    """Seconds that a caller waited with no token arriving."""
+    """Compute the total seconds of a caller's waits that count as stalls."""
     times = [answer.sent_at, *answer.times]
     if not answer.ended:
         times.append(answer.ended_at or times[-1])
@@ -194,7 +195,7 @@
     end: float,
     memory: float,
 ) -> dict[str, Any]:
-    """Figures of one run; what came before the warm-up's end is left out."""
+    """Summarize a run without the requests that arrived during the warm-up."""
     measured_calls = [
         (arrival, answer) for arrival, answer, _ in calls if arrival.at >= WARM_UP_SECONDS
     ]
@@ -283,7 +284,7 @@
 
 
 def print_table(rows: list[dict[str, Any]]) -> None:
-    """Medians over the seeds."""
+    """Print the medians over the seeds."""
     groups: dict[tuple[str, float, str, str], list[dict[str, Any]]] = {}
     for row in rows:
         key = (row["mix"], row["load"], row["situation"], row["rule"])
@@ -301,7 +302,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Arguments of the benchmark."""
+    """Build the parser of command-line arguments."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--mixes", default=",".join(MIXES))
     parser.add_argument("--loads", default="0.9,1.1")
@@ -314,7 +315,7 @@
 
 
 def main() -> None:
-    """Run all cases asked for."""
+    """Run all selected cases."""
     arguments = build_parser().parse_args()
     cases = [
         Case(mix, float(load), situation, rule, seed)
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and a straight line through measured points."""
+"""Processor time and memory of processes, and linear fits of measured points."""
 
 import dataclasses
 import os
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """A process at one moment: processor seconds since its start, resident bytes, wall seconds."""
+    """Usage of a process: processor seconds since its start, resident bytes, monotonic time."""
 
     cpu: float
     memory: int
@@ -22,7 +22,7 @@
 
 
 def read_usage(pid: int) -> Usage:
-    """Usage of a process."""
+    """Read the usage of a process from ``/proc``."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1])
     return Usage(
@@ -34,20 +34,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fit:
-    """``y = base + slope * x`` by least squares, and how well it fits."""
+    """Least-squares line ``y = base + slope * x``, with its error."""
 
     slope: float
     base: float
     max_error: float
-    """Largest distance of a point from the line, as a share of the largest y."""
+    """Largest residual, relative to the largest y."""
 
     def predict(self, x: float) -> float:
-        """Value on the line."""
+        """Compute the value on the line at ``x``."""
         return self.base + self.slope * x
 
 
 def fit_line(points: list[tuple[float, float]]) -> Fit:
-    """Fit a line through points."""
+    """Fit a line to points."""
     xs, ys = zip(*points, strict=True)
     slope, base = statistics.linear_regression(xs, ys)
     largest = max(abs(y) for y in ys) or 1.0
--- a/benchmarks/pulse.py
+++ b/benchmarks/pulse.py
@@ -1,11 +1,11 @@
-"""A pulse of twice the capacity, with callers that repeat: what is served each second.
+"""Calls served each second during and after a load pulse of twice the capacity, with retries.
 
     python -m benchmarks.pulse
 
-Entries and keepers run unchanged in virtual time (`tillerlane.testing.gateway_lab`).  Callers press
-with twice of what the targets can serve for some seconds; whoever is refused repeats as it is told.
-A table of the calls that were served in time, as parts of the capacity, by second and by what a
-target says when it turns a request away.
+Entries and keepers run unchanged in virtual time (`tillerlane.testing.gateway_lab`).  For some
+seconds callers send twice what the targets can serve; refused callers retry after the time given in
+the response.  Prints a table of the calls served in time, as a share of the capacity, by second and
+by the back-off that targets state when they reject a request.
 """
 
 import asyncio
@@ -19,10 +19,10 @@
 TARGETS, SLOTS, QUEUE = 4, 6, 6
 SERVICE_SECONDS, SLOWDOWN = 0.2, 0.5
 CAPACITY = TARGETS * SLOTS / (SERVICE_SECONDS * (1 + SLOWDOWN))
-"""Requests a second that all targets serve when all slots are taken."""
+"""Requests per second that all targets serve with all slots in use."""
 OBJECTIVE_SECONDS = 2.0
 BASE_SHARE, PULSE_SHARE = 0.6, 2.0
-"""Requests a second before and after the pulse, and within it, as parts of the capacity."""
+"""Request rate outside and during the pulse, as a share of the capacity."""
 BEFORE_SECONDS, PULSE_SECONDS, AFTER_SECONDS = 5, 10, 12
 MAX_ATTEMPTS = 4
 REFUSED_STATUS = 503
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallCounts:
-    """What one play saw, by second: calls begun, calls served in time, tries."""
+    """Counts of a run by second: calls started, calls served in time, and attempts."""
 
     started: collections.Counter[int]
     served: collections.Counter[int]
@@ -38,7 +38,7 @@
 
 
 def simulate(backoff: str, entries: int = 4) -> CallCounts:
-    """Play the pulse with targets that ask for so many seconds of back-off; empty for none."""
+    """Run the pulse with targets that state a back-off in seconds; empty for none."""
     load = CallCounts(collections.Counter(), collections.Counter(), collections.Counter())
 
     async def call(stage: gateway_lab.GatewayLab, number: int, started_at: float) -> None:
--- a/benchmarks/quarantine.py
+++ b/benchmarks/quarantine.py
@@ -1,11 +1,11 @@
-"""Which requests to hold back when targets end under them: ways to decide, on the same loads.
+"""Compares rules for quarantining requests that crash targets, under the same loads.
 
     python -m benchmarks.quarantine [--plays N]
 
-A pool whose runners end under some requests and come back seconds later, in simulated time: short
-streams that may be begun anew, long ones that run once, and deadly requests that come again.  All
-entries know at once what ended; what telling them costs is measured elsewhere.  A play draws all
-from its number, so that each way meets the same callers.
+Simulates a pool whose runners crash under some requests and restart seconds later.  There are short
+streams that may be restarted, long ones that run only once, and poison requests that callers send
+again.  All entries learn of target exits at once; `benchmarks.endings` measures the cost of
+propagation.  A run samples everything from its seed, so that each rule gets the same arrivals.
 """
 
 import argparse
@@ -23,29 +23,29 @@
 RUN_SECONDS = 80.0
 RESTART_SECONDS = 3.0
 POISON_SECONDS = 0.08
-"""Time from the beginning of a deadly request to the end of its runner, as users saw it."""
+"""Time from the start of a poison request to the crash of its runner, as users observed it."""
 REACTION_SECONDS = 3.0
-"""Time after the third end from which the users' bound counts sends."""
+"""Time after the third target exit from which sends count against the users' bound."""
 SHORT_SECONDS, LONG_SECONDS = 0.7, 8.0
 MAX_SENDS, MAX_ATTEMPTS = 2, 2
-"""Runners that one attempt may reach, and attempts of a caller."""
+"""Runners that one attempt may be sent to, and attempts of a caller."""
 
 ExitRecords = dict[str, dict[str, int]]
-"""Request to the targets that ended under it, with how many requests each had."""
+"""Maps a request to the targets that exited while running it, with their numbers of requests."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """A pool and what comes to it a second."""
+    """A pool and its arrival rates per second."""
 
     name: str
     runners: int
     short_rate: float
     long_rate: float
     poison_requests: int
-    """Different deadly requests; each comes again every two to five seconds."""
+    """Number of distinct poison requests, each sent again every two to five seconds."""
     unrelated_exit_rate: float = 0.0
-    """Runners that end for another reason."""
+    """Rate of target exits that no request causes."""
 
 
 LOADS = (
@@ -59,17 +59,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Figures:
-    """What one or many plays cost."""
+    """Results of one or many runs."""
 
     target_exits: int = 0
-    """Targets that ended."""
     late_sends: int = 0
-    """Sends of a deadly request later than the reaction time after its third end, at most."""
+    """Sends of a poison request after its third target exit and the reaction time; the maximum over
+    poison requests."""
     innocent: int = 0
     lost: int = 0
     """Innocent requests that were not served."""
     quarantined: int = 0
-    """Innocent requests that were held back."""
+    """Innocent requests that were quarantined."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
@@ -85,22 +85,22 @@
 
 
 def never_quarantine(exit_records: ExitRecords, name: str) -> bool:
-    """Hold nothing back."""
+    """Quarantine nothing."""
     return False
 
 
 def quarantine_after_two(exit_records: ExitRecords, name: str) -> bool:
-    """Two ends are enough."""
+    """Quarantine after two target exits."""
     return len(exit_records.get(name, ())) >= 2
 
 
 def quarantine_by_count(exit_records: ExitRecords, name: str) -> bool:
-    """The decision that stands."""
+    """Use the rule in `tillerlane.decisions.quarantine`."""
     return quarantine.is_poison(len(exit_records.get(name, ())))
 
 
 def quarantine_unexplained(exit_records: ExitRecords, name: str) -> bool:
-    """Ends that a more suspected request explains do not count against the others."""
+    """Ignore target exits that are explained by a request with more exits."""
     if len(exit_records.get(name, ())) < quarantine.MIN_TARGET_EXITS:
         return False
     explained_exits: set[str] = set()
@@ -114,7 +114,7 @@
 
 
 def quarantine_single_suspect(exit_records: ExitRecords, name: str) -> bool:
-    """Three ends, or two of which one took nobody else along."""
+    """Quarantine after three target exits, or two if one target ran no other request."""
     exits = exit_records.get(name, {})
     return len(exits) >= quarantine.MIN_TARGET_EXITS or (len(exits) >= 2 and 1 in exits.values())
 
@@ -126,11 +126,11 @@
     ("three unexplained ends", quarantine_unexplained, False),
     ("two if one was alone, suspects apart", quarantine_single_suspect, True),
 )
-"""Name, decision, and whether requests under which a target ended get one without others."""
+"""Name, rule, and whether suspect requests are isolated on targets without other requests."""
 
 
 class _Simulation:
-    """One play of a load."""
+    """One run of a load."""
 
     def __init__(self, load: Load, rule: Rule, isolate_suspects: bool, seed: int) -> None:
         self._load = load
@@ -152,7 +152,7 @@
         heapq.heappush(self._events, (time, next(self._event_numbers), action))
 
     def run(self) -> Figures:
-        """Play to the end."""
+        """Run the simulation to the end."""
         for _ in range(self._load.runners):
             self._start_runner()
         for time, request in self._sample_arrivals():
@@ -188,7 +188,7 @@
             yield time
 
     def _crash_random_runner(self) -> None:
-        """End a runner that is there for a reason that has to do with no request."""
+        """Crash a random runner for a reason unrelated to its requests."""
         if self._runners:
             runner = self._placement_rng.choice(list(self._runners))
             self._crash_runner(runner, self._runners[runner])
@@ -197,7 +197,7 @@
         self._runners[f"r{next(self._runner_numbers)}"] = set()
 
     def _choose_runner(self, request: _Request) -> str | None:
-        """The least loaded of two; suspects go where nothing runs, if they are kept apart."""
+        """Choose the less loaded of two; if suspects are isolated, prefer idle runners for them."""
         names = list(self._runners)
         if self._isolate_suspects and request.name in self._exit_records:
             empty = [name for name in names if not self._runners[name]]
@@ -234,7 +234,7 @@
 
     def _finish_service(self, request: _Request, runner: str, in_progress: set[_Request]) -> None:
         if request not in in_progress:
-            return  # its runner has ended
+            return  # its runner has crashed
         in_progress.discard(request)
         if not request.name.startswith("deadly"):
             self._exit_records.pop(request.name, None)
@@ -280,12 +280,12 @@
 
 
 def simulate(load: Load, rule: Rule, isolate_suspects: bool, seed: int) -> Figures:
-    """Play a load once."""
+    """Run a load once."""
     return _Simulation(load, rule, isolate_suspects, seed).run()
 
 
 def simulate_all(load: Load, rule: Rule, isolate_suspects: bool, plays: int) -> Figures:
-    """Sums of many plays; of late sends the most of any request."""
+    """Sum the results of many runs; of late sends take the maximum."""
     total = Figures()
     for seed in range(plays):
         figures = simulate(load, rule, isolate_suspects, seed)
@@ -298,7 +298,7 @@
 
 
 def main() -> None:
-    """Print a table for the design page."""
+    """Print the table for the design page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--plays", type=int, default=200)
     plays = parser.parse_args().plays
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,4 +1,4 @@
-"""How long a new leader takes, and a keeper that is 10,000 entries behind, with real processes."""
+"""Failover time, and catch-up time of a keeper 10,000 log entries behind, with real processes."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 
 
 def read_keeper_status(fleet: deployment.Fleet, name: str) -> dict[str, object]:
-    """A keeper's own status; empty while it does not answer."""
+    """Read a keeper's own status; empty while it does not answer."""
     headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
     url = fleet.plan.get_http(name) + "/admin/self"
     try:
@@ -28,17 +28,17 @@
 
 
 async def wait_until(check: object, timeout: float = 60.0) -> float:
-    """Seconds until a check holds."""
+    """Wait until a check holds and return the seconds that it took."""
     started_at = time.monotonic()
     while time.monotonic() - started_at < timeout:
         if await asyncio.to_thread(check):  # type: ignore[arg-type]
             return time.monotonic() - started_at
         await asyncio.sleep(0.02)
-    raise TimeoutError("it did not come about")
+    raise TimeoutError("the condition was not met in time")
 
 
 async def find_leader(fleet: deployment.Fleet, names: list[str]) -> str:
-    """The keeper that leads, waiting until there is one."""
+    """Find the leading keeper, waiting until there is one."""
     while True:
         for name in names:
             if (await asyncio.to_thread(read_keeper_status, fleet, name)).get("has_lease"):
@@ -47,7 +47,7 @@
 
 
 async def measure_failover(fleet: deployment.Fleet, stand_ins: list[standins.StandIn]) -> float:
-    """Seconds from the leader's kill until a claim is granted again."""
+    """Measure the seconds from killing the leader until a claim is granted again."""
     names = fleet.plan.list_role("keeper")
     leader = await find_leader(fleet, names)
     others = [item.client for item in stand_ins if item.client.home_name != leader]
@@ -71,7 +71,7 @@
 async def measure_catch_up(
     fleet: deployment.Fleet, stand_ins: list[standins.StandIn]
 ) -> dict[str, float]:
-    """Seconds until a keeper that missed many entries has all of them."""
+    """Measure the seconds until a keeper has caught up on many missed log entries."""
     names = fleet.plan.list_role("keeper")
     leader = await find_leader(fleet, names)
     lagging_keeper = next(name for name in names if name != leader)
@@ -109,7 +109,7 @@
 
 
 async def measure(fleet: deployment.Fleet) -> dict[str, object]:
-    """All measurements."""
+    """Run all measurements."""
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
     stand_ins = await standins.start_many(0, 6, keepers)
     await asyncio.sleep(3)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,7 +1,7 @@
-"""Processor time a token and delay that entry and agent add, with real processes on loopback.
+"""Processor time per token and delay added by entry and agent, with real processes on loopback.
 
-Each generation is read twice at the same time: by a caller through the entry, and directly at the
-fake runner.  The difference between the two arrivals of one token is the delay added.
+Some generations are read twice at the same time: by a caller through the entry, and directly from
+the fake runner.  The difference between the two arrival times of a token is the delay added.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 
 def start_fleet() -> deployment.Fleet:
-    """One keeper, one entry, one agent and one runner that writes long answers."""
+    """Start one keeper, one entry, one agent and one runner that generates long outputs."""
     folder = ROOT / "out" / "relay"
     shutil.rmtree(folder, ignore_errors=True)
     options = ["--step-ms", str(STEP_MS), "--median-tokens", "100000", "--length-spread", "0.01"]
@@ -56,7 +56,7 @@
 async def read_through_entry(
     client: httpx.AsyncClient, url: str, number: int, found: asyncio.Future[str]
 ) -> dict[int, float]:
-    """Arrival of each token through the entry, by its offset."""
+    """Read a stream through the entry; return the arrival time of each token by offset."""
     arrivals: dict[int, float] = {}
     body = {"model": "c", "stream": True, "max_tokens": TOKENS, "prompt": f"stream {number}"}
     headers = {"authorization": f"Bearer {KEY}"}
@@ -78,7 +78,7 @@
 async def read_from_runner(
     client: httpx.AsyncClient, base: str, found: asyncio.Future[str]
 ) -> dict[int, float]:
-    """Arrival of each token directly from the runner."""
+    """Read a stream directly from the runner; return the arrival time of each token by offset."""
     arrivals: dict[int, float] = {}
     generation_id = await found
     url = f"{base}/v1/generations/{generation_id}"
@@ -94,7 +94,7 @@
 
 
 async def measure(fleet: deployment.Fleet, streams: int, direct_count: int) -> dict[str, Any]:
-    """Run so many streams at once; read some of them directly too."""
+    """Run concurrent streams and read the first ``direct_count`` of them directly as well."""
     url = fleet.plan.get_http("entry-1") + "/v1/completions"
     limits = httpx.Limits(max_connections=None)
     loop = asyncio.get_running_loop()
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -1,6 +1,6 @@
-"""Stand-in daemons as tasks: real links, real subscriptions, no work.
+"""Stand-in daemons as tasks, with real links and subscriptions but no work.
 
-A stand-in subscriber behaves to the keepers as an agent does; a stand-in agent also listens and
+To the keepers a stand-in subscriber behaves like an agent; a stand-in agent also listens and
 reports load to entries.  Hundreds run in one process.
 """
 
@@ -30,11 +30,11 @@
     client: clients.KeeperClient
     announcer: exchange.Announcer
     in_force_at: dict[int, float]
-    """Version to the wall time at which it was in force here."""
+    """Maps a version to the monotonic time at which it came into force here."""
     report_task: asyncio.Task[None] | None = None
 
     async def stop(self) -> None:
-        """End the stand-in."""
+        """Stop the stand-in."""
         if self.report_task is not None:
             self.report_task.cancel()
         self.client.stop()
@@ -46,7 +46,7 @@
 
 
 async def _report_load(node: nodes.Node, targets: list[str], rate: float) -> None:
-    """Report load as a busy agent does."""
+    """Report load at the rate of a busy agent."""
     sequence = 0
     while True:
         await asyncio.sleep(1 / rate)
@@ -76,7 +76,7 @@
     targets: list[str],
     report_rate: float,
 ) -> StandIn:
-    """Start one stand-in; with a report rate it listens and has targets."""
+    """Start one stand-in; with a report rate it also listens and reports its targets' load."""
     name = f"stand-in-{number}"
     store = stores.Store()
     members = views.MemberView(keepers.values())
@@ -137,7 +137,7 @@
     targets_each: int = 0,
     report_rate: float = 0.0,
 ) -> list[StandIn]:
-    """Start stand-ins, a few at a time."""
+    """Start stand-ins in small batches."""
     started = []
     for position in range(count):
         number = first + position
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -1,8 +1,8 @@
-"""Processor time from a program's start until its modules are imported, by way of starting it.
+"""Processor time to start a program and import its modules, by interpreter options.
 
     python -m benchmarks.startup [--starts 12]
 
-Each start is a process of its own; the least and the median of the starts are printed in seconds.
+Each start is a separate process.  Prints the minimum and the median of the starts in seconds.
 """
 
 import argparse
@@ -23,13 +23,13 @@
 
 
 def get_children_cpu_seconds() -> float:
-    """Processor seconds of all processes that have ended."""
+    """Get the processor seconds of all child processes that have exited."""
     usage = resource.getrusage(resource.RUSAGE_CHILDREN)
     return usage.ru_utime + usage.ru_stime
 
 
 def measure_starts(options: list[str], modules: str, starts: int) -> list[float]:
-    """Processor seconds of several starts."""
+    """Measure the processor seconds of several starts."""
     environment = {"PATH": os.environ["PATH"], "PYTHONPATH": str(ROOT / "target" / "deps")}
     command = [sys.executable, *options, "-c", f"import {modules}"]
     cpu_seconds = []
@@ -41,7 +41,7 @@
 
 
 def main() -> None:
-    """Print a line for each program and way."""
+    """Print a line for each program and set of options."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--starts", type=int, default=12)
     starts = parser.parse_args().starts
--- a/benchmarks/tests/test_bounds.py
+++ b/benchmarks/tests/test_bounds.py
@@ -1,7 +1,7 @@
-"""Counts of a short run in virtual time stay within the committed bounds.
+"""Checks that the results of a short run in virtual time stay within the committed bounds.
 
-The run is the same every time, so the bounds only leave room for small changes of the rules.
-``python -m benchmarks.tests.test_bounds --write`` measures them anew.
+The run is deterministic, so the tolerance only allows for small changes of the rules.
+``python -m benchmarks.tests.test_bounds --write`` updates the bounds.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 def run_short(mix: str, rule: str) -> dict[str, Any]:
-    """A run of 50 seconds of virtual time."""
+    """Run 50 seconds of virtual time."""
     policies.WARM_UP_SECONDS = 10.0
     policies.MEASURE_SECONDS = 40.0
     policies.GRACE_SECONDS = 60.0
@@ -47,7 +47,7 @@
         self.check_mix("kaarna")
 
     def test_arrival_order_preempts_more(self) -> None:
-        """The comparison that the rules stand on can also fail."""
+        """The preemption bound can fail: a baseline exceeds it by more than the tolerance."""
         bounds = json.loads(BOUNDS.read_text())["kaarna"]
         figures = run_short("kaarna", "arrival-order")
         self.assertGreater(figures["preemptions"], 2 * bounds["preemptions"])
--- a/benchmarks/tests/test_pulse.py
+++ b/benchmarks/tests/test_pulse.py
@@ -1,4 +1,4 @@
-"""What is served after a pulse of load with callers that repeat."""
+"""Throughput after a load pulse, with callers that retry."""
 
 import unittest
 
@@ -9,13 +9,13 @@
 
 
 class PulseTest(unittest.TestCase):
-    """Targets shed by their own load and ask for seconds of back-off."""
+    """Targets shed load on their own and state back-offs of some seconds."""
 
     def setUp(self) -> None:
-        """Keep log lines out of the output."""
+        """Suppress log lines in the output."""
         gateway_scenes.drop_log_lines()
 
-    def test_little_is_served_for_long_after_a_pulse(self) -> None:
+    def test_throughput_recovers_after_a_pulse(self) -> None:
         load = pulse.simulate("3")
         since = pulse.BEFORE_SECONDS + pulse.PULSE_SECONDS + RECOVERY_SECONDS
         seconds = range(since, since + pulse.AFTER_SECONDS - RECOVERY_SECONDS)
