--- a/tillerlane/policy/facts.py
+++ b/tillerlane/policy/facts.py
@@ -27,35 +27,41 @@
 FACTS: dict[str, Fact] = {
     "workspace": Fact(str, "name of the workspace", ("a", "katalog", "z")),
     "class_name": Fact(str, "name of the class of work", ("a", "record", "z")),
-    "model": Fact(str, "model asked for", ("a", "m", "z")),
+    "model": Fact(str, "requested model", ("a", "m", "z")),
     "priority": _number("priority of the class, 0 to 100", 0.0, 50.0, 100.0),
     "urgent": Fact(bool, "whether the class is urgent", (False, True, False)),
-    "repeatable": Fact(bool, "whether the class may be repeated", (False, True, True)),
+    "repeatable": Fact(
+        bool, "whether requests of the class may run more than once", (False, True, True)
+    ),
     "prompt_tokens": _number("length of the prompt", 1.0, 500.0, 30_000.0),
-    "max_tokens": _number("most tokens that may be written", 1.0, 4_096.0, 200_000.0),
-    "expected_tokens": _number("expected length of the whole answer", 1.0, 300.0, 20_000.0),
-    "waited_s": _number("time since the request came", 0.0, 2.0, 3_600.0),
+    "max_tokens": _number("maximum number of output tokens", 1.0, 4_096.0, 200_000.0),
+    "expected_tokens": _number("expected length of the complete output", 1.0, 300.0, 20_000.0),
+    "waited_s": _number("time since the request arrived", 0.0, 2.0, 3_600.0),
     "deadline_left_s": _number("time left until the deadline", 0.0, 60.0, 86_400.0),
     "workspace_weight": _number("weight of the workspace", 0.1, 1.0, 100.0),
     "workspace_lead": _number(
-        "tokens served to the workspace over its weight, above the least served one that has "
-        "work here; decays by half each minute",
+        "tokens served to the workspace per unit of its weight, above those of the least served "
+        "workspace with work at this target; decays by half each minute",
         0.0,
         500.0,
         1e6,
     ),
-    "times_paused": _number("how often the generation was set aside", 0.0, 1.0, 50.0),
-    "written_tokens": _number("tokens written so far", 0.0, 200.0, 100_000.0),
-    "delivered_tokens": _number("tokens that went to the entry so far", 0.0, 190.0, 100_000.0),
-    "expected_left_tokens": _number("expected tokens still to be written", 1.0, 200.0, 50_000.0),
+    "times_paused": _number("number of times that the generation was paused", 0.0, 1.0, 50.0),
+    "written_tokens": _number("tokens generated so far", 0.0, 200.0, 100_000.0),
+    "delivered_tokens": _number("tokens delivered to the entry so far", 0.0, 190.0, 100_000.0),
+    "expected_left_tokens": _number(
+        "expected number of tokens still to be generated", 1.0, 200.0, 50_000.0
+    ),
     "memory_tokens": _number("memory that the generation holds", 1.0, 700.0, 130_000.0),
-    "runs_s": _number("time since it last started or went on", 0.0, 5.0, 3_600.0),
-    "waiting": _number("requests that wait at the target", 0.0, 10.0, 10_000.0),
-    "running": _number("generations that run at the target", 0.0, 20.0, 512.0),
-    "estimated_wait_s": _number("estimated time until a start", 0.0, 3.0, 3_600.0),
+    "runs_s": _number("time since the generation last started or resumed", 0.0, 5.0, 3_600.0),
+    "waiting": _number("requests waiting at the target", 0.0, 10.0, 10_000.0),
+    "running": _number("generations running at the target", 0.0, 20.0, 512.0),
+    "estimated_wait_s": _number("estimated time until the request starts", 0.0, 3.0, 3_600.0),
     "memory_share": _number("share of the target's memory in use", 0.0, 0.7, 1.0),
-    "memory_free_share": _number("share of memory neither used nor promised", 0.0, 0.3, 1.0),
-    "memory_total": _number("memory of the target", 1_000.0, 50_000.0, 1e7),
+    "memory_free_share": _number(
+        "estimated share of the target's memory neither used nor reserved", 0.0, 0.3, 1.0
+    ),
+    "memory_total": _number("total memory of the target", 1_000.0, 50_000.0, 1e7),
     "urgent_share": _number("share of recent requests that were urgent", 0.0, 0.5, 1.0),
     "prefix_hit": _number("1 if the target holds the prompt's prefix, else 0", 0.0, 1.0, 0.0),
     "same_hall": Fact(bool, "whether the target is in the entry's data hall", (True, False, True)),
@@ -89,36 +95,37 @@
 EXPRESSIONS: dict[str, Expression] = {
     "rank": Expression(
         float,
-        "who goes first: the highest",
+        "order of requests: the highest value goes first",
         frozenset(_REQUEST | {"workspace_lead", "times_paused", "written_tokens"}),
     ),
     "may_wait": Expression(
         bool,
-        "whether a request may be queued; if not it is refused at once",
+        "whether a request may be queued; otherwise it is refused at once",
         frozenset(_REQUEST | _TARGET | {"estimated_wait_s"}),
     ),
     "sacrifice": Expression(
         float,
-        "who yields when memory runs short: the highest; a negative value never yields",
+        "which generation is paused when memory runs short: the highest value; one with a negative "
+        "value is never paused",
         frozenset(_REQUEST | _GENERATION | {"workspace_lead"}),
     ),
     "admit_risk": Expression(
         float,
-        "accepted chance that the batch outgrows memory if this request starts",
+        "accepted probability that the batch outgrows memory if this request starts",
         frozenset(_REQUEST | _TARGET | {"times_paused"}),
         low=0.0,
         high=1.0,
     ),
     "headroom": Expression(
         float,
-        "share of memory and batch kept for urgent work",
+        "share of memory and batch reserved for urgent work",
         frozenset(_TARGET | {"urgent_share"}),
         low=0.0,
         high=0.9,
     ),
     "place": Expression(
         float,
-        "which target gets a request: the highest",
+        "which target gets a request: the one with the highest value",
         frozenset(
             _REQUEST
             | {"estimated_wait_s", "memory_free_share", "prefix_hit", "same_hall", "step_s"}
