--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -85,8 +85,8 @@
     links = {}
     for name in names:
         url = fleet.plan.get_http(name) + "/admin/self"
-        answer = httpx.get(url, headers=headers, timeout=10, trust_env=False)
-        links[name] = answer.json()["links"]
+        response = httpx.get(url, headers=headers, timeout=10, trust_env=False)
+        links[name] = response.json()["links"]
     return links
 
 
@@ -133,10 +133,10 @@
     stand_ins: list[standins.StandIn] = []
     version = 0
     try:
-        answer = await asyncio.to_thread(
+        response = await asyncio.to_thread(
             fleet.apply, build_document(350), version, f"change-{version}-first"
         )
-        version = answer["version"]
+        version = response["version"]
         for size in DAEMON_COUNTS:
             stand_ins += await standins.start_many(len(stand_ins), size - len(stand_ins), keepers)
             await asyncio.sleep(SETTLE_SECONDS + size / 100)
@@ -146,10 +146,10 @@
             for _ in range(CHANGES_PER_SIZE):
                 changed = build_document(350, weight=1.0 + random.random())
                 sent_at = time.monotonic()
-                answer = await asyncio.to_thread(
+                response = await asyncio.to_thread(
                     fleet.apply, changed, version, f"change-{version}-{size}"
                 )
-                version = answer["version"]
+                version = response["version"]
                 accepted_at = time.monotonic()
                 await wait_in_force(stand_ins, version)
                 times = [item.in_force_at[version] for item in stand_ins]
--- a/benchmarks/pulse.py
+++ b/benchmarks/pulse.py
@@ -4,8 +4,9 @@
 
 Entries and keepers run unchanged in virtual time (`tillerlane.testing.gateway_lab`).  For some
 seconds callers send twice what the targets can serve; refused callers retry after the time given in
-the response.  Prints a table of the calls served in time, as a share of the capacity, by second and
-by the back-off that targets state when they reject a request.
+the response, or after a third of their time left if that is shorter.  Prints a table of the calls
+served in time, as a share of the capacity, by second and by the back-off that targets state when
+they reject a request.
 """
 
 import asyncio
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -54,7 +54,7 @@
 
 
 async def read_through_entry(
-    client: httpx.AsyncClient, url: str, number: int, found: asyncio.Future[str]
+    client: httpx.AsyncClient, url: str, number: int, id_future: asyncio.Future[str]
 ) -> dict[int, float]:
     """Read a stream through the entry; return the arrival time of each token by offset."""
     arrivals: dict[int, float] = {}
@@ -66,8 +66,8 @@
         async for line in response.aiter_lines():
             if line.startswith("id: "):
                 generation_id, _, next_offset = line[4:].rpartition(":")
-                if not found.done():
-                    found.set_result(generation_id)
+                if not id_future.done():
+                    id_future.set_result(generation_id)
                 now = time.monotonic()
                 for offset in range(received, int(next_offset)):
                     arrivals[offset] = now
@@ -76,11 +76,11 @@
 
 
 async def read_from_runner(
-    client: httpx.AsyncClient, base: str, found: asyncio.Future[str]
+    client: httpx.AsyncClient, base: str, id_future: asyncio.Future[str]
 ) -> dict[int, float]:
     """Read a stream directly from the runner; return the arrival time of each token by offset."""
     arrivals: dict[int, float] = {}
-    generation_id = await found
+    generation_id = await id_future
     url = f"{base}/v1/generations/{generation_id}"
     async with client.stream("GET", url) as response:
         async for line in response.aiter_lines():
@@ -99,15 +99,15 @@
     limits = httpx.Limits(max_connections=None)
     loop = asyncio.get_running_loop()
     async with httpx.AsyncClient(timeout=120, limits=limits, trust_env=False) as client:
-        found = [loop.create_future() for _ in range(streams)]
+        id_futures = [loop.create_future() for _ in range(streams)]
         names = ["entry-1", "agent-hall-a"]
         before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
         callers = [
-            asyncio.create_task(read_through_entry(client, url, number, found[number]))
+            asyncio.create_task(read_through_entry(client, url, number, id_futures[number]))
             for number in range(streams)
         ]
         readers = [
-            asyncio.create_task(read_from_runner(client, fleet.plan.urls["r"], found[number]))
+            asyncio.create_task(read_from_runner(client, fleet.plan.urls["r"], id_futures[number]))
             for number in range(direct_count)
         ]
         relayed = await asyncio.gather(*callers)
