--- a/benchmarks/mixes.py
+++ b/benchmarks/mixes.py
@@ -1,4 +1,4 @@
-"""The two users' mixes of work: classes, lengths with a long tail, arrivals at a given load."""
+"""The two users' workload mixes: classes, long-tailed lengths, and arrivals at a given load."""
 
 import dataclasses
 import math
@@ -7,27 +7,35 @@
 
 from tillerlane.testing import deployment, engine, texts
 
-__all__ = ["BRATTVIK", "KAARNA", "Arrival", "Kind", "Mix", "draw_arrivals", "draw_output"]
+__all__ = [
+    "BRATTVIK",
+    "KAARNA",
+    "Arrival",
+    "Kind",
+    "Mix",
+    "sample_arrivals",
+    "sample_output_length",
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of request: lengths in tokens, `share` of the memory-time offered."""
+    """A kind of request: lengths in tokens, and its share of the offered memory-time."""
 
     class_name: str
     workspaces: tuple[str, ...]
     share: float
     prompt: int
-    median: float
-    spread: float
-    longest: int
+    median_tokens: float
+    sigma: float
+    longest_tokens: int
     is_long: bool = False
     is_urgent: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mix:
-    """A user's mix on one pool."""
+    """A user's workload mix on one pool."""
 
     name: str
     example: str
@@ -59,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request of a mix: when it comes, and how long its answer will turn out to be."""
+    """One request of a mix, with its arrival time and the length of its output in tokens."""
 
     at: float
     kind: Kind
@@ -68,26 +76,30 @@
     length: int
 
 
-def draw_output(prompt: str, stretch: float = 1.0) -> int:
-    """Length that a prompt's answer turns out to have; the prompt carries its seed and shape."""
-    _, median, spread, longest, seed = prompt.split("|")[0].split(" ")
-    drawn = texts.draw_length(int(seed), float(median) * stretch, float(spread), int(longest))
-    return min(drawn, int(longest))
+def sample_output_length(prompt: str, length_factor: float = 1.0) -> int:
+    """Sample the output length of a prompt, which carries its seed and length distribution."""
+    _, median_tokens, sigma, longest_tokens, seed = prompt.split("|")[0].split(" ")
+    sampled_length = texts.draw_length(
+        int(seed), float(median_tokens) * length_factor, float(sigma), int(longest_tokens)
+    )
+    return min(sampled_length, int(longest_tokens))
 
 
-def _memory_time(kind: Kind, spec: engine.EngineSpec, stretch: float) -> float:
-    """Mean of memory times time that a request of a kind holds, in token seconds."""
+def _estimate_memory_seconds(kind: Kind, spec: engine.EngineSpec, length_factor: float) -> float:
+    """Estimate the mean memory-time of a request of a kind, in token-seconds."""
     rng = random.Random(7)
-    step = spec.step_seconds + spec.step_seconds_a_sequence * spec.batch_limit / 2
+    step_seconds_mean = spec.step_seconds + spec.step_seconds_a_sequence * spec.batch_limit / 2
     total = 0.0
     for _ in range(4_000):
-        drawn = rng.lognormvariate(math.log(kind.median * stretch), kind.spread)
-        length = max(1, min(kind.longest, round(drawn)))
-        total += length * step * (kind.prompt + length / 2)
+        sampled_length = rng.lognormvariate(
+            math.log(kind.median_tokens * length_factor), kind.sigma
+        )
+        length = max(1, min(kind.longest_tokens, round(sampled_length)))
+        total += length * step_seconds_mean * (kind.prompt + length / 2)
     return total / 4_000
 
 
-def draw_arrivals(
+def sample_arrivals(
     mix: Mix,
     spec: engine.EngineSpec,
     runners: int,
@@ -98,63 +110,63 @@
     flood: str = "",
     burst: bool = False,
 ) -> list[Arrival]:
-    """Arrivals at a load: 1.0 would fill all memory at all times if it could be packed perfectly.
+    """Sample arrivals; load 1.0 would fill all memory at all times if packed perfectly.
 
     Parameters
     ----------
     mix : Mix
-        Whose work.
+        Workload mix.
     spec : engine.EngineSpec
-        The runners.
+        Properties of each runner.
     runners : int
-        How many.
+        Number of runners.
     load : float
-        Offered memory-time over what there is.
+        Offered memory-time, relative to the memory-time available.
     seconds : float
-        Length of the span.
+        Length of the run.
     seed : int
-        For all draws.
+        Seed of all samples.
     flood : str
-        A workspace that sends five times its share.
+        Workspace that sends five times its share; empty for none.
     burst : bool
-        Whether arrivals come in waves of 20 s, at twice and at none of the rate.
+        Whether arrivals come in waves of 20 s, at twice the rate and at none in turn.
     """
     rng = random.Random(f"{mix.name} {seed}")
     arrivals = []
     for kind in mix.kinds:
-        capacity = runners * spec.memory_tokens / _memory_time(kind, spec, 1.0)
+        capacity = runners * spec.memory_tokens / _estimate_memory_seconds(kind, spec, 1.0)
         for workspace in kind.workspaces:
             factor = 5.0 if workspace == flood else 1.0
             rate = load * kind.share * capacity / len(kind.workspaces) * factor
             at = rng.expovariate(rate)
             while at < seconds:
                 if not burst or at % 40 < 20:
-                    arrivals.append(_draw(kind, workspace, at, rng))
+                    arrivals.append(_build_arrival(kind, workspace, at, rng))
                 at += rng.expovariate(rate * (2 if burst else 1))
     arrivals.sort(key=lambda item: item.at)
     return arrivals
 
 
-def _draw(kind: Kind, workspace: str, at: float, rng: random.Random) -> Arrival:
-    shape = f"p {kind.median} {kind.spread} {kind.longest} {rng.getrandbits(32)}|"
+def _build_arrival(kind: Kind, workspace: str, at: float, rng: random.Random) -> Arrival:
+    shape = f"p {kind.median_tokens} {kind.sigma} {kind.longest_tokens} {rng.getrandbits(32)}|"
     prompt = shape + "x" * max(0, kind.prompt * 4 - len(shape))
-    return Arrival(at, kind, workspace, prompt, draw_output(prompt))
+    return Arrival(at, kind, workspace, prompt, sample_output_length(prompt))
 
 
 def build_document(mix: Mix, runners: int, *, guided: bool) -> dict[str, Any]:
-    """One pool with all the mix's classes; without guidance all classes are alike."""
+    """Build a pool with all classes of a mix; unless guided, without policy and priorities."""
     example, _ = deployment.read_example(mix.example)
     classes = {}
     for kind in mix.kinds:
-        known = example["classes"].get(kind.class_name, {})
+        example_class = example["classes"].get(kind.class_name, {})
         values = {
             "pool": "pool",
             "model": "m",
             "deadline_seconds": 900 if kind.is_long else 60,
-            "max_tokens": kind.longest,
+            "max_tokens": kind.longest_tokens,
         }
         if guided:
-            values["priority"] = known.get("priority", 50)
+            values["priority"] = example_class.get("priority", 50)
             values["urgent"] = kind.is_urgent
         classes[kind.class_name] = values
     workspaces: dict[str, Any] = {
