--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -18,7 +18,7 @@
     used = state.memory_used
     count = len(state.running)
     for generation in state.waiting:
-        if count >= state.batch_limit or used + generation.memory > state.room:
+        if count >= state.batch_limit or used + generation.memory > state.usable_memory:
             break
         used += generation.memory
         count += 1
@@ -40,7 +40,9 @@
     used = sum(reserve(generation) for generation in state.running)
     count = len(state.running)
     for generation in state.waiting:
-        if count and (count >= state.batch_limit or used + reserve(generation) > state.room):
+        if count and (
+            count >= state.batch_limit or used + reserve(generation) > state.usable_memory
+        ):
             break
         used += reserve(generation)
         count += 1
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -37,7 +37,7 @@
         start = messages.Start(
             f"t~c~{number}", f"r-{number}", workspace, "c", "m", "t", b"", 200, 2_000
         )
-        book = state.length_book.get(workspace, "c", "m")
+        book = state.length_models.get(workspace, "c", "m")
         urgent = number % 2 == 0
         item = generations.Generation(start, number / 1e4, 1e9, 50, urgent, True, book)
         if number < running:
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -61,11 +61,11 @@
     def __init__(self, length: int) -> None:
         self._length = length
 
-    def survive(self, length: float) -> float:
+    def compute_survival(self, length: float) -> float:
         """Whether the answer is longer."""
         return float(self._length > length)
 
-    def look_ahead(self, written: int, longest: int) -> lengths.Survival:
+    def predict_remaining(self, written: int, longest: int) -> lengths.Survival:
         """What is left, exactly."""
         left = max(1, self._length - written)
         alive = tuple(1.0 if ahead < left else 0.0 for ahead in lengths.HORIZONS)
--- a/tillerlane/agent/execution.py
+++ b/tillerlane/agent/execution.py
@@ -69,7 +69,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._loops: list[asyncio.Task[None]] = []
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the tasks of the target."""
         self._loops = [asyncio.create_task(self._decide_for_ever())]
         if self.state.is_runner:
@@ -115,9 +115,9 @@
             state.dequeue(generation)
             state.running.append(generation)
             generation.state = generations.State.RUNNING
-            generation.ran_since = now
+            generation.running_since = now
             cost = targets.PROMPT_TOKEN_COST * generation.start.prompt_tokens
-            state.ledger.charge(generation.start.workspace, cost, now)
+            state.workspace_usage.charge(generation.start.workspace, cost, now)
             self._record(
                 "generation.admit",
                 generation,
@@ -144,7 +144,7 @@
             state.paused.remove(generation)
             state.running.append(generation)
             generation.state = generations.State.RUNNING
-            generation.ran_since = now
+            generation.running_since = now
             state.recomputed_tokens += generation.memory
             self._record("generation.unpause", generation, written=len(generation.texts))
             self._spawn(self._unpause(generation))
@@ -167,7 +167,9 @@
         state = self.state
         if not state.is_runner:
             return
-        last = max((max(item.last_token_at, item.ran_since) for item in state.running), default=now)
+        last = max(
+            (max(item.last_token_at, item.running_since) for item in state.running), default=now
+        )
         sick = now - last > STALL_SECONDS or state.load_failures >= LOAD_FAILURES_UNTIL_SICK
         if sick == state.healthy:
             state.healthy = not sick
@@ -184,7 +186,7 @@
         ended = []
         if state.is_runner:
             for generation in [
-                item for item in state.waiting if scheduling.is_hopeless(item, state, now)
+                item for item in state.waiting if scheduling.cannot_meet_deadline(item, state, now)
             ]:
                 reason = "the deadline cannot be met any more"
                 self.cancel(generation, kinds.ErrorKind.DEADLINE_EXPIRED, reason)
@@ -236,7 +238,7 @@
             ran = kinds.Ran.YES if started or generation.texts else kinds.Ran.NO
         self._finish_cancelled(generation, kind, reason, ran)
         for delay in CANCEL_DELAYS:
-            if started is not None or (word and not generation.is_read):
+            if started is not None or (word and not generation.is_streaming):
                 return
             await asyncio.sleep(delay)
             word, started = await self._ask_to_end(generation)
@@ -272,18 +274,18 @@
         state.running.append(generation)
         generation.state = generations.State.RUNNING
         generation.started = True
-        generation.ran_since = asyncio.get_running_loop().time()
+        generation.running_since = asyncio.get_running_loop().time()
         self._record("generation.adopt", generation)
         self._spawn(self._run(generation))
 
     async def _run(self, generation: generations.Generation) -> None:
         if generation.end is not None and not generation.started:
             return  # ended between its admission and now; its reader was told that it did not run
-        generation.is_read = True
+        generation.is_streaming = True
         try:
             fault = await self._read_to_end(generation)
         finally:
-            generation.is_read = False
+            generation.is_streaming = False
             self.state.release(generation)
             self.wake()
         now = asyncio.get_running_loop().time()
@@ -353,7 +355,7 @@
                 self._finish(generation, item, now)
                 return
             fresh = generation.add(item.offset, item.texts, now)
-            state.count_tokens(workspace, fresh, now)
+            state.record_tokens(workspace, fresh, now)
 
     def _finish(
         self, generation: generations.Generation, finish: runners.Finish, now: float
@@ -370,7 +372,7 @@
             return
         start = generation.start
         if finish.reason == "stop" and self.state.is_runner:
-            self.state.length_book.add(
+            self.state.length_models.add(
                 start.workspace, start.class_name, start.model, len(generation.texts)
             )
         generation.finish(
@@ -391,7 +393,7 @@
         while True:
             try:
                 load = await self.state.client.read_load()
-                self.state.take_load(load, loop.time())
+                self.state.handle_load(load, loop.time())
             except (runners.TargetBroken, OSError):
                 self.state.load_failures += 1
             self.wake()
@@ -403,7 +405,7 @@
         while True:
             try:
                 async for event in self.state.client.read_cache_events(seen):
-                    self.state.take_cache_event(event, seen + 1)
+                    self.state.handle_cache_event(event, seen + 1)
                     seen = event.number
             except (runners.TargetBroken, runners.UnknownGeneration, OSError, ValueError):
                 seen = 0
--- a/tillerlane/agent/forecast.py
+++ b/tillerlane/agent/forecast.py
@@ -38,7 +38,7 @@
 
     def add(self, generation: generations.Generation) -> None:
         """Add a generation to the batch."""
-        alive = generation.look_ahead().alive
+        alive = generation.predict_remaining().alive
         memory = generation.memory
         for index, ahead in enumerate(lengths.HORIZONS):
             chance = alive[index]
--- a/tillerlane/agent/generation.py
+++ b/tillerlane/agent/generation.py
@@ -39,12 +39,12 @@
     length_model: lengths.LengthModel
     state: State = State.WAITING
     started: bool = False
-    is_read: bool = False
+    is_streaming: bool = False
     """Whether its stream is being read or asked for at the target."""
     texts: list[str] = dataclasses.field(default_factory=list)
     end: messages.End | None = None
     ended_at: float = 0.0
-    ran_since: float = 0.0
+    running_since: float = 0.0
     last_token_at: float = 0.0
     times_paused: int = 0
     delivered: int = 0
@@ -68,11 +68,13 @@
         """Tokens of the target's memory that it holds, or will hold when it goes on."""
         return self.start.prompt_tokens + len(self.texts)
 
-    def look_ahead(self) -> lengths.Survival:
+    def predict_remaining(self) -> lengths.Survival:
         """What is left to write; renewed when the text has grown by a sixteenth."""
         written = len(self.texts)
         if self.survival is None or written - self.survival_at > max(8, written // 16):
-            self.survival = self.length_model.look_ahead(written, max(1, self.start.max_tokens))
+            self.survival = self.length_model.predict_remaining(
+                written, max(1, self.start.max_tokens)
+            )
             self.survival_at = written
         return self.survival
 
--- a/tillerlane/agent/lengths.py
+++ b/tillerlane/agent/lengths.py
@@ -8,7 +8,7 @@
 import dataclasses
 import math
 
-__all__ = ["HORIZONS", "LengthBook", "LengthModel", "Survival"]
+__all__ = ["HORIZONS", "LengthModel", "LengthModels", "Survival"]
 
 _RATIO = 2 ** (1 / 4)
 _LONGEST = 262_144
@@ -58,7 +58,7 @@
         Chance that it still runs at each of `HORIZONS`.
     """
 
-    expected_left: float
+    expected_remaining: float
     alive: tuple[float, ...]
 
 
@@ -101,7 +101,7 @@
             self._tail_age = self._base.samples if self._base is not None else 0
         return self._tail
 
-    def survive(self, length: float) -> float:
+    def compute_survival(self, length: float) -> float:
         """Chance that an answer is longer than `length` tokens."""
         if length < 1:
             return 1.0
@@ -111,11 +111,11 @@
         part = (length - low) / (high - low)
         return max(1e-12, tail[index] + (tail[index + 1] - tail[index]) * part)
 
-    def look_ahead(self, written: int, longest: int) -> Survival:
+    def predict_remaining(self, written: int, longest: int) -> Survival:
         """What is left, given `written` tokens and that it ends at `longest` at the latest."""
-        now = self.survive(written)
+        now = self.compute_survival(written)
         alive = tuple(
-            self.survive(written + ahead) / now if written + ahead < longest else 0.0
+            self.compute_survival(written + ahead) / now if written + ahead < longest else 0.0
             for ahead in HORIZONS
         )
         expected = 0.0
@@ -127,7 +127,7 @@
         return Survival(max(1.0, expected), alive)
 
 
-class LengthBook:
+class LengthModels:
     """Distributions for each (workspace, class, model), each borrowing from its class."""
 
     MAX_KEYS = 4_096
--- a/tillerlane/agent/orders.py
+++ b/tillerlane/agent/orders.py
@@ -8,12 +8,12 @@
 from tillerlane.faults import kinds
 from tillerlane.runners import core as runners
 
-__all__ = ["OrderBook"]
+__all__ = ["OrderExecutor"]
 
 MAX_REMEMBERED = 200
 
 
-class OrderBook:
+class OrderExecutor:
     """Orders that one target's agent has obeyed.
 
     Parameters
@@ -26,7 +26,7 @@
         self._state = state
         self._outcomes: collections.OrderedDict[str, str] = collections.OrderedDict()
 
-    async def obey(self, arguments: dict[str, Any]) -> dict[str, str]:
+    async def execute(self, arguments: dict[str, Any]) -> dict[str, str]:
         """Carry out an order once; a resent one gets its first outcome.
 
         Raises
--- a/tillerlane/agent/scheduling.py
+++ b/tillerlane/agent/scheduling.py
@@ -16,15 +16,15 @@
 from tillerlane.faults import kinds
 from tillerlane.policy import builtin, facts
 
-__all__ = ["Admit", "Pause", "Unpause", "decide", "refuse_arrival"]
+__all__ = ["Admit", "Pause", "Unpause", "check_arrival", "decide"]
 
 LOOKAHEAD_STEPS = 8
 """Tokens that each generation may write before the next decision takes effect."""
-RANKS_A_DECISION = 48
+MAX_RANKS_PER_DECISION = 48
 """Ranks evaluated anew in one decision; the others keep their last value."""
 RANK_AGE_SECONDS = 0.5
 """A rank younger than this is not evaluated anew."""
-TRIES_A_DECISION = 32
+MAX_CANDIDATES_PER_DECISION = 32
 DISPLACE_AFTER_SECONDS = 0.5
 """Wait of urgent work after which another generation yields to it."""
 HOPELESS_CHANCE = 0.95
@@ -60,7 +60,7 @@
 Readers = dict[str, Callable[[], facts.Value]]
 
 
-def read_fixed(
+def build_fixed_facts(
     generation: generations.Generation, state: targets.TargetState
 ) -> dict[str, facts.Value]:
     """Facts of a request that do not change."""
@@ -87,16 +87,18 @@
     """Functions that read the facts of a generation as they are now."""
     waited_before = generation.start.waited_ms / 1000
     return {
-        "expected_tokens": lambda: len(generation.texts) + generation.look_ahead().expected_left,
+        "expected_tokens": lambda: (
+            len(generation.texts) + generation.predict_remaining().expected_remaining
+        ),
         "waited_s": lambda: now - generation.arrived + waited_before,
         "deadline_left_s": lambda: max(0.0, generation.deadline - now),
         "workspace_lead": lambda: leads.get(generation.start.workspace, 0.0),
         "times_paused": lambda: float(generation.times_paused),
         "written_tokens": lambda: float(len(generation.texts)),
         "delivered_tokens": lambda: float(generation.delivered),
-        "expected_left_tokens": lambda: generation.look_ahead().expected_left,
+        "expected_left_tokens": lambda: generation.predict_remaining().expected_remaining,
         "memory_tokens": lambda: float(generation.memory),
-        "runs_s": lambda: now - generation.ran_since,
+        "runs_s": lambda: now - generation.running_since,
         "waiting": lambda: float(len(state.waiting)),
         "running": lambda: float(len(state.running)),
         "memory_share": lambda: state.memory_used / max(1, state.memory_total),
@@ -114,7 +116,7 @@
 ) -> float:
     """Rank by the policy; the value is kept on the generation."""
     if generation.ranker is None:
-        generation.ranker = state.program.bind("rank", read_fixed(generation, state))
+        generation.ranker = state.program.bind("rank", build_fixed_facts(generation, state))
     default = builtin.rank(
         priority=float(generation.priority),
         waited_s=now - generation.arrived + generation.start.waited_ms / 1000,
@@ -147,10 +149,10 @@
     most a few decisions old.
     """
     waiting = state.waiting
-    if state.program.expressions.get("rank") is None or len(waiting) <= RANKS_A_DECISION:
+    if state.program.expressions.get("rank") is None or len(waiting) <= MAX_RANKS_PER_DECISION:
         stale = [item for item in waiting if now - item.rank_at > 0]
     else:
-        stalest = heapq.nsmallest(RANKS_A_DECISION - TOP_RANKS, waiting, key=_read_rank_at)
+        stalest = heapq.nsmallest(MAX_RANKS_PER_DECISION - TOP_RANKS, waiting, key=_read_rank_at)
         stale = [
             item
             for item in [*waiting[:TOP_RANKS], *stalest]
@@ -173,13 +175,13 @@
     """Value of one of the policy's expressions for a generation."""
     if name not in state.program.expressions:
         return default
-    evaluator = state.program.bind(name, read_fixed(generation, state))
+    evaluator = state.program.bind(name, build_fixed_facts(generation, state))
     value = evaluator.evaluate(bind_readers(generation, state, leads, now), default)
     generation.explained[name] = {"value": value, "facts": dict(evaluator.facts)}
     return value
 
 
-def read_headroom(state: targets.TargetState) -> float:
+def compute_headroom(state: targets.TargetState) -> float:
     """Share of memory and batch that is kept for urgent work."""
     if "headroom" not in state.program.expressions:
         return builtin.HEADROOM
@@ -206,7 +208,7 @@
         default = builtin.sacrifice(
             priority=float(generation.priority),
             written_tokens=float(len(generation.texts)),
-            expected_left_tokens=generation.look_ahead().expected_left,
+            expected_left_tokens=generation.predict_remaining().expected_remaining,
             memory_tokens=float(generation.memory),
         )
         score = float(evaluate("sacrifice", default, generation, state, leads, now))
@@ -224,7 +226,7 @@
     staying = list(state.running)
     actions: list[Action] = []
     used = state.memory_used
-    while len(staying) > 1 and used + LOOKAHEAD_STEPS * len(staying) > state.room:
+    while len(staying) > 1 and used + LOOKAHEAD_STEPS * len(staying) > state.usable_memory:
         victim = choose_victim(staying, state, leads, now)
         if victim is None:
             break
@@ -259,10 +261,10 @@
     kept = 0.0 if generation.urgent else headroom
     if batch.count >= max(1, round(state.batch_limit * (1.0 - kept))):
         return False
-    room = state.room * (1.0 - kept)
+    room = state.usable_memory * (1.0 - kept)
     needed = batch.used + generation.memory + LOOKAHEAD_STEPS * (batch.count + 1)
     if batch.count == 0:
-        return generation.memory <= state.room
+        return generation.memory <= state.usable_memory
     if needed > room:
         return False
     limit = float(evaluate("admit_risk", builtin.ADMIT_RISK, generation, state, leads, now))
@@ -282,8 +284,12 @@
     for generation in state.paused:
         rank_generation(generation, state, leads, now)
     paused = sorted(state.paused, key=lambda item: -item.rank)
-    urgent = itertools.islice((item for item in waiting if item.urgent), TRIES_A_DECISION)
-    others = itertools.islice((item for item in waiting if not item.urgent), TRIES_A_DECISION)
+    urgent = itertools.islice(
+        (item for item in waiting if item.urgent), MAX_CANDIDATES_PER_DECISION
+    )
+    others = itertools.islice(
+        (item for item in waiting if not item.urgent), MAX_CANDIDATES_PER_DECISION
+    )
     return [*urgent, *paused, *others]
 
 
@@ -303,7 +309,7 @@
 
 
 def _admit(state: targets.TargetState, leads: dict[str, float], now: float) -> list[Action]:
-    headroom = read_headroom(state)
+    headroom = compute_headroom(state)
     batch = _Batch(forecast.BatchForecast(state.running), state.memory_used, len(state.running))
     actions: list[Action] = []
     blocked: set[bool] = set()
@@ -341,7 +347,7 @@
         return _admit_calls(state)
     if not state.waiting and not state.paused and not state.running:
         return []
-    leads = state.read_leads()
+    leads = state.compute_leads()
     actions = _pause_for_memory(state, leads, now)
     if actions or not state.healthy or not (state.waiting or state.paused):
         return actions
@@ -349,7 +355,9 @@
     return actions or _displace(state, leads, now)
 
 
-def is_hopeless(generation: generations.Generation, state: targets.TargetState, now: float) -> bool:
+def cannot_meet_deadline(
+    generation: generations.Generation, state: targets.TargetState, now: float
+) -> bool:
     """Whether a waiting request could hardly be whole by its deadline if it started now.
 
     It is then told at once, not at its deadline.
@@ -357,10 +365,10 @@
     left = max(0.0, generation.deadline - now) / max(1e-4, state.step_seconds)
     if left >= generation.start.max_tokens:
         return False
-    return generation.length_model.survive(left) > HOPELESS_CHANCE
+    return generation.length_model.compute_survival(left) > HOPELESS_CHANCE
 
 
-def refuse_arrival(
+def check_arrival(
     generation: generations.Generation, state: targets.TargetState, now: float
 ) -> faults.Fault | None:
     """Whether a new request must be refused at once; nothing of it has run."""
@@ -379,7 +387,7 @@
         return faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message)
     if not state.waiting and not state.paused:
         return None
-    service_time = generation.look_ahead().expected_left * state.step_seconds
+    service_time = generation.predict_remaining().expected_remaining * state.step_seconds
     default = builtin.may_wait(
         estimated_wait_s=wait + service_time, deadline_left_s=generation.deadline - now
     )
--- a/tillerlane/agent/server.py
+++ b/tillerlane/agent/server.py
@@ -98,15 +98,15 @@
                 state, timeline, self._get_fleet, count, decide
             )
         self._orders = {
-            name: orders.OrderBook(executor.state) for name, executor in self.executors.items()
+            name: orders.OrderExecutor(executor.state) for name, executor in self.executors.items()
         }
         store.add_listener(lambda changed: self._take_configuration(changed.current))
         self._take_configuration(store.current)
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Start the tasks of all targets."""
         for executor in self.executors.values():
-            executor.begin()
+            executor.start()
         self._report_task = asyncio.create_task(self._report_for_ever())
 
     async def stop(self) -> None:
@@ -192,28 +192,28 @@
         self.host_leaving = leaving
         self._take_configuration(self._store.current)
 
-    def read_leaving(self) -> set[str]:
+    def list_leaving(self) -> set[str]:
         """Targets that take no new work."""
         return {name for name, item in self.executors.items() if item.state.leaving}
 
-    async def obey(self, arguments: dict[str, Any]) -> dict[str, str]:
+    async def execute_order(self, arguments: dict[str, Any]) -> dict[str, str]:
         """Carry out a fenced order."""
         book = self._orders.get(arguments["target"])
         if book is None:
             message = f"no target {arguments['target']!r} here"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NOT_FOUND, message))
-        outcome = await book.obey(arguments)
+        outcome = await book.execute(arguments)
         self._timeline.record("order.done", **arguments)
         self._changed.set()
         return outcome
 
-    def read_demand(self) -> list[dict[str, Any]]:
+    def build_demand(self) -> list[dict[str, Any]]:
         """Models, state and load by model of each runner, for placement."""
         return [
             {
                 "target": name,
                 "models": sorted(executor.state.models),
-                "loads": executor.state.read_loads_by_model(),
+                "loads": executor.state.compute_loads_by_model(),
                 "leaving": executor.state.leaving,
                 "healthy": executor.state.healthy,
             }
@@ -273,7 +273,7 @@
         now = asyncio.get_running_loop().time()
         model = self.get_length_model(start) if self.get_length_model else None
         if model is None:
-            book = executor.state.length_book
+            book = executor.state.length_models
             model = book.get(start.workspace, start.class_name, start.model)
         return generations.Generation(
             start=start,
@@ -294,7 +294,7 @@
         if known is not None:
             return known
         generation = self._build(executor, start, terms)
-        fault = scheduling.refuse_arrival(generation, state, generation.arrived)
+        fault = scheduling.check_arrival(generation, state, generation.arrived)
         if fault is None and state.models and start.model and start.model not in state.models:
             message = f"{state.name} has not loaded {start.model!r}"
             fault = faults.new_fault(kinds.ErrorKind.NO_CAPACITY, message)
@@ -391,13 +391,13 @@
 
     # Reports
 
-    def read_loads(self) -> list[messages.Load]:
+    def build_loads(self) -> list[messages.Load]:
         """Load of every target as it is now."""
         return [self._read_load(executor.state) for executor in self.executors.values()]
 
     def _read_load(self, state: targets.TargetState) -> messages.Load:
         used = state.memory_used
-        promised = sum(int(item.look_ahead().expected_left) for item in state.running)
+        promised = sum(int(item.predict_remaining().expected_remaining) for item in state.running)
         return messages.Load(
             target=state.name,
             waiting=len(state.waiting) + len(state.paused),
@@ -409,7 +409,7 @@
             wait_ms=state.estimate_wait(False) * 1000,
             leaving=state.leaving,
             healthy=state.healthy,
-            prefixes=list(state.prefixes)[-targets.MAX_PREFIXES_TOLD :],
+            prefixes=list(state.prefixes)[-targets.MAX_REPORTED_PREFIXES :],
             models=sorted(state.models),
             urgent_wait_ms=state.estimate_wait(True) * 1000,
         )
@@ -436,7 +436,7 @@
 
     def _read_changed(self, everything: bool) -> list[messages.Load]:
         changed = []
-        for load in self.read_loads():
+        for load in self.build_loads():
             known = self._reported.get(load.target)
             if everything or known is None or _has_changed(known, load):
                 self._reported[load.target] = load
--- a/tillerlane/agent/target.py
+++ b/tillerlane/agent/target.py
@@ -10,7 +10,7 @@
 from tillerlane.policy import program as programs
 from tillerlane.runners import core as runners
 
-__all__ = ["TargetState", "WorkspaceLedger"]
+__all__ = ["TargetState", "WorkspaceUsage"]
 
 LEDGER_HALF_LIFE_SECONDS = 60.0
 PROMPT_TOKEN_COST = 0.1
@@ -23,11 +23,11 @@
 DEFAULT_STEP_SECONDS = 0.03
 STALE_LOAD_SECONDS = 3.0
 MAX_PREFIXES = 256
-MAX_PREFIXES_TOLD = 32
+MAX_REPORTED_PREFIXES = 32
 """Prefixes named in a load report, the latest ones."""
 
 
-class WorkspaceLedger:
+class WorkspaceUsage:
     """Tokens served to each workspace, decaying, over its weight."""
 
     def __init__(self) -> None:
@@ -74,8 +74,8 @@
     waiting: list[generations.Generation] = dataclasses.field(default_factory=list)
     running: list[generations.Generation] = dataclasses.field(default_factory=list)
     paused: list[generations.Generation] = dataclasses.field(default_factory=list)
-    length_book: lengths.LengthBook = dataclasses.field(default_factory=lengths.LengthBook)
-    ledger: WorkspaceLedger = dataclasses.field(default_factory=WorkspaceLedger)
+    length_models: lengths.LengthModels = dataclasses.field(default_factory=lengths.LengthModels)
+    workspace_usage: WorkspaceUsage = dataclasses.field(default_factory=WorkspaceUsage)
     memory_total: int = DEFAULT_MEMORY_TOKENS
     batch_limit: int = DEFAULT_BATCH_LIMIT
     step_seconds: float = DEFAULT_STEP_SECONDS
@@ -111,11 +111,11 @@
         return sum(generation.memory for generation in self.running)
 
     @property
-    def room(self) -> int:
+    def usable_memory(self) -> int:
         """Memory that this agent may fill."""
         return max(0, self.memory_total - self.foreign_memory)
 
-    def take_load(self, load: runners.RunnerLoad, now: float) -> None:
+    def handle_load(self, load: runners.RunnerLoad, now: float) -> None:
         """Take note of the target's own, lagging report."""
         self.load_at = now
         self.load_failures = 0
@@ -128,9 +128,9 @@
         is_foreign = unknown > FOREIGN_SHARE * load.memory_total
         self.foreign_memory = min(unknown, load.memory_total) if is_foreign else 0
 
-    def count_tokens(self, workspace: str, tokens: int, now: float) -> None:
+    def record_tokens(self, workspace: str, tokens: int, now: float) -> None:
         """Charge written tokens and follow the rate at which the target writes."""
-        self.ledger.charge(workspace, tokens, now)
+        self.workspace_usage.charge(workspace, tokens, now)
         self._rate_tokens += tokens
         passed = now - self._rate_at
         if passed >= 1.0:
@@ -142,7 +142,7 @@
             self._rate_tokens = 0
             self._rate_at = now
 
-    def get_rate(self) -> float:
+    def estimate_token_rate(self) -> float:
         """Tokens a second that the target can write, from what it wrote when it was busy."""
         by_size = 0.25 * self.batch_limit / max(1e-3, self.step_seconds)
         return max(1.0, self.token_rate, by_size)
@@ -150,14 +150,14 @@
     def estimate_wait(self, urgent: bool) -> float:
         """Seconds until a request that comes now would start."""
         ahead = self.backlog[True] + (0.0 if urgent else self.backlog[False])
-        return ahead / self.get_rate()
+        return ahead / self.estimate_token_rate()
 
     def enqueue(self, generation: generations.Generation) -> None:
         """Put a new generation into the queue."""
         self.held[generation.id] = generation
         self.waiting.append(generation)
         self.waiting_of[generation.start.workspace] += 1
-        self.backlog[generation.urgent] += generation.look_ahead().expected_left
+        self.backlog[generation.urgent] += generation.predict_remaining().expected_remaining
         self.urgent_share += 0.05 * (float(generation.urgent) - self.urgent_share)
 
     def dequeue(self, generation: generations.Generation) -> None:
@@ -167,7 +167,7 @@
         self.waiting_of[workspace] -= 1
         if not self.waiting_of[workspace]:
             del self.waiting_of[workspace]
-        left = self.backlog[generation.urgent] - generation.look_ahead().expected_left
+        left = self.backlog[generation.urgent] - generation.predict_remaining().expected_remaining
         self.backlog[generation.urgent] = max(0.0, left) if self.waiting else 0.0
 
     def release(self, generation: generations.Generation) -> None:
@@ -179,32 +179,32 @@
         elif generation in self.waiting:
             self.dequeue(generation)
 
-    def read_leads(self) -> dict[str, float]:
+    def compute_leads(self) -> dict[str, float]:
         """Tokens over weight of each workspace with work here, above the least served one.
 
         What still runs counts with what it is expected to write, so that many requests at once
         gain nothing.
         """
-        served = {workspace: self.ledger.read(workspace) for workspace in self.waiting_of}
+        served = {workspace: self.workspace_usage.read(workspace) for workspace in self.waiting_of}
         for generation in (*self.running, *self.paused):
             workspace = generation.start.workspace
             if workspace not in served:
-                served[workspace] = self.ledger.read(workspace)
-            served[workspace] += generation.look_ahead().expected_left
+                served[workspace] = self.workspace_usage.read(workspace)
+            served[workspace] += generation.predict_remaining().expected_remaining
         over = {key: value / self.weights.get(key, 1.0) for key, value in served.items()}
         least = min(over.values(), default=0.0)
         return {key: value - least for key, value in over.items()}
 
-    def read_loads_by_model(self) -> dict[str, float]:
+    def compute_loads_by_model(self) -> dict[str, float]:
         """Share of the target that each model uses or waits for, by memory; may exceed 1."""
         loads: dict[str, float] = {}
         for generation in (*self.running, *self.paused, *self.waiting):
-            held = generation.memory + generation.look_ahead().expected_left
+            held = generation.memory + generation.predict_remaining().expected_remaining
             model = generation.start.model
             loads[model] = loads.get(model, 0.0) + held / max(1, self.memory_total)
         return loads
 
-    def take_cache_event(self, event: runners.CacheEvent, expected: int) -> None:
+    def handle_cache_event(self, event: runners.CacheEvent, expected: int) -> None:
         """Follow the prefix cache.
 
         After a gap the prefixes known so far may have been dropped unseen, so they are forgotten:
--- a/tillerlane/agent/tests/test_scheduling.py
+++ b/tillerlane/agent/tests/test_scheduling.py
@@ -40,7 +40,7 @@
     longest: int = 100,
 ) -> generations.Generation:
     """A generation of a class whose answers have about 20 tokens."""
-    book = state.length_book
+    book = state.length_models
     if book.get(workspace, class_name, "m").samples == 0:
         for _ in range(50):
             book.add(workspace, class_name, "m", 20)
@@ -86,7 +86,7 @@
         admitted = scheduling.decide(state, 1.0)
         self.assertTrue(admitted)
         batch = [action.generation for action in admitted]
-        risk = forecast.BatchForecast(batch).risk(state.room * 0.9)
+        risk = forecast.BatchForecast(batch).risk(state.usable_memory * 0.9)
         self.assertLessEqual(risk, 0.02)
         self.assertGreater(forecast.BatchForecast(batch).expected_peak(), 500)
 
@@ -106,7 +106,7 @@
 
     def test_workspace_gains_nothing_by_many_requests(self) -> None:
         state = build_state(batch_limit=3)
-        state.ledger.charge("flood", 5_000, 0.0)
+        state.workspace_usage.charge("flood", 5_000, 0.0)
         for number in range(30):
             state.enqueue(build_generation(state, f"f{number}", workspace="flood"))
         state.enqueue(build_generation(state, "one", workspace="calm", arrived=0.5))
@@ -125,7 +125,7 @@
             state.enqueue(build_generation(state, str(number)))
         scheduling.order_waiting(state, {}, 5.0)
         fresh = sum(item.rank_at == 5.0 for item in state.waiting)
-        self.assertLessEqual(fresh, scheduling.RANKS_A_DECISION)
+        self.assertLessEqual(fresh, scheduling.MAX_RANKS_PER_DECISION)
         for step in range(60):
             scheduling.order_waiting(state, {}, 6.0 + step)
         self.assertTrue(all(item.rank_at > 5.0 for item in state.waiting))
@@ -184,7 +184,7 @@
     """Early refusals are certain not to have run."""
 
     def refuse(self, state: targets.TargetState, item: generations.Generation) -> str:
-        fault = scheduling.refuse_arrival(item, state, 0.0)
+        fault = scheduling.check_arrival(item, state, 0.0)
         if fault is None:
             return ""
         self.assertEqual(fault.ran, kinds.Ran.NO)
@@ -214,9 +214,9 @@
         state = build_state(step_seconds=0.1)
         item = build_generation(state, "x")
         item.deadline = 10.0
-        self.assertFalse(scheduling.is_hopeless(item, state, 0.0))
-        self.assertFalse(scheduling.is_hopeless(item, state, 7.0))
-        self.assertTrue(scheduling.is_hopeless(item, state, 9.5))
+        self.assertFalse(scheduling.cannot_meet_deadline(item, state, 0.0))
+        self.assertFalse(scheduling.cannot_meet_deadline(item, state, 7.0))
+        self.assertTrue(scheduling.cannot_meet_deadline(item, state, 9.5))
 
     def test_policy_decides(self) -> None:
         state = build_state(documents.Policy(may_wait="!urgent"))
@@ -250,30 +250,32 @@
         model = lengths.LengthModel()
         for length in [20] * 90 + [2_000] * 10:
             model.add(length)
-        self.assertLess(model.look_ahead(0, 10_000).expected_left, 600)
-        self.assertGreater(model.look_ahead(200, 10_000).expected_left, 900)
+        self.assertLess(model.predict_remaining(0, 10_000).expected_remaining, 600)
+        self.assertGreater(model.predict_remaining(200, 10_000).expected_remaining, 900)
 
     def test_bound_of_the_request_counts(self) -> None:
         model = lengths.LengthModel()
-        ahead = model.look_ahead(0, 50)
-        self.assertLessEqual(ahead.expected_left, 50)
+        ahead = model.predict_remaining(0, 50)
+        self.assertLessEqual(ahead.expected_remaining, 50)
         self.assertEqual(ahead.alive[-1], 0.0)
 
     def test_new_key_borrows_from_its_class(self) -> None:
-        book = lengths.LengthBook()
+        book = lengths.LengthModels()
         for _ in range(100):
             book.add("a", "c", "m", 1_000)
-        fresh = book.get("b", "c", "m").look_ahead(0, 100_000)
-        self.assertGreater(fresh.expected_left, 600)
+        fresh = book.get("b", "c", "m").predict_remaining(0, 100_000)
+        self.assertGreater(fresh.expected_remaining, 600)
 
     def test_it_adapts(self) -> None:
-        book = lengths.LengthBook()
+        book = lengths.LengthModels()
         for length in [100] * 400 + [300] * 400:
             book.add("a", "c", "m", length)
-        self.assertGreater(book.get("a", "c", "m").look_ahead(0, 10_000).expected_left, 200)
+        self.assertGreater(
+            book.get("a", "c", "m").predict_remaining(0, 10_000).expected_remaining, 200
+        )
 
     def test_keys_are_bounded(self) -> None:
-        book = lengths.LengthBook()
+        book = lengths.LengthModels()
         for number in range(book.MAX_KEYS + 50):
             book.get(f"w{number}", "c", "m")
         self.assertLessEqual(len(book._models), book.MAX_KEYS)
--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -136,7 +136,7 @@
                 self._around.decide,
             )
         self.view: fleet.FleetView | None = None
-        self.callers: api.Callers | None = None
+        self.callers: api.CallerApi | None = None
         if settings.Role.ENTRY in own.roles:
             self._build_entry()
         self.store.add_listener(self._note_configuration)
@@ -221,7 +221,7 @@
             self.client.propose,
             self.metrics.count,
         )
-        self.callers = api.Callers(
+        self.callers = api.CallerApi(
             store=self.store,
             dispatcher=dispatcher,
             limits=limits.WorkspaceLimits(),
@@ -245,7 +245,7 @@
             self.exchange.start()
         self.client.start()
         if self.agent is not None:
-            self.agent.begin()
+            self.agent.start()
         self._tasks.append(asyncio.create_task(self._refresh()))
         if self.settings.platform_list is not None:
             following = platform.poll_list(
@@ -424,7 +424,7 @@
         match body:
             case messages.Loads():
                 if self.view is not None:
-                    self.view.take_loads(link, body, now)
+                    self.view.handle_loads(link, body, now)
             case messages.ConfigPull():
                 self._answer_pull(link, body)
             case messages.ConfigDelta():
@@ -461,7 +461,7 @@
             }
             self.client.update_keepers(keepers)
             if self.agent is not None:
-                leaving = sorted(self.agent.read_leaving())
+                leaving = sorted(self.agent.list_leaving())
                 self.announcer.update(leaving_targets=leaving)
             await asyncio.sleep(REFRESH_SECONDS)
 
--- a/tillerlane/entry/api.py
+++ b/tillerlane/entry/api.py
@@ -19,7 +19,7 @@
 from tillerlane.runners import http_service
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Callers", "build_handlers"]
+__all__ = ["CallerApi", "build_handlers"]
 
 CLASS_HEADER = "x-tillerlane-class"
 REQUEST_HEADER = "x-request-id"
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Callers:
+class CallerApi:
     """What the callers' interface works with.
 
     Attributes
@@ -80,7 +80,7 @@
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.UNAUTHENTICATED, message))
         return workspace
 
-    def enter(self, workspace: str, prompt_tokens: int) -> None:
+    def admit(self, workspace: str, prompt_tokens: int) -> None:
         """Count a request in.
 
         Raises
@@ -93,7 +93,7 @@
                 kinds.ErrorKind.LEAVING, "this entry is stopping", retry_after=0.1
             )
             raise faults.FaultError(fault)
-        fault = self.limits.enter(
+        fault = self.limits.admit(
             workspace,
             self.store.current.workspaces[workspace].limits,
             self.count_entries(),
@@ -103,9 +103,9 @@
         if fault is not None:
             raise faults.FaultError(fault)
 
-    def leave(self, workspace: str, written: int) -> None:
+    def release(self, workspace: str, written: int) -> None:
         """Count a request out."""
-        self.limits.leave(workspace, written, asyncio.get_running_loop().time())
+        self.limits.release(workspace, written, asyncio.get_running_loop().time())
 
 
 async def read_body(http: litestar.Request[Any, Any, Any], limit: int) -> bytes:
@@ -166,11 +166,11 @@
 
 
 async def _write_events(
-    callers: Callers,
+    callers: CallerApi,
     request: requests.Request,
     items: Items,
     first: relay.Piece | relay.Ending,
-    writer: formats.ChunkWriter,
+    writer: formats.EventEncoder,
 ) -> AsyncIterator[bytes]:
     """Events of an answer whose first item is there already."""
     written = 0
@@ -178,7 +178,7 @@
         item: relay.Piece | relay.Ending | None = first
         while item is not None:
             if isinstance(item, relay.Ending):
-                yield writer.write_ending(item)
+                yield writer.encode_ending(item)
                 callers.timeline.record(
                     "request.end",
                     request_id=request.request_id,
@@ -187,17 +187,17 @@
                 )
                 return
             written += len(item.texts)
-            yield writer.write_piece(item)
+            yield writer.encode_piece(item)
             item = await anext(items, None)
     except faults.FaultError as error:
         _note_fault(callers, request, error.fault)
-        yield formats.write_error_event(error.fault)
+        yield formats.encode_error_event(error.fault)
     finally:
-        callers.leave(request.workspace, written)
+        callers.release(request.workspace, written)
         await items.aclose()  # type: ignore[attr-defined]
 
 
-def _note_fault(callers: Callers, request: requests.Request, fault: faults.Fault) -> None:
+def _note_fault(callers: CallerApi, request: requests.Request, fault: faults.Fault) -> None:
     callers.timeline.record(
         "request.fault",
         request_id=request.request_id,
@@ -223,7 +223,7 @@
 
 
 async def _answer(
-    callers: Callers,
+    callers: CallerApi,
     http: litestar.Request[Any, Any, Any],
     form: requests.Form,
     model: type[requests.ChatBody] | type[requests.CompletionBody],
@@ -259,18 +259,18 @@
         raise
 
 
-def _open_items(callers: Callers, request: requests.Request, last_event: str) -> Items:
+def _open_items(callers: CallerApi, request: requests.Request, last_event: str) -> Items:
     """A new generation, or the rest of one."""
     if not last_event:
-        callers.enter(request.workspace, request.prompt_tokens)
+        callers.admit(request.workspace, request.prompt_tokens)
         return callers.dispatcher.run(request)
     generation_id, offset = requests.parse_event_id(last_event)
-    callers.enter(request.workspace, 0)
+    callers.admit(request.workspace, 0)
     return callers.dispatcher.resume(request, generation_id, offset)
 
 
 async def _send(
-    callers: Callers,
+    callers: CallerApi,
     http: litestar.Request[Any, Any, Any],
     form: requests.Form,
     body: requests.ChatBody | requests.CompletionBody,
@@ -284,11 +284,11 @@
     try:
         first = await _run_while_connected(http, asyncio.create_task(_take_first(items)))
     except BaseException:
-        callers.leave(request.workspace, 0)
+        callers.release(request.workspace, 0)
         await items.aclose()  # type: ignore[attr-defined]
         raise
     callers.measure("first_token", asyncio.get_running_loop().time() - request.arrived)
-    writer = formats.ChunkWriter(form, body.model, created)
+    writer = formats.EventEncoder(form, body.model, created)
     events = _write_events(callers, request, items, first, writer)
     return response.Stream(events, media_type="text/event-stream", headers=headers, status_code=200)
 
@@ -298,7 +298,7 @@
 
 
 async def _send_whole(
-    callers: Callers,
+    callers: CallerApi,
     http: litestar.Request[Any, Any, Any],
     form: requests.Form,
     body: requests.ChatBody | requests.CompletionBody,
@@ -311,20 +311,20 @@
         text, ending = await _run_while_connected(http, work)
         written = ending.tokens
     finally:
-        callers.leave(request.workspace, written)
+        callers.release(request.workspace, written)
     callers.timeline.record(
         "request.end",
         request_id=request.request_id,
         generation_id=ending.generation_id,
         tokens=ending.tokens,
     )
-    answer = formats.write_whole(form, body.model, int(time.time()), text, ending)
+    answer = formats.build_response(form, body.model, int(time.time()), text, ending)
     headers = {REQUEST_HEADER: request.request_id, **_NO_BODY}
     return litestar.Response(answer, headers=headers, status_code=200)
 
 
 async def _call_service(
-    callers: Callers, http: litestar.Request[Any, Any, Any], name: str, path: str
+    callers: CallerApi, http: litestar.Request[Any, Any, Any], name: str, path: str
 ) -> litestar.Response[bytes]:
     """Serve one call of a plain service."""
     workspace = callers.authenticate(http)
@@ -358,16 +358,16 @@
         retry_share=0.1,
         idempotency_key=requests.check_key(http.headers.get("idempotency-key", "")),
     )
-    callers.enter(workspace, 0)
+    callers.admit(workspace, 0)
     try:
         items = callers.dispatcher.run(request)
-        work = asyncio.create_task(formats.read_service_answer(items))
+        work = asyncio.create_task(formats.read_service_response(items))
         answer = await _run_while_connected(http, work)
     except faults.FaultError as error:
         _note_fault(callers, request, error.fault)
         raise
     finally:
-        callers.leave(workspace, 0)
+        callers.release(workspace, 0)
     answer.headers[REQUEST_HEADER] = request.request_id
     media_type = answer.headers.pop("content-type", "application/octet-stream")
     return litestar.Response(
@@ -375,7 +375,7 @@
     )
 
 
-def build_handlers(callers: Callers) -> list[Any]:
+def build_handlers(callers: CallerApi) -> list[Any]:
     """Route handlers of the callers' interface."""
 
     @litestar.post("/v1/chat/completions", status_code=200)
@@ -400,7 +400,7 @@
             for alias, name in configuration.class_by_alias.items()
             if allowed is None or name in allowed
         ]
-        return formats.write_models(sorted(names), int(time.time()))
+        return formats.build_model_list(sorted(names), int(time.time()))
 
     @litestar.route(
         "/services/{name:str}/{path:path}",
--- a/tillerlane/entry/dispatch.py
+++ b/tillerlane/entry/dispatch.py
@@ -126,7 +126,7 @@
         self._count("policy_faults", 1)
         self._timeline.record("policy.fault", policy=policy, expression=expression, reason=reason)
 
-    def read_unserved(self) -> list[list[Any]]:
+    def pop_unserved(self) -> list[list[Any]]:
         """Requests that found no target, by pool and model; counts anew from here."""
         counted, self.unserved = self.unserved, collections.Counter()
         return [[pool, model, count] for (pool, model), count in counted.items() if model]
@@ -142,7 +142,7 @@
             With the kind and the truth on whether the request ran.
         """
         self.active += 1
-        self._budget.pay_in(request.group, request.retry_share)
+        self._budget.record_request(request.group, request.retry_share)
         try:
             if request.repeatable or not request.idempotency_key:
                 attempts = self._try_targets(request, None)
@@ -158,11 +158,11 @@
         self, request: requests.Request, generation_id: str, offset: int
     ) -> AsyncIterator[Item]:
         """The rest of a generation that another entry, or this one, had been reading."""
-        target, _ = requests.split_generation_id(generation_id)
+        target, _ = requests.parse_generation_id(generation_id)
         record = self._view.find(target)
         if record is None:
             loop = asyncio.get_running_loop()
-            await self._view.borrow_far([target], self._router.rng, loop.time())
+            await self._view.connect_far([target], self._router.rng, loop.time())
             record = self._view.find(target)
         if record is None:
             message = f"the target of {generation_id!r} is gone"
@@ -185,8 +185,10 @@
         *,
         attach: bool,
     ) -> relay.Relay:
-        patience = self._store.current.fleet.detached_seconds
-        return relay.Relay(request, record, generation_id, offset, attach, patience, self._timeline)
+        reconnect_timeout = self._store.current.fleet.detached_seconds
+        return relay.Relay(
+            request, record, generation_id, offset, attach, reconnect_timeout, self._timeline
+        )
 
     async def _try_targets(
         self, request: requests.Request, claim: _Claim | None
@@ -227,7 +229,7 @@
         chosen = routing.choose_target(request, self._router, program, tried, loop.time())
         if isinstance(chosen, result.Err):
             far = set(request.targets) - tried
-            if await self._view.borrow_far(far, self._router.rng, loop.time()):
+            if await self._view.connect_far(far, self._router.rng, loop.time()):
                 chosen = routing.choose_target(request, self._router, program, tried, loop.time())
         if isinstance(chosen, result.Err):
             if last is None:
@@ -244,7 +246,7 @@
             return False
         if fault.kind is kinds.ErrorKind.LEAVING:
             return True
-        return self._budget.take(request.group)
+        return self._budget.try_acquire(request.group)
 
     async def _run_attempt(
         self,
@@ -255,7 +257,7 @@
     ) -> AsyncIterator[Item]:
         """One generation; with delivery ``whole`` its tokens are held until its end."""
         self._record("request.send", request, generation_id, target=record.name)
-        record.note_sent(request.prompt_tokens)
+        record.record_send(request.prompt_tokens)
         held: list[Item] = []
         failed = False
         reading = self._relay(request, record, generation_id, 0, attach=False)
@@ -272,7 +274,7 @@
             failed = error.fault.kind in _TARGETS_OWN
             raise
         finally:
-            record.note_done(failed, asyncio.get_running_loop().time())
+            record.record_end(failed, asyncio.get_running_loop().time())
         for item in held:
             yield item
 
--- a/tillerlane/entry/fleet.py
+++ b/tillerlane/entry/fleet.py
@@ -44,10 +44,10 @@
     failures: int = 0
     ejected_until: float = -math.inf
     leaving: bool = False
-    borrowed_until: float = math.inf
+    retained_until: float = math.inf
     """Until when a target of a far hall is kept."""
 
-    def take_load(self, load: messages.Load, now: float) -> None:
+    def handle_load(self, load: messages.Load, now: float) -> None:
         """Take a report; one that is older than the last is dropped."""
         if self.load is not None and load.sequence <= self.load.sequence and load.sequence > 1:
             return
@@ -56,13 +56,13 @@
         self.sent_since = 0
         self.tokens_since = 0
 
-    def note_sent(self, tokens: int) -> None:
+    def record_send(self, tokens: int) -> None:
         """Take note that a request was sent."""
         self.sent_since += 1
         self.tokens_since += tokens
         self.in_flight += 1
 
-    def note_done(self, failed: bool, now: float) -> None:
+    def record_end(self, failed: bool, now: float) -> None:
         """Take note that a request has ended."""
         self.in_flight -= 1
         self.failures = self.failures + 1 if failed else 0
@@ -125,9 +125,9 @@
         if self._near_halls is None or member.data_hall in self._near_halls:
             return True
         record = self.targets.get(name)
-        return record is not None and (now < record.borrowed_until or record.in_flight > 0)
+        return record is not None and (now < record.retained_until or record.in_flight > 0)
 
-    async def borrow_far(self, names: Iterable[str], rng: random.Random, now: float) -> bool:
+    async def connect_far(self, names: Iterable[str], rng: random.Random, now: float) -> bool:
         """Link to a few targets of far halls, when the near ones cannot take a request.
 
         Returns
@@ -146,7 +146,7 @@
         chosen = rng.sample(far, min(FAR_SAMPLES, len(far)))
         for name, member in chosen:
             self._follow(name, member, now)
-            self.targets[name].borrowed_until = now + BORROW_SECONDS
+            self.targets[name].retained_until = now + BORROW_SECONDS
         links_found = await asyncio.gather(
             *(self.targets[name].peer.wait_link(FAR_DIAL_SECONDS) for name, _ in chosen),
             return_exceptions=True,
@@ -181,12 +181,12 @@
         for address in self._node.get_dialed() - used - self._members.keeper_addresses:
             self._node.hang_up(address)
 
-    def take_loads(self, link: links.Link, loads: messages.Loads, now: float) -> None:
+    def handle_loads(self, link: links.Link, loads: messages.Loads, now: float) -> None:
         """Take load reports from an agent's link."""
         for load in loads.loads:
             record = self.targets.get(load.target)
             if record is not None and record.agent == link.peer_id:
-                record.take_load(load, now)
+                record.handle_load(load, now)
 
     def find(self, name: str) -> TargetRecord | None:
         """A target by name."""
--- a/tillerlane/entry/formats.py
+++ b/tillerlane/entry/formats.py
@@ -9,7 +9,13 @@
 from tillerlane.entry import relay, requests
 from tillerlane.faults import core as faults
 
-__all__ = ["ChunkWriter", "read_service_answer", "write_error_event", "write_models", "write_whole"]
+__all__ = [
+    "EventEncoder",
+    "build_model_list",
+    "build_response",
+    "encode_error_event",
+    "read_service_response",
+]
 
 DONE_EVENT = b"data: [DONE]\n\n"
 _SEPARATORS = (",", ":")
@@ -20,7 +26,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ChunkWriter:
+class EventEncoder:
     """Writes one generation's tokens as server-sent events.
 
     All that does not change between events is written once.
@@ -55,7 +61,7 @@
             self._head = _encode(common)[:-1] + ',"choices":[{"index":0,'
         return self._head
 
-    def write_piece(self, piece: relay.Piece) -> bytes:
+    def encode_piece(self, piece: relay.Piece) -> bytes:
         """One event for a piece; its id says where to resume."""
         head = self._open(piece.generation_id)
         text = _encode("".join(piece.texts))
@@ -67,17 +73,17 @@
         next_offset = piece.offset + len(piece.texts)
         return f"id: {piece.generation_id}:{next_offset}\ndata: {head}{choice}\n\n".encode()
 
-    def write_ending(self, ending: relay.Ending) -> bytes:
+    def encode_ending(self, ending: relay.Ending) -> bytes:
         """The last events."""
         head = self._open(ending.generation_id)
         body = '"delta":{}' if self.form == "chat" else '"text":""'
-        usage = _encode(write_usage(ending))
+        usage = _encode(build_usage(ending))
         last = f'{body},"finish_reason":{_encode(ending.reason)}}}],"usage":{usage}}}'
         event = f"id: {ending.generation_id}:{ending.tokens}\ndata: {head}{last}\n\n"
         return event.encode() + DONE_EVENT
 
 
-def write_usage(ending: relay.Ending) -> dict[str, int]:
+def build_usage(ending: relay.Ending) -> dict[str, int]:
     """Token counts."""
     return {
         "prompt_tokens": ending.prompt_tokens,
@@ -86,12 +92,12 @@
     }
 
 
-def write_error_event(fault: faults.Fault) -> bytes:
+def encode_error_event(fault: faults.Fault) -> bytes:
     """An event for a fault after the answer has begun."""
     return f"event: error\ndata: {_encode(fault.to_json())}\n\n".encode()
 
 
-def write_whole(
+def build_response(
     form: requests.Form, model: str, created: int, text: str, ending: relay.Ending
 ) -> dict[str, Any]:
     """The whole answer as one JSON body."""
@@ -106,11 +112,11 @@
         "created": created,
         "model": model,
         "choices": [choice],
-        "usage": write_usage(ending),
+        "usage": build_usage(ending),
     }
 
 
-def write_models(names: list[str], created: int) -> dict[str, Any]:
+def build_model_list(names: list[str], created: int) -> dict[str, Any]:
     """Answer of ``GET /v1/models``."""
     data = [
         {"id": name, "object": "model", "created": created, "owned_by": "tillerlane"}
@@ -120,7 +126,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServiceAnswer:
+class ServiceResponse:
     """A plain service's answer."""
 
     status: int
@@ -128,7 +134,9 @@
     body: bytes
 
 
-async def read_service_answer(items: AsyncIterator[relay.Piece | relay.Ending]) -> ServiceAnswer:
+async def read_service_response(
+    items: AsyncIterator[relay.Piece | relay.Ending],
+) -> ServiceResponse:
     """Join the tokens of a service call (see `tillerlane.runners.http_service`)."""
     texts: list[str] = []
     async for item in items:
@@ -136,4 +144,4 @@
             texts.extend(item.texts)
     head = json.loads(texts[0])
     body = b"".join(base64.b64decode(text) for text in texts[1:])
-    return ServiceAnswer(head["status"], head["headers"], body)
+    return ServiceResponse(head["status"], head["headers"], body)
--- a/tillerlane/entry/limits.py
+++ b/tillerlane/entry/limits.py
@@ -32,7 +32,7 @@
         self._level = min(burst, self._level + rate * (now - self._at))
         self._at = now
 
-    def take(self, amount: float, rate: float, burst: float, now: float) -> float:
+    def acquire(self, amount: float, rate: float, burst: float, now: float) -> float:
         """Take `amount` if it is there; otherwise give the seconds until it is.
 
         Returns
@@ -46,7 +46,7 @@
             return 0.0
         return (min(amount, burst) - self._level) / rate
 
-    def settle(self, amount: float) -> None:
+    def debit(self, amount: float) -> None:
         """Take `amount` without asking, or give it back if negative."""
         self._level -= amount
 
@@ -74,7 +74,7 @@
             self._usage[workspace] = usage
         return usage
 
-    def enter(
+    def admit(
         self, workspace: str, limits: documents.Limits, entries: int, tokens: int, now: float
     ) -> faults.Fault | None:
         """Count a request in, or say why not.
@@ -100,22 +100,22 @@
                 return _refuse(workspace, f"{usage.running} of {allowed} at once here", 1.0)
         if limits.requests_per_second is not None:
             rate = limits.requests_per_second * share
-            wait = usage.requests.take(1.0, rate, max(1.0, rate * BURST_SECONDS), now)
+            wait = usage.requests.acquire(1.0, rate, max(1.0, rate * BURST_SECONDS), now)
             if wait > 0:
                 return _refuse(workspace, f"more than {rate:g} requests a second here", wait)
         if limits.tokens_per_minute is not None:
             rate = limits.tokens_per_minute * share / MINUTE
-            wait = usage.tokens.take(float(tokens), rate, rate * MINUTE, now)
+            wait = usage.tokens.acquire(float(tokens), rate, rate * MINUTE, now)
             if wait > 0:
                 return _refuse(workspace, f"more than {rate * MINUTE:g} tokens a minute here", wait)
         usage.running += 1
         return None
 
-    def leave(self, workspace: str, written: int, now: float) -> None:
+    def release(self, workspace: str, written: int, now: float) -> None:
         """Count a request out and charge what was written."""
         usage = self._get(workspace, now)
         usage.running -= 1
-        usage.tokens.settle(float(written))
+        usage.tokens.debit(float(written))
 
 
 def _refuse(workspace: str, reason: str, wait: float) -> faults.Fault:
@@ -135,12 +135,12 @@
     def __init__(self) -> None:
         self._level: dict[str, float] = {}
 
-    def pay_in(self, group: str, share: float) -> None:
+    def record_request(self, group: str, share: float) -> None:
         """Take note of a request."""
         level = self._level.get(group, 1.0)
         self._level[group] = min(RETRY_BURST, level + share)
 
-    def take(self, group: str) -> bool:
+    def try_acquire(self, group: str) -> bool:
         """Take one retry, if there is one left."""
         level = self._level.get(group, 1.0)
         if level < 1.0:
--- a/tillerlane/entry/relay.py
+++ b/tillerlane/entry/relay.py
@@ -78,7 +78,7 @@
     generation_id: str
     offset: int
     attach: bool
-    patience: float
+    reconnect_timeout: float
     timeline: timelines.Timeline
     sent: bool = False
     _taken: int = 0
@@ -119,8 +119,8 @@
                 faults.new_fault(kinds.ErrorKind.UNREACHABLE, message, ran=kinds.Ran.NO)
             )
         may_restart = self.offset == 0 and self.request.repeatable
-        patience = FIRST_WORD_SECONDS if may_restart else self.patience
-        if now - lost_at > patience or now > self.request.deadline:
+        reconnect_timeout = FIRST_WORD_SECONDS if may_restart else self.reconnect_timeout
+        if now - lost_at > reconnect_timeout or now > self.request.deadline:
             raise faults.FaultError(self._describe_loss(str(error)))
 
     def _describe_loss(self, reason: str) -> faults.Fault:
--- a/tillerlane/entry/requests.py
+++ b/tillerlane/entry/requests.py
@@ -23,12 +23,12 @@
     "new_request_id",
     "parse_body",
     "parse_event_id",
-    "split_generation_id",
+    "parse_generation_id",
 ]
 
 Form = Literal["chat", "completion", "service"]
 
-CHARACTERS_A_TOKEN = 4
+CHARACTERS_PER_TOKEN = 4
 """Estimate of a prompt's tokens; the engine's own count is not known beforehand."""
 PREFIX_CHARACTERS = 1_024
 """Start of a prompt that decides which runner may have it cached."""
@@ -62,7 +62,7 @@
 
     messages: Annotated[list[_Message], pydantic.Field(min_length=1)]
 
-    def write_prompt(self) -> str:
+    def format_prompt(self) -> str:
         """The conversation as one text."""
         return json.dumps([item.model_dump() for item in self.messages], ensure_ascii=False)
 
@@ -72,7 +72,7 @@
 
     prompt: str
 
-    def write_prompt(self) -> str:
+    def format_prompt(self) -> str:
         """The prompt."""
         return self.prompt
 
@@ -122,7 +122,7 @@
     return _SEPARATOR.join([target, class_name, secrets.token_hex(8)])
 
 
-def split_generation_id(generation_id: str) -> tuple[str, str]:
+def parse_generation_id(generation_id: str) -> tuple[str, str]:
     """Target and class of a generation.
 
     Raises
@@ -141,7 +141,7 @@
     generation_id, _, offset = text.rpartition(":")
     if not offset.isdigit() or len(offset) > 9:
         raise _bad(f"got Last-Event-ID {text[:80]!r}, expected GENERATION:OFFSET")
-    split_generation_id(generation_id)
+    parse_generation_id(generation_id)
     return generation_id, int(offset)
 
 
@@ -194,7 +194,7 @@
     """
     class_name, work = find_class(configuration, workspace, body.model, class_header)
     pool = configuration.pools[work.pool]
-    prompt = body.write_prompt()
+    prompt = body.format_prompt()
     asked = body.max_completion_tokens or body.max_tokens or work.max_tokens
     return Request(
         request_id=request_id,
@@ -204,7 +204,7 @@
         group=work.pool,
         targets={name: runner.data_hall for name, runner in pool.runners.items()},
         payload=prompt.encode(),
-        prompt_tokens=max(1, len(prompt) // CHARACTERS_A_TOKEN),
+        prompt_tokens=max(1, len(prompt) // CHARACTERS_PER_TOKEN),
         max_tokens=min(asked, work.max_tokens),
         prefix_hash=_hash_prefix(work.model, prompt),
         arrived=now,
--- a/tillerlane/entry/routing.py
+++ b/tillerlane/entry/routing.py
@@ -55,7 +55,7 @@
     return wait + batch_share * max(0.05, wait)
 
 
-def estimate_free(record: fleet.TargetRecord) -> float:
+def estimate_free_share(record: fleet.TargetRecord) -> float:
     """Share of memory neither used, promised nor sent since the report."""
     load = record.load
     if load is None or load.memory_total == 0:
@@ -110,7 +110,7 @@
     """Value of ``place`` for a candidate."""
     load = record.load
     wait = estimate_wait(record, request.urgent)
-    free = estimate_free(record)
+    free = estimate_free_share(record)
     hit = 1.0 if load and request.prefix_hash and request.prefix_hash in load.prefixes else 0.0
     same_hall = record.hall == router.data_hall
     default = builtin.place(
@@ -119,7 +119,7 @@
     if "place" not in program.expressions:
         return default
     step = load.step_ms / 1000 if load else 0.03
-    evaluator = program.bind("place", read_request_facts(request))
+    evaluator = program.bind("place", build_request_facts(request))
     readers = {
         "expected_tokens": lambda: float(request.max_tokens),
         "waited_s": lambda: now - request.arrived,
@@ -137,7 +137,7 @@
     return float(evaluator.evaluate(readers, default))
 
 
-def read_request_facts(request: requests.Request) -> dict[str, programs.Value]:
+def build_request_facts(request: requests.Request) -> dict[str, programs.Value]:
     """Facts of a request that do not change."""
     return {
         "workspace": request.workspace,
--- a/tillerlane/entry/tests/test_limits.py
+++ b/tillerlane/entry/tests/test_limits.py
@@ -18,30 +18,30 @@
         granted = 0
         for step in range(1_000):
             for entry in entries:
-                fault = entry.enter("w", wanted, 2, 0, step * 0.1)
+                fault = entry.admit("w", wanted, 2, 0, step * 0.1)
                 if fault is None:
                     granted += 1
-                    entry.leave("w", 0, step * 0.1)
+                    entry.release("w", 0, step * 0.1)
         self.assertAlmostEqual(granted / 100, 10, delta=0.5)
 
     def test_concurrent(self) -> None:
         own = limits.WorkspaceLimits()
         wanted = documents.Limits(concurrent=4)
-        self.assertIsNone(own.enter("w", wanted, 2, 0, 0.0))
-        self.assertIsNone(own.enter("w", wanted, 2, 0, 0.0))
-        fault = own.enter("w", wanted, 2, 0, 0.0)
+        self.assertIsNone(own.admit("w", wanted, 2, 0, 0.0))
+        self.assertIsNone(own.admit("w", wanted, 2, 0, 0.0))
+        fault = own.admit("w", wanted, 2, 0, 0.0)
         self.assertEqual(fault.kind.value, "over_limit")
-        own.leave("w", 0, 0.0)
-        self.assertIsNone(own.enter("w", wanted, 2, 0, 0.0))
+        own.release("w", 0, 0.0)
+        self.assertIsNone(own.admit("w", wanted, 2, 0, 0.0))
 
     def test_written_tokens_are_charged(self) -> None:
         own = limits.WorkspaceLimits()
         wanted = documents.Limits(tokens_per_minute=600)
-        self.assertIsNone(own.enter("w", wanted, 1, 10, 0.0))
-        own.leave("w", 1_000, 0.0)
-        fault = own.enter("w", wanted, 1, 10, 1.0)
+        self.assertIsNone(own.admit("w", wanted, 1, 10, 0.0))
+        own.release("w", 1_000, 0.0)
+        fault = own.admit("w", wanted, 1, 10, 1.0)
         self.assertGreater(fault.retry_after, 30)
-        self.assertIsNone(own.enter("w", wanted, 1, 10, 1.0 + fault.retry_after + 0.1))
+        self.assertIsNone(own.admit("w", wanted, 1, 10, 1.0 + fault.retry_after + 0.1))
 
     @profiles.choose(200)
     @given(
@@ -55,7 +55,7 @@
         granted = 0
         for gap in gaps:
             now += gap
-            granted += own.enter("w", wanted, 1, 0, now) is None
+            granted += own.admit("w", wanted, 1, 0, now) is None
         burst = max(1.0, rate * limits.BURST_SECONDS)
         self.assertLessEqual(granted, rate * now + burst + 1e-6)
 
@@ -63,8 +63,8 @@
         budget = limits.RetryBudget()
         retried = 0
         for _ in range(1_000):
-            budget.pay_in("pool", 0.1)
-            retried += budget.take("pool")
+            budget.record_request("pool", 0.1)
+            retried += budget.try_acquire("pool")
         self.assertLessEqual(retried, 102)
         self.assertGreaterEqual(retried, 99)
 
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -40,8 +40,8 @@
 
 def _read_demand(daemon: daemons.Daemon) -> dict[str, Any]:
     return {
-        "targets": daemon.agent.read_demand() if daemon.agent else [],
-        "unserved": daemon.callers.dispatcher.read_unserved() if daemon.callers else [],
+        "targets": daemon.agent.build_demand() if daemon.agent else [],
+        "unserved": daemon.callers.dispatcher.pop_unserved() if daemon.callers else [],
     }
 
 
@@ -49,7 +49,7 @@
     if daemon.agent is None:
         fault = faults.new_fault(kinds.ErrorKind.NOT_FOUND, "this daemon is no agent")
         raise faults.FaultError(fault)
-    return await daemon.agent.obey(arguments)
+    return await daemon.agent.execute_order(arguments)
 
 
 async def _read_placement(daemon: daemons.Daemon) -> dict[str, Any]:
@@ -121,7 +121,7 @@
         state = executor.state
         stalls = [now - max(item.last_token_at, item.arrived) for item in state.waiting]
         stalls += [now - max(item.last_token_at, item.arrived) for item in state.paused]
-        stalls += [now - max(item.last_token_at, item.ran_since) for item in state.running]
+        stalls += [now - max(item.last_token_at, item.running_since) for item in state.running]
         targets.append(
             {
                 "target": state.name,
--- a/tillerlane/placement/tests/test_placement.py
+++ b/tillerlane/placement/tests/test_placement.py
@@ -102,12 +102,12 @@
             agent = stage.daemons["agent-hall-a"].agent
             order = {"order_id": "o-2", "target": "r1", "action": "load", "model": "n"}
             for _ in range(2):
-                outcome = await agent.obey({**order, "fence": [3, 20]})
+                outcome = await agent.execute_order({**order, "fence": [3, 20]})
                 self.assertEqual(outcome, {"outcome": "done"})
             self.assertEqual(stage._models["r1"].count("n"), 1)
             old = {"order_id": "o-1", "target": "r1", "action": "unload", "model": "n"}
             with self.assertRaises(faults.FaultError) as raised:
-                await agent.obey({**old, "fence": [2, 30]})
+                await agent.execute_order({**old, "fence": [2, 30]})
             self.assertEqual(raised.exception.fault.kind, kinds.ErrorKind.STALE_FENCE)
             self.assertIn("n", stage._models["r1"])
 
--- a/tillerlane/testing/lab.py
+++ b/tillerlane/testing/lab.py
@@ -349,7 +349,7 @@
 
     def find_agent(self, generation_id: str) -> str:
         """Daemon id of the agent that has a generation."""
-        target, _ = requests.split_generation_id(generation_id)
+        target, _ = requests.parse_generation_id(generation_id)
         for name, plan in self.plans.items():
             if target in plan.targets:
                 return name
