--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -65,7 +65,7 @@
         """Whether the answer is longer."""
         return float(self._length > length)
 
-    def predict_remaining(self, written: int, longest: int) -> lengths.Survival:
+    def predict_remaining(self, written: int, limit: int) -> lengths.Survival:
         """What is left, exactly."""
         left = max(1, self._length - written)
         alive = tuple(1.0 if ahead < left else 0.0 for ahead in lengths.HORIZONS)
--- a/tillerlane/agent/__init__.py
+++ b/tillerlane/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: the one door to a target, and the only place that decides who runs on it."""
+"""The agent: all requests to a target pass through it, and it alone schedules them."""
--- a/tillerlane/agent/generation.py
+++ b/tillerlane/agent/generation.py
@@ -1,4 +1,4 @@
-"""One generation at its agent: its tokens, who reads them, and where it stands."""
+"""A generation held by an agent: its tokens, its readers and its state."""
 
 import dataclasses
 import enum
@@ -14,7 +14,7 @@
 
 
 class State(enum.Enum):
-    """Where a generation stands."""
+    """Lifecycle state of a generation."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -26,8 +26,8 @@
 class Generation:
     """A generation or service call that an agent holds.
 
-    Times are those of the event loop, in seconds.  ``started`` says that the target was asked to
-    run it: before that, ``ran: no`` is certain.
+    Times are those of the event loop, in seconds.  ``started`` is set once the start was sent to
+    the target; before that, ``ran: no`` is certain.
     """
 
     start: messages.Start
@@ -40,7 +40,7 @@
     state: State = State.WAITING
     started: bool = False
     is_streaming: bool = False
-    """Whether its stream is being read or asked for at the target."""
+    """Whether its stream is being read from the target, or requested."""
     texts: list[str] = dataclasses.field(default_factory=list)
     end: messages.End | None = None
     ended_at: float = 0.0
@@ -65,11 +65,11 @@
 
     @property
     def memory(self) -> int:
-        """Tokens of the target's memory that it holds, or will hold when it goes on."""
+        """Tokens of the target's memory that it holds, or will hold once resumed."""
         return self.start.prompt_tokens + len(self.texts)
 
     def predict_remaining(self) -> lengths.Survival:
-        """What is left to write; renewed when the text has grown by a sixteenth."""
+        """Remaining length; updated when the text has grown by a sixteenth."""
         written = len(self.texts)
         if self.survival is None or written - self.survival_at > max(8, written // 16):
             self.survival = self.length_model.predict_remaining(
@@ -79,32 +79,32 @@
         return self.survival
 
     def add(self, offset: int, texts: list[str], now: float) -> int:
-        """Add tokens that the target sent; repeated ones are dropped.
+        """Append tokens sent by the target, dropping duplicates.
 
         Returns
         -------
         int
-            How many were new.
+            Number of new tokens.
 
         Raises
         ------
         faults.FaultError
-            If tokens are missing in between; the caller asks the target again.
+            If there is a gap; the caller requests the missing tokens again.
         """
         known = len(self.texts)
         if offset > known:
-            message = f"{self.id}: got offset {offset}, expected {known}"
+            message = f"{self.id}: got token offset {offset}, expected {known}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.TARGET_FAILED, message))
-        fresh = texts[known - offset :] if offset < known else texts
-        if fresh:
-            self.texts.extend(fresh)
+        new_texts = texts[known - offset :] if offset < known else texts
+        if new_texts:
+            self.texts.extend(new_texts)
             self.last_token_at = now
             for feed in self.feeds:
                 feed.push()
-        return len(fresh)
+        return len(new_texts)
 
     def finish(self, end: messages.End, now: float) -> None:
-        """Set the end; a second one changes nothing."""
+        """Set the end; later calls have no effect."""
         if self.end is not None:
             return
         self.end = end
@@ -123,16 +123,16 @@
 
 
 class Feed:
-    """One reader of a generation: an exchange with an entry, held back by its credit.
+    """One reader of a generation: an exchange with an entry, under credit-based flow control.
 
     Parameters
     ----------
     generation : Generation
-        What is read.
+        Generation being read.
     exchange : links.Exchange
-        Where tokens go.
+        Receives the tokens.
     offset : int
-        First token wanted.
+        Offset of the first token to send.
     credit : int
         Tokens that may be sent.
     """
@@ -149,7 +149,7 @@
         self.done = False
 
     def push(self) -> None:
-        """Send what is there and allowed, and the end after the last token."""
+        """Send the available tokens within the credit, and the end after the last one."""
         generation = self._generation
         count = min(len(generation.texts) - self._offset, self.credit)
         try:
--- a/tillerlane/agent/orders.py
+++ b/tillerlane/agent/orders.py
@@ -1,4 +1,4 @@
-"""Orders to a target's runner: the agent refuses an older fence, for targets that do not check."""
+"""Fenced orders to a target's runner; stale fences are refused here for targets without checks."""
 
 import collections
 from typing import Any
@@ -10,11 +10,11 @@
 
 __all__ = ["OrderExecutor"]
 
-MAX_REMEMBERED = 200
+MAX_OUTCOMES = 200
 
 
 class OrderExecutor:
-    """Orders that one target's agent has obeyed.
+    """Executes the orders of one target, each once.
 
     Parameters
     ----------
@@ -27,13 +27,13 @@
         self._outcomes: collections.OrderedDict[str, str] = collections.OrderedDict()
 
     async def execute(self, arguments: dict[str, Any]) -> dict[str, str]:
-        """Carry out an order once; a resent one gets its first outcome.
+        """Execute an order once; a resent one gets the outcome of the first.
 
         Raises
         ------
         faults.FaultError
-            ``stale_fence`` if a later order was obeyed already, ``target_failed`` if the target
-            did not answer; the order is given again.
+            ``stale_fence`` if an order with a higher fence was accepted before, ``target_failed``
+            if the target did not reply; the sender retries the order.
         """
         order_id = arguments["order_id"]
         known = self._outcomes.get(order_id)
@@ -42,7 +42,9 @@
         term, index = arguments["fence"]
         fence = (int(term), int(index))
         if fence < self._state.fence:
-            message = f"{self._state.name}: got fence {fence}, obeyed {self._state.fence} already"
+            message = (
+                f"{self._state.name}: got stale fence {fence}, the latest is {self._state.fence}"
+            )
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.STALE_FENCE, message))
         self._state.fence = fence
         order = runners.Order(fence, arguments["action"], arguments["model"])
@@ -53,6 +55,6 @@
                 faults.new_fault(kinds.ErrorKind.TARGET_FAILED, str(error))
             ) from error
         self._outcomes[order_id] = "done"
-        while len(self._outcomes) > MAX_REMEMBERED:
+        while len(self._outcomes) > MAX_OUTCOMES:
             self._outcomes.popitem(last=False)
         return {"outcome": "done"}
