--- a/tillerlane/agent/execution.py
+++ b/tillerlane/agent/execution.py
@@ -1,7 +1,7 @@
-"""Runs generations on a target: one task for each, from its start to its end.
+"""Runs generations on a target, one task for each from its start to its end.
 
-A stream that breaks off is resumed at the next offset with the same generation id; only when the
-target no longer knows the generation, or stays away, is it lost.
+An interrupted stream is resumed at the next offset under the same generation id.  The generation
+counts as lost only when the target no longer knows it or remains unreachable.
 """
 
 import asyncio
@@ -20,18 +20,18 @@
 
 Decide = Callable[[targets.TargetState, float], list[scheduling.Action]]
 
-TICK_SECONDS = 0.05
-SWEEP_SECONDS = 0.2
-"""Least time between two looks at all deadlines: a look costs some us for each request held."""
-LOAD_SECONDS = 0.25
-LOAD_FAILURES_UNTIL_SICK = 4
-STALL_SECONDS = 5.0
-"""A target that writes nothing for this long while it should is not healthy."""
+DECISION_INTERVAL_SECONDS = 0.05
+SWEEP_INTERVAL_SECONDS = 0.2
+"""Minimum time between two checks of all deadlines, each of which takes some us per request."""
+LOAD_POLL_INTERVAL_SECONDS = 0.25
+MAX_LOAD_FAILURES = 4
+STALL_TIMEOUT_SECONDS = 5.0
+"""Time without a token of any running generation after which a target is unhealthy."""
 RESUME_DELAYS = (0.0, 0.1, 0.2, 0.4, 0.8, 1.0)
-"""Seconds before each try to resume a stream that broke off."""
+"""Seconds before each attempt to resume an interrupted stream."""
 CANCEL_DELAYS = (0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
-"""Seconds before each time that a target is asked again to end a run; then it is left alone."""
-MAX_ENDED_KEPT = 2_000
+"""Seconds before each repeated request to a target to cancel a run; then no more are sent."""
+MAX_HELD_GENERATIONS = 2_000
 
 
 class Executor:
@@ -42,13 +42,13 @@
     state : targets.TargetState
         The target.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     get_fleet : callable
-        Gives (resume seconds, detached seconds) of the configuration in force.
+        Returns (resume seconds, detached seconds) of the configuration in force.
     count : callable
         Called with (metric name, number).
     decide : callable
-        Gives the actions to take; benchmarks put baselines here.
+        Returns the actions to take; benchmarks substitute baselines.
     """
 
     def __init__(
@@ -71,20 +71,20 @@
 
     def start(self) -> None:
         """Start the tasks of the target."""
-        self._loops = [asyncio.create_task(self._decide_for_ever())]
+        self._loops = [asyncio.create_task(self._run_decisions())]
         if self.state.is_runner:
             self._loops.append(asyncio.create_task(self._poll_load()))
-            self._loops.append(asyncio.create_task(self._follow_cache()))
+            self._loops.append(asyncio.create_task(self._follow_cache_events()))
 
     async def stop(self) -> None:
-        """End all tasks; what runs on the target is left to run."""
+        """Cancel all tasks; generations on the target keep running."""
         for task in [*self._loops, *self._tasks]:
             task.cancel()
         await asyncio.gather(*self._loops, *self._tasks, return_exceptions=True)
         await self.state.client.close()
 
     def wake(self) -> None:
-        """Have a decision taken soon."""
+        """Trigger a scheduling decision."""
         self._wake.set()
 
     def _spawn(self, work: "asyncio._CoroutineLike[None]") -> None:
@@ -94,11 +94,11 @@
 
     # Decisions
 
-    async def _decide_for_ever(self) -> None:
+    async def _run_decisions(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             try:
-                await asyncio.wait_for(self._wake.wait(), TICK_SECONDS)
+                await asyncio.wait_for(self._wake.wait(), DECISION_INTERVAL_SECONDS)
             except TimeoutError:
                 pass
             self._wake.clear()
@@ -167,18 +167,20 @@
         state = self.state
         if not state.is_runner:
             return
-        last = max(
+        latest = max(
             (max(item.last_token_at, item.running_since) for item in state.running), default=now
         )
-        sick = now - last > STALL_SECONDS or state.load_failures >= LOAD_FAILURES_UNTIL_SICK
-        if sick == state.healthy:
-            state.healthy = not sick
-            name = "target.sick" if sick else "target.well"
+        is_unhealthy = (
+            now - latest > STALL_TIMEOUT_SECONDS or state.load_failures >= MAX_LOAD_FAILURES
+        )
+        if is_unhealthy == state.healthy:
+            state.healthy = not is_unhealthy
+            name = "target.sick" if is_unhealthy else "target.well"
             self._timeline.record(name, target=state.name)
 
     def _sweep(self, now: float) -> None:
-        """Expire deadlines and detached generations; forget ended ones."""
-        if now - self._swept_at < SWEEP_SECONDS:
+        """Cancel expired and detached generations; discard ended ones."""
+        if now - self._swept_at < SWEEP_INTERVAL_SECONDS:
             return
         self._swept_at = now
         state = self.state
@@ -188,7 +190,7 @@
             for generation in [
                 item for item in state.waiting if scheduling.cannot_meet_deadline(item, state, now)
             ]:
-                reason = "the deadline cannot be met any more"
+                reason = "the deadline can no longer be met"
                 self.cancel(generation, kinds.ErrorKind.DEADLINE_EXPIRED, reason)
         for generation in state.held.values():
             if generation.end is not None:
@@ -200,17 +202,19 @@
                 generation.detached_at is not None
                 and now - generation.detached_at > detached_seconds
             ):
-                self.cancel(generation, kinds.ErrorKind.CANCELLED, "no entry came back for it")
+                self.cancel(
+                    generation, kinds.ErrorKind.CANCELLED, "no entry attached to it again in time"
+                )
         for generation_id in ended:
             del state.held[generation_id]
-        if len(state.held) > MAX_ENDED_KEPT:
-            self._forget_oldest()
+        if len(state.held) > MAX_HELD_GENERATIONS:
+            self._discard_oldest()
 
-    def _forget_oldest(self) -> None:
+    def _discard_oldest(self) -> None:
         state = self.state
         ended = [item for item in state.held.values() if item.end and not item.feeds]
         ended.sort(key=lambda item: item.ended_at)
-        for generation in ended[: len(state.held) - MAX_ENDED_KEPT]:
+        for generation in ended[: len(state.held) - MAX_HELD_GENERATIONS]:
             del state.held[generation.id]
 
     # Running
@@ -218,7 +222,7 @@
     def cancel(
         self, generation: generations.Generation, kind: kinds.ErrorKind, reason: str
     ) -> None:
-        """End a generation early; its reader learns whether it ran."""
+        """Cancel a generation; its reader is told whether it ran."""
         if generation.end is not None or generation.cancel_reason:
             return
         generation.cancel_reason = reason
@@ -230,23 +234,23 @@
     async def _cancel_started(
         self, generation: generations.Generation, kind: kinds.ErrorKind, reason: str
     ) -> None:
-        """Tell the reader at once, and ask the target until it has said that it ended the run."""
-        word, started = await self._ask_to_end(generation)
+        """Notify the reader at once; repeat the cancel until the target confirms it."""
+        replied, started = await self._request_cancel(generation)
         if started is None:
             ran = kinds.Ran.YES if generation.texts else kinds.Ran.UNKNOWN
         else:
             ran = kinds.Ran.YES if started or generation.texts else kinds.Ran.NO
         self._finish_cancelled(generation, kind, reason, ran)
         for delay in CANCEL_DELAYS:
-            if started is not None or (word and not generation.is_streaming):
+            if started is not None or (replied and not generation.is_streaming):
                 return
             await asyncio.sleep(delay)
-            word, started = await self._ask_to_end(generation)
+            replied, started = await self._request_cancel(generation)
 
-    async def _ask_to_end(self, generation: generations.Generation) -> tuple[bool, bool | None]:
-        """Whether the target answered, and whether it had begun the run that it ended.
+    async def _request_cancel(self, generation: generations.Generation) -> tuple[bool, bool | None]:
+        """Whether the target replied, and whether the cancelled run had started.
 
-        None where it does not know the run: its start may still be on its way.
+        The latter is None if the target does not know the run: its start may still be in transit.
         """
         try:
             return True, await self.state.client.cancel(generation.id)
@@ -268,7 +272,7 @@
         self.wake()
 
     def adopt(self, generation: generations.Generation) -> None:
-        """Go on with a generation that a former process of this agent had started."""
+        """Resume a generation that a previous process of this agent started."""
         state = self.state
         state.held[generation.id] = generation
         state.running.append(generation)
@@ -280,7 +284,7 @@
 
     async def _run(self, generation: generations.Generation) -> None:
         if generation.end is not None and not generation.started:
-            return  # ended between its admission and now; its reader was told that it did not run
+            return  # ended after its admission; its reader was told that it did not run
         generation.is_streaming = True
         try:
             fault = await self._read_to_end(generation)
@@ -294,20 +298,20 @@
             generation.fail(fault, now)
 
     async def _read_to_end(self, generation: generations.Generation) -> faults.Fault | None:
-        """Read the stream, resuming as often as needed; a fault if it is lost."""
-        fresh = not generation.started
+        """Read the stream, resuming it after interruptions; returns a fault if it is lost."""
+        is_first = not generation.started
         generation.started = True
-        tries = 0
+        attempts = 0
         while True:
-            stream = self._open(generation, fresh)
-            before = len(generation.texts)
+            stream = self._open_stream(generation, is_first)
+            tokens_before = len(generation.texts)
             try:
                 await self._read_stream(generation, stream)
                 return None
             except runners.UnknownGeneration:
-                return self._describe_loss(generation, "the target no longer knows it")
+                return self._describe_loss(generation, "the target no longer knows the generation")
             except runners.TargetBroken as error:
-                if fresh and not error.reached:
+                if is_first and not error.reached:
                     generation.started = False
                     return faults.new_fault(
                         kinds.ErrorKind.TARGET_FAILED, str(error), ran=kinds.Ran.NO
@@ -315,18 +319,18 @@
                 reason = str(error)
             except faults.FaultError as error:
                 reason = error.fault.message
-            fresh = False
-            tries = 0 if len(generation.texts) > before else tries + 1
-            if tries >= len(RESUME_DELAYS) or not self.state.is_runner:
+            is_first = False
+            attempts = 0 if len(generation.texts) > tokens_before else attempts + 1
+            if attempts >= len(RESUME_DELAYS) or not self.state.is_runner:
                 return self._describe_loss(generation, reason)
-            await asyncio.sleep(RESUME_DELAYS[tries])
+            await asyncio.sleep(RESUME_DELAYS[attempts])
             self._record("generation.resume", generation, offset=len(generation.texts))
 
-    def _open(
-        self, generation: generations.Generation, fresh: bool
+    def _open_stream(
+        self, generation: generations.Generation, is_first: bool
     ) -> AsyncIterator[runners.Chunk | runners.Finish]:
         start = generation.start
-        if not fresh:
+        if not is_first:
             return self.state.client.resume(start.generation_id, len(generation.texts))
         job = runners.Job(
             generation_id=start.generation_id,
@@ -354,19 +358,19 @@
             if isinstance(item, runners.Finish):
                 self._finish(generation, item, now)
                 return
-            fresh = generation.add(item.offset, item.texts, now)
-            state.record_tokens(workspace, fresh, now)
+            added = generation.add(item.offset, item.texts, now)
+            state.record_tokens(workspace, added, now)
 
     def _finish(
         self, generation: generations.Generation, finish: runners.Finish, now: float
     ) -> None:
         if finish.tokens != len(generation.texts):
-            message = f"the target says {finish.tokens} tokens, {len(generation.texts)} came"
+            message = f"the target reports {finish.tokens} tokens, received {len(generation.texts)}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.TARGET_FAILED, message))
         if finish.reason == "cancelled":
             if not generation.cancel_reason:
                 fault = faults.new_fault(
-                    kinds.ErrorKind.CANCELLED, "the target cancelled it", ran=kinds.Ran.YES
+                    kinds.ErrorKind.CANCELLED, "cancelled by the target", ran=kinds.Ran.YES
                 )
                 generation.fail(fault, now)
             return
@@ -397,18 +401,18 @@
             except (runners.TargetBroken, OSError):
                 self.state.load_failures += 1
             self.wake()
-            await asyncio.sleep(LOAD_SECONDS)
+            await asyncio.sleep(LOAD_POLL_INTERVAL_SECONDS)
 
-    async def _follow_cache(self) -> None:
-        """Read cache events for ever; they come late and with gaps."""
-        seen = 0
+    async def _follow_cache_events(self) -> None:
+        """Read cache events continuously; they arrive late and with gaps."""
+        last_number = 0
         while True:
             try:
-                async for event in self.state.client.read_cache_events(seen):
-                    self.state.handle_cache_event(event, seen + 1)
-                    seen = event.number
+                async for event in self.state.client.read_cache_events(last_number):
+                    self.state.handle_cache_event(event, last_number + 1)
+                    last_number = event.number
             except (runners.TargetBroken, runners.UnknownGeneration, OSError, ValueError):
-                seen = 0
+                last_number = 0
                 self.state.prefixes.clear()
             await asyncio.sleep(1.0)
 
--- a/tillerlane/agent/scheduling.py
+++ b/tillerlane/agent/scheduling.py
@@ -1,7 +1,7 @@
-"""Decisions at a target: who starts, who goes on, who is set aside.
+"""Scheduling decisions at a target: which generations start, resume or are paused.
 
-`decide` reads the state and gives actions; it changes nothing but cached ranks.  Memory is
-counted by the agent itself, so that a runner that reports late or wrongly misleads nobody.
+`decide` reads the state and returns actions; it changes nothing but cached ranks.  Memory is
+counted by the agent itself, so that late or wrong reports of a runner do not affect decisions.
 """
 
 import dataclasses
@@ -19,19 +19,19 @@
 __all__ = ["Admit", "Pause", "Unpause", "check_arrival", "decide"]
 
 LOOKAHEAD_STEPS = 8
-"""Tokens that each generation may write before the next decision takes effect."""
+"""Tokens that each generation may produce before the next decision takes effect."""
 MAX_RANKS_PER_DECISION = 48
-"""Ranks evaluated anew in one decision; the others keep their last value."""
-RANK_AGE_SECONDS = 0.5
-"""A rank younger than this is not evaluated anew."""
+"""Ranks evaluated in one decision; the others keep their last value."""
+RANK_TTL_SECONDS = 0.5
+"""Age below which a rank is not evaluated again."""
 MAX_CANDIDATES_PER_DECISION = 32
-DISPLACE_AFTER_SECONDS = 0.5
-"""Wait of urgent work after which another generation yields to it."""
-HOPELESS_CHANCE = 0.95
-"""Chance of missing its deadline at which a waiting request is given up."""
+PREEMPTION_DELAY_SECONDS = 0.5
+"""Wait of an urgent request after which another generation is preempted for it."""
+MAX_MISS_PROBABILITY = 0.95
+"""Probability of missing its deadline above which a waiting request is cancelled."""
 RESUME_RISK_SHARE = 0.5
-"""A generation that was set aside goes on at this share of the accepted risk, so that it is not
-set aside again at once."""
+"""Share of the accepted risk at which a paused generation resumes, so that it is not paused again
+immediately."""
 TOP_RANKS = 16
 
 
@@ -44,14 +44,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unpause:
-    """Let a generation that was set aside go on."""
+    """Resume a paused generation."""
 
     generation: generations.Generation
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """Set a running generation aside to free its memory."""
+    """Pause a running generation to free its memory."""
 
     generation: generations.Generation
 
@@ -63,7 +63,7 @@
 def build_fixed_facts(
     generation: generations.Generation, state: targets.TargetState
 ) -> dict[str, facts.Value]:
-    """Facts of a request that do not change."""
+    """Facts of a request that are constant over its life."""
     start = generation.start
     return {
         "workspace": start.workspace,
@@ -84,7 +84,7 @@
     leads: dict[str, float],
     now: float,
 ) -> Readers:
-    """Functions that read the facts of a generation as they are now."""
+    """Functions that return the current facts of a generation."""
     waited_before = generation.start.waited_ms / 1000
     return {
         "expected_tokens": lambda: (
@@ -114,7 +114,7 @@
     leads: dict[str, float],
     now: float,
 ) -> float:
-    """Rank by the policy; the value is kept on the generation."""
+    """Rank by the policy, cached on the generation."""
     if generation.ranker is None:
         generation.ranker = state.program.bind("rank", build_fixed_facts(generation, state))
     default = builtin.rank(
@@ -132,11 +132,11 @@
     return generation.rank
 
 
-def _read_rank_at(generation: generations.Generation) -> float:
+def _get_rank_at(generation: generations.Generation) -> float:
     return generation.rank_at
 
 
-def _read_reverse_rank(generation: generations.Generation) -> float:
+def _get_negative_rank(generation: generations.Generation) -> float:
     return -generation.rank
 
 
@@ -145,22 +145,22 @@
 ) -> list[generations.Generation]:
     """Waiting generations, highest rank first; evaluates a bounded number of ranks.
 
-    New arrivals, the foremost and then the stalest are evaluated; the order of the others is at
-    most a few decisions old.
+    New arrivals, the highest ranked and the least recently evaluated are updated; the order of the
+    others is at most a few decisions old.
     """
     waiting = state.waiting
     if state.program.expressions.get("rank") is None or len(waiting) <= MAX_RANKS_PER_DECISION:
         stale = [item for item in waiting if now - item.rank_at > 0]
     else:
-        stalest = heapq.nsmallest(MAX_RANKS_PER_DECISION - TOP_RANKS, waiting, key=_read_rank_at)
+        stalest = heapq.nsmallest(MAX_RANKS_PER_DECISION - TOP_RANKS, waiting, key=_get_rank_at)
         stale = [
             item
             for item in [*waiting[:TOP_RANKS], *stalest]
-            if now - item.rank_at > RANK_AGE_SECONDS
+            if now - item.rank_at > RANK_TTL_SECONDS
         ]
     for generation in stale:
         rank_generation(generation, state, leads, now)
-    waiting.sort(key=_read_reverse_rank)
+    waiting.sort(key=_get_negative_rank)
     return waiting
 
 
@@ -172,7 +172,7 @@
     leads: dict[str, float],
     now: float,
 ) -> facts.Value:
-    """Value of one of the policy's expressions for a generation."""
+    """Value of a policy expression for a generation."""
     if name not in state.program.expressions:
         return default
     evaluator = state.program.bind(name, build_fixed_facts(generation, state))
@@ -182,7 +182,7 @@
 
 
 def compute_headroom(state: targets.TargetState) -> float:
-    """Share of memory and batch that is kept for urgent work."""
+    """Share of memory and batch slots reserved for urgent requests."""
     if "headroom" not in state.program.expressions:
         return builtin.HEADROOM
     evaluator = state.program.bind("headroom", {})
@@ -202,7 +202,7 @@
     leads: dict[str, float],
     now: float,
 ) -> generations.Generation | None:
-    """Who yields: the highest ``sacrifice``, but nobody twice while another can."""
+    """Generation to preempt: the least often paused, among those the highest ``sacrifice``."""
     scores: dict[generations.Generation, float] = {}
     for generation in running:
         default = builtin.sacrifice(
@@ -222,15 +222,15 @@
 def _pause_for_memory(
     state: targets.TargetState, leads: dict[str, float], now: float
 ) -> list[Action]:
-    """Set generations aside until the next steps of the others fit."""
-    staying = list(state.running)
+    """Pause generations until the next steps of the others fit into memory."""
+    remaining = list(state.running)
     actions: list[Action] = []
     used = state.memory_used
-    while len(staying) > 1 and used + LOOKAHEAD_STEPS * len(staying) > state.usable_memory:
-        victim = choose_victim(staying, state, leads, now)
+    while len(remaining) > 1 and used + LOOKAHEAD_STEPS * len(remaining) > state.usable_memory:
+        victim = choose_victim(remaining, state, leads, now)
         if victim is None:
             break
-        staying.remove(victim)
+        remaining.remove(victim)
         used -= victim.memory
         actions.append(Pause(victim))
     return actions
@@ -238,7 +238,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Batch:
-    """The batch as it will be with what has been admitted so far."""
+    """The batch including the generations admitted so far in this decision."""
 
     forecast: forecast.BatchForecast
     used: int
@@ -258,28 +258,28 @@
     leads: dict[str, float],
     now: float,
 ) -> bool:
-    kept = 0.0 if generation.urgent else headroom
-    if batch.count >= max(1, round(state.batch_limit * (1.0 - kept))):
+    reserved = 0.0 if generation.urgent else headroom
+    if batch.count >= max(1, round(state.batch_limit * (1.0 - reserved))):
         return False
-    room = state.usable_memory * (1.0 - kept)
+    capacity = state.usable_memory * (1.0 - reserved)
     needed = batch.used + generation.memory + LOOKAHEAD_STEPS * (batch.count + 1)
     if batch.count == 0:
         return generation.memory <= state.usable_memory
-    if needed > room:
+    if needed > capacity:
         return False
     limit = float(evaluate("admit_risk", builtin.ADMIT_RISK, generation, state, leads, now))
     if generation.state is generations.State.PAUSED:
         limit *= RESUME_RISK_SHARE
-    with_it = forecast.BatchForecast()
-    with_it.copy(batch.forecast)
-    with_it.add(generation)
-    return with_it.risk(room) <= limit
+    extended = forecast.BatchForecast()
+    extended.copy(batch.forecast)
+    extended.add(generation)
+    return extended.risk(capacity) <= limit
 
 
 def _order_candidates(
     state: targets.TargetState, leads: dict[str, float], now: float
 ) -> list[generations.Generation]:
-    """Urgent ones, then what was set aside, then the others, each by rank."""
+    """Urgent requests, then paused generations, then other requests, each by rank."""
     waiting = order_waiting(state, leads, now)
     for generation in state.paused:
         rank_generation(generation, state, leads, now)
@@ -293,18 +293,20 @@
     return [*urgent, *paused, *others]
 
 
-def _displace(state: targets.TargetState, leads: dict[str, float], now: float) -> list[Action]:
-    """Set one generation aside for urgent work that has waited for memory too long.
+def _preempt_for_urgent(
+    state: targets.TargetState, leads: dict[str, float], now: float
+) -> list[Action]:
+    """Pause one generation for an urgent request that has waited too long.
 
-    Nobody who was set aside before is taken, and nobody whom the policy spares.
+    Generations that were paused before are exempt, as are those with a negative ``sacrifice``.
     """
     waits = [now - item.arrived for item in state.waiting if item.urgent]
-    if not waits or max(waits) < DISPLACE_AFTER_SECONDS:
+    if not waits or max(waits) < PREEMPTION_DELAY_SECONDS:
         return []
-    able = [item for item in state.running if not item.urgent and not item.times_paused]
+    eligible = [item for item in state.running if not item.urgent and not item.times_paused]
     if len(state.running) < 2:
         return []
-    victim = choose_victim(able, state, leads, now)
+    victim = choose_victim(eligible, state, leads, now)
     return [Pause(victim)] if victim is not None else []
 
 
@@ -328,13 +330,13 @@
 
 
 def _admit_calls(state: targets.TargetState) -> list[Action]:
-    """Plain services have no memory to run short of: a bound on calls at once is all."""
+    """Admit calls of a plain service, which are bounded by their concurrency only."""
     free = max(0, state.batch_limit - len(state.running))
     return [Admit(generation) for generation in state.waiting[:free]]
 
 
 def decide(state: targets.TargetState, now: float) -> list[Action]:
-    """What to do now.
+    """Actions to take now.
 
     Parameters
     ----------
@@ -352,38 +354,38 @@
     if actions or not state.healthy or not (state.waiting or state.paused):
         return actions
     actions = _admit(state, leads, now)
-    return actions or _displace(state, leads, now)
+    return actions or _preempt_for_urgent(state, leads, now)
 
 
 def cannot_meet_deadline(
     generation: generations.Generation, state: targets.TargetState, now: float
 ) -> bool:
-    """Whether a waiting request could hardly be whole by its deadline if it started now.
+    """Whether a waiting request would most likely miss its deadline even if it started now.
 
-    It is then told at once, not at its deadline.
+    Such a request fails early rather than at its deadline.
     """
-    left = max(0.0, generation.deadline - now) / max(1e-4, state.step_seconds)
-    if left >= generation.start.max_tokens:
+    available_tokens = max(0.0, generation.deadline - now) / max(1e-4, state.step_seconds)
+    if available_tokens >= generation.start.max_tokens:
         return False
-    return generation.length_model.compute_survival(left) > HOPELESS_CHANCE
+    return generation.length_model.compute_survival(available_tokens) > MAX_MISS_PROBABILITY
 
 
 def check_arrival(
     generation: generations.Generation, state: targets.TargetState, now: float
 ) -> faults.Fault | None:
-    """Whether a new request must be refused at once; nothing of it has run."""
+    """Fault with which a new request is refused on arrival; none of it has run."""
     if state.leaving:
         return faults.new_fault(kinds.ErrorKind.LEAVING, f"{state.name} is leaving")
     if not state.healthy:
-        return faults.new_fault(kinds.ErrorKind.NO_CAPACITY, f"{state.name} does not answer")
+        return faults.new_fault(kinds.ErrorKind.NO_CAPACITY, f"{state.name} is unhealthy")
     wait = state.estimate_wait(generation.urgent)
     if len(state.waiting) >= state.max_waiting:
-        message = f"{state.name}: {len(state.waiting)} wait already, of {state.max_waiting}"
+        message = f"{state.name}: queue full, {len(state.waiting)} of {state.max_waiting} waiting"
         return faults.new_fault(
             kinds.ErrorKind.NO_CAPACITY, message, retry_after=max(1.0, wait / 2)
         )
     if generation.memory > state.memory_total > 0 and state.is_runner:
-        message = f"prompt of {generation.memory} tokens, memory of {state.memory_total}"
+        message = f"got prompt of {generation.memory} tokens, expected at most {state.memory_total}"
         return faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message)
     if not state.waiting and not state.paused:
         return None
@@ -393,5 +395,5 @@
     )
     if evaluate("may_wait", default, generation, state, {}, now):
         return None
-    message = f"{state.name}: estimated wait {wait:.1f} s is too long"
+    message = f"{state.name}: estimated wait of {wait:.1f} s exceeds the limit of the policy"
     return faults.new_fault(kinds.ErrorKind.NO_CAPACITY, message, retry_after=max(1.0, wait))
--- a/tillerlane/agent/server.py
+++ b/tillerlane/agent/server.py
@@ -1,4 +1,4 @@
-"""The agent's side of its peer links: takes starts and attaches, feeds tokens, reports load."""
+"""Agent side of the peer links: serves starts and attaches, streams tokens, reports load."""
 
 import asyncio
 import dataclasses
@@ -21,15 +21,15 @@
 __all__ = ["SERVICE_PREFIX", "Agent"]
 
 SERVICE_PREFIX = "service:"
-"""Class name of a service's calls: this and the service's name."""
-REPORT_SECONDS = 0.25
-"""Least time between two load reports; sent only if something changed enough."""
-REPORT_ANYWAY_SECONDS = 2.0
+"""Prefix of the class name of a service's calls; the service's name follows."""
+REPORT_INTERVAL_SECONDS = 0.25
+"""Minimum time between two load reports, which are sent only on significant changes."""
+MAX_REPORT_INTERVAL_SECONDS = 2.0
 REPORT_MEMORY_SHARE = 0.05
-"""Change of a target's memory, as a share of all of it, that is worth a report."""
+"""Change of a target's memory use, as a share of its memory, above which a report is sent."""
 REPORT_RUNNING_SHARE = 0.2
-CONFIG_WAIT_SECONDS = 2.0
-"""How long a start waits for a configuration that knows its class."""
+CONFIG_TIMEOUT_SECONDS = 2.0
+"""How long a start waits for a configuration that defines its class."""
 DEADLINE_GRACE_SECONDS = 0.25
 MAX_CREDIT = 65_536
 SERVICE_PRIORITY = 50
@@ -39,12 +39,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Terms:
-    """What a class of work or a service is owed at its target."""
+    """Scheduling parameters of a class of work or a service."""
 
     priority: int
     urgent: bool
     repeatable: bool
-    finish_alone: bool
+    finish_detached: bool
 
 
 class Agent:
@@ -53,19 +53,19 @@
     Parameters
     ----------
     own : dict
-        Target name to its settings.
+        Settings of its targets, by name.
     connect : callable
-        Gives the functions of a target.
+        Returns the client of a target.
     store : stores.Store
         Configuration in force.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     get_links : callable
-        Links that load reports go to.
+        Returns the links that receive load reports.
     count : callable
         Called with (metric name, number).
     decide : callable
-        Gives the actions to take at a target.
+        Returns the actions to take at a target.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self.is_leaving = False
         self.host_leaving = False
         self.get_length_model: Callable[[messages.Start], lengths.LengthModel] | None = None
-        """Another source of length models; benchmarks put perfect knowledge here."""
+        """Alternative source of length models; benchmarks substitute perfect knowledge."""
         self.executors: dict[str, execution.Executor] = {}
         for name, item in own.items():
             empty = programs.Program("builtin", {})
@@ -97,20 +97,20 @@
             self.executors[name] = execution.Executor(
                 state, timeline, self._get_fleet, count, decide
             )
-        self._orders = {
+        self._order_executors = {
             name: orders.OrderExecutor(executor.state) for name, executor in self.executors.items()
         }
-        store.add_listener(lambda changed: self._take_configuration(changed.current))
-        self._take_configuration(store.current)
+        store.add_listener(lambda changed: self._apply_configuration(changed.current))
+        self._apply_configuration(store.current)
 
     def start(self) -> None:
         """Start the tasks of all targets."""
         for executor in self.executors.values():
             executor.start()
-        self._report_task = asyncio.create_task(self._report_for_ever())
+        self._report_task = asyncio.create_task(self._run_reports())
 
     async def stop(self) -> None:
-        """End the tasks; see `drain` for a planned stop."""
+        """Cancel all tasks; `leave` prepares a planned stop."""
         if self._report_task is not None:
             self._report_task.cancel()
         for executor in self.executors.values():
@@ -122,7 +122,7 @@
 
     # Configuration
 
-    def _take_configuration(self, configuration: stores.Configuration) -> None:
+    def _apply_configuration(self, configuration: stores.Configuration) -> None:
         weights = {name: item.weight for name, item in configuration.workspaces.items()}
         for name, executor in self.executors.items():
             state = executor.state
@@ -134,15 +134,15 @@
             if pool_name is not None:
                 pool = configuration.pools[pool_name]
                 state.max_waiting = pool.max_waiting
-                self._take_policy(state, pool.policy, configuration)
+                self._apply_policy(state, pool.policy, configuration)
             is_draining = name in configuration.drains or self.host_leaving
             if is_draining != state.leaving and not self.is_leaving:
-                reason = "the platform's list" if self.host_leaving else "an operator"
+                reason = "platform list" if self.host_leaving else "operator drain"
                 self._set_leaving(executor, is_draining, reason)
             executor.wake()
         self._changed.set()
 
-    def _take_policy(
+    def _apply_policy(
         self,
         state: targets.TargetState,
         policy_name: str | None,
@@ -151,13 +151,13 @@
         policy = configuration.policies.get(policy_name or "", documents.Policy())
         compiled = programs.compile_program(policy_name or "builtin", policy)
         program = compiled.unwrap_or(programs.Program("builtin", {}))
-        program.on_fault = self._note_policy_fault
+        program.on_fault = self._record_policy_fault
         state.program = program
         for generation in state.held.values():
             generation.ranker = None
             generation.rank_at = -1.0
 
-    def _note_policy_fault(self, policy: str, expression: str, reason: str) -> None:
+    def _record_policy_fault(self, policy: str, expression: str, reason: str) -> None:
         self._count("policy_faults", 1)
         self._timeline.record("policy.fault", policy=policy, expression=expression, reason=reason)
 
@@ -167,11 +167,11 @@
         name = "target.leaving" if leaving else "target.back"
         self._timeline.record(name, target=state.name, reason=reason)
         if leaving:
-            self._hand_back(state)
+            self._refuse_waiting(state)
         self._changed.set()
 
-    def _hand_back(self, state: targets.TargetState) -> None:
-        """Refuse what waits: it has not run and can run elsewhere at once."""
+    def _refuse_waiting(self, state: targets.TargetState) -> None:
+        """Refuse the waiting generations: none has run, so each can start elsewhere at once."""
         now = asyncio.get_running_loop().time()
         for generation in list(state.waiting):
             state.dequeue(generation)
@@ -181,34 +181,34 @@
     # Leaving
 
     def leave(self, reason: str) -> None:
-        """Refuse new work from now on and hand back what waits."""
+        """Refuse new requests from now on, and those that are waiting."""
         self.is_leaving = True
         for executor in self.executors.values():
             if not executor.state.leaving:
                 self._set_leaving(executor, True, reason)
 
     def set_host_leaving(self, leaving: bool) -> None:
-        """Follow the platform's word on this host; operators' drains stay in force."""
+        """Apply the platform's state of this host; operators' drains remain in force."""
         self.host_leaving = leaving
-        self._take_configuration(self._store.current)
+        self._apply_configuration(self._store.current)
 
     def list_leaving(self) -> set[str]:
-        """Targets that take no new work."""
+        """Targets that accept no new requests."""
         return {name for name, item in self.executors.items() if item.state.leaving}
 
     async def execute_order(self, arguments: dict[str, Any]) -> dict[str, str]:
-        """Carry out a fenced order."""
-        book = self._orders.get(arguments["target"])
-        if book is None:
-            message = f"no target {arguments['target']!r} here"
+        """Execute a fenced order."""
+        executor = self._order_executors.get(arguments["target"])
+        if executor is None:
+            message = f"no target {arguments['target']!r} at this agent"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NOT_FOUND, message))
-        outcome = await book.execute(arguments)
+        outcome = await executor.execute(arguments)
         self._timeline.record("order.done", **arguments)
         self._changed.set()
         return outcome
 
     def build_demand(self) -> list[dict[str, Any]]:
-        """Models, state and load by model of each runner, for placement."""
+        """Models, state and load by model of each runner, as input of the placement."""
         return [
             {
                 "target": name,
@@ -222,7 +222,7 @@
         ]
 
     def count_active(self) -> int:
-        """Generations that run or whose tokens are still being read."""
+        """Number of generations that are running or whose tokens are still being read."""
         return sum(
             1
             for executor in self.executors.values()
@@ -233,10 +233,10 @@
     # Serving
 
     async def serve(self, exchange: links.Exchange, start: messages.Start) -> None:
-        """Serve one exchange that an entry opened with ``Start``."""
+        """Serve an exchange that an entry opened with ``Start``."""
         executor = self.executors.get(start.target)
         if executor is None:
-            message = f"no target {start.target!r} here, expected {sorted(self.executors)}"
+            message = f"got target {start.target!r}, expected {sorted(self.executors)}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NO_CAPACITY, message))
         generation = executor.state.held.get(start.generation_id)
         if generation is not None:
@@ -244,37 +244,38 @@
         elif start.attach:
             generation = await self._adopt(executor, start)
         else:
-            generation = await self._take(executor, start)
+            generation = await self._accept(executor, start)
         await self._feed(executor, generation, exchange, start)
 
     def _check_owner(self, owner: str, start: messages.Start) -> None:
         if owner != start.workspace:
             fault = faults.new_fault(
-                kinds.ErrorKind.NOT_FOUND, f"no generation {start.generation_id!r} of yours"
+                kinds.ErrorKind.NOT_FOUND,
+                f"this workspace has no generation {start.generation_id!r}",
             )
             raise faults.FaultError(fault)
 
     async def _get_terms(self, start: messages.Start) -> _Terms:
-        """Terms of the class, waiting a little for a configuration that knows it."""
+        """Terms of the class, waiting for a configuration that defines it."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + CONFIG_WAIT_SECONDS
+        deadline = loop.time() + CONFIG_TIMEOUT_SECONDS
         while True:
             terms = _find_terms(self._store.current, start.class_name)
             if terms is not None:
                 return terms
-            if loop.time() >= until:
-                message = f"class {start.class_name!r} is not in force here"
+            if loop.time() >= deadline:
+                message = f"class {start.class_name!r} is not in the configuration in force"
                 raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NO_CAPACITY, message))
             await asyncio.sleep(0.05)
 
-    def _build(
+    def _build_generation(
         self, executor: execution.Executor, start: messages.Start, terms: _Terms
     ) -> generations.Generation:
         now = asyncio.get_running_loop().time()
         model = self.get_length_model(start) if self.get_length_model else None
         if model is None:
-            book = executor.state.length_models
-            model = book.get(start.workspace, start.class_name, start.model)
+            distributions = executor.state.length_models
+            model = distributions.get(start.workspace, start.class_name, start.model)
         return generations.Generation(
             start=start,
             arrived=now,
@@ -285,7 +286,7 @@
             length_model=model,
         )
 
-    async def _take(
+    async def _accept(
         self, executor: execution.Executor, start: messages.Start
     ) -> generations.Generation:
         terms = await self._get_terms(start)
@@ -293,10 +294,10 @@
         known = state.held.get(start.generation_id)
         if known is not None:
             return known
-        generation = self._build(executor, start, terms)
+        generation = self._build_generation(executor, start, terms)
         fault = scheduling.check_arrival(generation, state, generation.arrived)
         if fault is None and state.models and start.model and start.model not in state.models:
-            message = f"{state.name} has not loaded {start.model!r}"
+            message = f"{state.name} has not loaded model {start.model!r}"
             fault = faults.new_fault(kinds.ErrorKind.NO_CAPACITY, message)
         if fault is not None:
             self._count("refusals", 1)
@@ -340,7 +341,7 @@
             return known
         start.prompt_tokens = prompt_tokens
         terms = await self._get_terms(start)
-        generation = self._build(executor, start, terms)
+        generation = self._build_generation(executor, start, terms)
         executor.adopt(generation)
         return generation
 
@@ -351,7 +352,7 @@
         exchange: links.Exchange,
         start: messages.Start,
     ) -> None:
-        """Feed the reader until it has the end, cancels, or its link is lost."""
+        """Stream tokens until the reader has the end, cancels, or loses its link."""
         exchange.send(messages.Accepted(generation.id, start.offset))
         credit = min(start.credit, MAX_CREDIT)
         feed = generations.Feed(generation, exchange, start.offset, credit)
@@ -365,37 +366,37 @@
                     feed.credit = min(feed.credit + body.tokens, MAX_CREDIT)
                     feed.push()
                 elif isinstance(body, messages.Cancel):
-                    self._take_cancel(executor, generation, body.reason)
+                    self._handle_cancel(executor, generation, body.reason)
                     return
                 elif isinstance(body, messages.End):
                     return
         finally:
             generation.feeds.remove(feed)
-            self._note_detached(generation)
+            self._record_detached(generation)
             self._changed.set()
 
-    def _take_cancel(
+    def _handle_cancel(
         self, executor: execution.Executor, generation: generations.Generation, reason: str
     ) -> None:
         terms = _find_terms(self._store.current, generation.start.class_name)
-        if terms is not None and terms.finish_alone:
+        if terms is not None and terms.finish_detached:
             return
         executor.cancel(generation, kinds.ErrorKind.CANCELLED, reason)
 
-    def _note_detached(self, generation: generations.Generation) -> None:
+    def _record_detached(self, generation: generations.Generation) -> None:
         if generation.feeds or generation.end is not None:
             return
         terms = _find_terms(self._store.current, generation.start.class_name)
-        if terms is None or not terms.finish_alone:
+        if terms is None or not terms.finish_detached:
             generation.detached_at = asyncio.get_running_loop().time()
 
     # Reports
 
     def build_loads(self) -> list[messages.Load]:
-        """Load of every target as it is now."""
-        return [self._read_load(executor.state) for executor in self.executors.values()]
+        """Current load of every target."""
+        return [self._build_load(executor.state) for executor in self.executors.values()]
 
-    def _read_load(self, state: targets.TargetState) -> messages.Load:
+    def _build_load(self, state: targets.TargetState) -> messages.Load:
         used = state.memory_used
         promised = sum(int(item.predict_remaining().expected_remaining) for item in state.running)
         return messages.Load(
@@ -414,38 +415,38 @@
             urgent_wait_ms=state.estimate_wait(True) * 1000,
         )
 
-    async def _report_for_ever(self) -> None:
+    async def _run_reports(self) -> None:
         loop = asyncio.get_running_loop()
-        last = 0.0
+        reported_at = 0.0
         known: list[links.Link] = []
         while True:
             try:
-                await asyncio.wait_for(self._changed.wait(), REPORT_ANYWAY_SECONDS)
+                await asyncio.wait_for(self._changed.wait(), MAX_REPORT_INTERVAL_SECONDS)
             except TimeoutError:
                 pass
             self._changed.clear()
-            peers = self._get_links()
-            has_new = any(link not in known for link in peers)
-            is_due = has_new or loop.time() - last >= REPORT_ANYWAY_SECONDS
-            loads = self._read_changed(is_due)
+            current = self._get_links()
+            has_new = any(link not in known for link in current)
+            is_due = has_new or loop.time() - reported_at >= MAX_REPORT_INTERVAL_SECONDS
+            loads = self._collect_changed(is_due)
             if loads:
-                last = loop.time()
-                self._send_loads(peers, loads)
-            known = peers
-            await asyncio.sleep(REPORT_SECONDS)
+                reported_at = loop.time()
+                self._send_loads(current, loads)
+            known = current
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
-    def _read_changed(self, everything: bool) -> list[messages.Load]:
+    def _collect_changed(self, is_full: bool) -> list[messages.Load]:
         changed = []
         for load in self.build_loads():
             known = self._reported.get(load.target)
-            if everything or known is None or _has_changed(known, load):
+            if is_full or known is None or _has_changed(known, load):
                 self._reported[load.target] = load
                 changed.append(load)
         self._sequence += 1
         return [dataclasses.replace(load, sequence=self._sequence) for load in changed]
 
-    def _send_loads(self, peers: list[links.Link], loads: list[messages.Load]) -> None:
-        for link in peers:
+    def _send_loads(self, receivers: list[links.Link], loads: list[messages.Load]) -> None:
+        for link in receivers:
             try:
                 link.send(messages.Loads(loads))
             except links.LinkLost:
@@ -453,13 +454,15 @@
 
 
 def _has_changed(old: messages.Load, new: messages.Load) -> bool:
-    """Whether a target's load has changed enough to be worth a report."""
+    """Whether a target's load has changed enough to be reported."""
     if (old.leaving, old.healthy, old.models) != (new.leaving, new.healthy, new.models):
         return True
     if (old.waiting == 0) != (new.waiting == 0) or old.prefixes != new.prefixes:
         return True
-    held = abs(new.memory_used + new.memory_promised - old.memory_used - old.memory_promised)
-    if held > REPORT_MEMORY_SHARE * max(1, new.memory_total):
+    memory_change = abs(
+        new.memory_used + new.memory_promised - old.memory_used - old.memory_promised
+    )
+    if memory_change > REPORT_MEMORY_SHARE * max(1, new.memory_total):
         return True
     return abs(new.running - old.running) > 1 + REPORT_RUNNING_SHARE * old.running
 
@@ -473,5 +476,5 @@
     work = configuration.classes.get(class_name)
     if work is None:
         return None
-    finish = work.on_disconnect is documents.OnDisconnect.FINISH or not work.repeatable
-    return _Terms(work.priority, work.urgent, work.repeatable, finish)
+    finish_detached = work.on_disconnect is documents.OnDisconnect.FINISH or not work.repeatable
+    return _Terms(work.priority, work.urgent, work.repeatable, finish_detached)
--- a/tillerlane/agent/tests/test_scheduling.py
+++ b/tillerlane/agent/tests/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Decisions at a target, one rule at a time, on a state built by hand."""
+"""Scheduling decisions at a target, one rule at a time, on a constructed state."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 
 
 def build_state(policy: documents.Policy | None = None, **changes: object) -> targets.TargetState:
-    """A target of 1,000 tokens and ten places."""
+    """Build a target of 1,000 tokens of memory and ten batch slots."""
     client = engine_client.connect(lambda: engine.Engine(engine.EngineSpec()), ["m"])
     program = programs.compile_program("p", policy or documents.Policy()).unwrap()
     state = targets.TargetState("t", settings.TargetKind.RUNNER, client, program)
@@ -39,22 +39,22 @@
     arrived: float = 0.0,
     longest: int = 100,
 ) -> generations.Generation:
-    """A generation of a class whose answers have about 20 tokens."""
-    book = state.length_models
-    if book.get(workspace, class_name, "m").samples == 0:
+    """Build a generation of a class whose outputs have about 20 tokens."""
+    distributions = state.length_models
+    if distributions.get(workspace, class_name, "m").samples == 0:
         for _ in range(50):
-            book.add(workspace, class_name, "m", 20)
+            distributions.add(workspace, class_name, "m", 20)
     start = messages.Start(
         f"t~{class_name}~{name}", "r", workspace, class_name, "m", "t", b"", prompt, longest
     )
-    model = book.get(workspace, class_name, "m")
+    model = distributions.get(workspace, class_name, "m")
     item = generations.Generation(start, arrived, 1e9, priority, urgent, True, model)
     item.texts = ["x"] * written
     return item
 
 
 def add_running(state: targets.TargetState, item: generations.Generation) -> None:
-    """Have a generation run."""
+    """Add a generation to the running ones."""
     item.state = generations.State.RUNNING
     item.started = True
     state.held[item.id] = item
@@ -62,7 +62,7 @@
 
 
 def add_paused(state: targets.TargetState, item: generations.Generation) -> None:
-    """Have a generation set aside."""
+    """Add a generation to the paused ones."""
     item.state = generations.State.PAUSED
     item.times_paused += 1
     state.held[item.id] = item
@@ -70,7 +70,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Who starts."""
+    """Which requests start."""
 
     def test_highest_rank_first(self) -> None:
         state = build_state(documents.Policy(rank="-prompt_tokens"))
@@ -79,7 +79,7 @@
         admitted = [action.generation.id for action in scheduling.decide(state, 1.0)]
         self.assertEqual(admitted, ["t~c~short", "t~c~middle", "t~c~long"])
 
-    def test_memory_is_not_outgrown(self) -> None:
+    def test_memory_is_not_exceeded(self) -> None:
         state = build_state()
         for number in range(10):
             state.enqueue(build_generation(state, str(number), prompt=150))
@@ -104,7 +104,7 @@
         admitted = [action.generation.id for action in scheduling.decide(state, 1.0)]
         self.assertEqual(admitted, ["t~c~urgent"])
 
-    def test_workspace_gains_nothing_by_many_requests(self) -> None:
+    def test_many_requests_give_a_workspace_no_advantage(self) -> None:
         state = build_state(batch_limit=3)
         state.workspace_usage.charge("flood", 5_000, 0.0)
         for number in range(30):
@@ -113,7 +113,7 @@
         first = scheduling.decide(state, 1.0)[0]
         self.assertEqual(first.generation.id, "t~c~one")
 
-    def test_age_lifts_any_request(self) -> None:
+    def test_waiting_time_raises_rank(self) -> None:
         state = build_state(batch_limit=1)
         state.enqueue(build_generation(state, "old", priority=0, arrived=-1_000.0))
         state.enqueue(build_generation(state, "new", priority=100))
@@ -124,37 +124,37 @@
         for number in range(1_000):
             state.enqueue(build_generation(state, str(number)))
         scheduling.order_waiting(state, {}, 5.0)
-        fresh = sum(item.rank_at == 5.0 for item in state.waiting)
-        self.assertLessEqual(fresh, scheduling.MAX_RANKS_PER_DECISION)
+        evaluated = sum(item.rank_at == 5.0 for item in state.waiting)
+        self.assertLessEqual(evaluated, scheduling.MAX_RANKS_PER_DECISION)
         for step in range(60):
             scheduling.order_waiting(state, {}, 6.0 + step)
         self.assertTrue(all(item.rank_at > 5.0 for item in state.waiting))
 
 
-class SacrificeTest(unittest.TestCase):
-    """Who yields."""
+class PreemptionTest(unittest.TestCase):
+    """Which generations are paused."""
 
-    def fill(self, state: targets.TargetState) -> list[generations.Generation]:
+    def fill_memory(self, state: targets.TargetState) -> list[generations.Generation]:
         items = [build_generation(state, str(n), prompt=306, written=20) for n in range(3)]
         for item in items:
             add_running(state, item)
         return items
 
-    def test_somebody_yields_before_memory_is_full(self) -> None:
+    def test_one_is_paused_before_memory_is_full(self) -> None:
         state = build_state()
-        self.fill(state)
+        self.fill_memory(state)
         actions = scheduling.decide(state, 1.0)
         self.assertEqual([type(action) for action in actions], [scheduling.Pause])
 
-    def test_nobody_yields_twice_while_another_can(self) -> None:
+    def test_none_is_paused_again_while_another_can_be(self) -> None:
         state = build_state(documents.Policy(sacrifice="priority"))
-        items = self.fill(state)
+        items = self.fill_memory(state)
         items[0].priority = 100
         items[0].times_paused = 1
         victim = scheduling.decide(state, 1.0)[0].generation
         self.assertIsNot(victim, items[0])
 
-    def test_spared_class_never_yields(self) -> None:
+    def test_exempt_class_is_never_paused(self) -> None:
         policy = documents.Policy(sacrifice="class_name == 'record' ? -1.0 : 1.0")
         state = build_state(policy)
         for number in range(2):
@@ -164,14 +164,14 @@
         add_running(state, other)
         self.assertEqual(scheduling.decide(state, 1.0), [scheduling.Pause(other)])
 
-    def test_what_was_set_aside_goes_on_before_new_work(self) -> None:
+    def test_paused_generation_resumes_before_new_requests(self) -> None:
         state = build_state(batch_limit=1)
         state.enqueue(build_generation(state, "new", priority=100))
         add_paused(state, build_generation(state, "aside", priority=1, written=10))
         action = scheduling.decide(state, 1.0)[0]
         self.assertIsInstance(action, scheduling.Unpause)
 
-    def test_urgent_work_displaces_after_a_while(self) -> None:
+    def test_urgent_request_preempts_after_a_delay(self) -> None:
         state = build_state()
         for number in range(2):
             add_running(state, build_generation(state, str(number), prompt=460, written=10))
@@ -181,7 +181,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Early refusals are certain not to have run."""
+    """Requests refused on arrival have certainly not run."""
 
     def refuse(self, state: targets.TargetState, item: generations.Generation) -> str:
         fault = scheduling.check_arrival(item, state, 0.0)
@@ -210,7 +210,7 @@
         item.deadline = 1e9
         self.assertEqual(self.refuse(state, item), "")
 
-    def test_hopeless_is_told_before_its_deadline(self) -> None:
+    def test_deadline_that_cannot_be_met_is_detected_early(self) -> None:
         state = build_state(step_seconds=0.1)
         item = build_generation(state, "x")
         item.deadline = 10.0
@@ -227,7 +227,7 @@
 
 
 class PolicyFaultTest(unittest.TestCase):
-    """A program that fails at run time falls back to the built-in rule, visibly."""
+    """An expression that fails at run time is reported and replaced by the built-in rule."""
 
     def test_fall_back(self) -> None:
         state = build_state(documents.Policy(rank="100.0 / double(int(priority) % 7) + 1.0"))
@@ -244,47 +244,47 @@
 
 
 class LengthsTest(unittest.TestCase):
-    """Distributions of lengths."""
+    """Distributions of output lengths."""
 
-    def test_long_survivors_are_expected_to_go_on(self) -> None:
+    def test_expected_remaining_grows_with_length_in_a_heavy_tail(self) -> None:
         model = lengths.LengthModel()
         for length in [20] * 90 + [2_000] * 10:
             model.add(length)
         self.assertLess(model.predict_remaining(0, 10_000).expected_remaining, 600)
         self.assertGreater(model.predict_remaining(200, 10_000).expected_remaining, 900)
 
-    def test_bound_of_the_request_counts(self) -> None:
+    def test_prediction_respects_max_tokens(self) -> None:
         model = lengths.LengthModel()
-        ahead = model.predict_remaining(0, 50)
-        self.assertLessEqual(ahead.expected_remaining, 50)
-        self.assertEqual(ahead.alive[-1], 0.0)
+        remaining = model.predict_remaining(0, 50)
+        self.assertLessEqual(remaining.expected_remaining, 50)
+        self.assertEqual(remaining.alive[-1], 0.0)
 
-    def test_new_key_borrows_from_its_class(self) -> None:
-        book = lengths.LengthModels()
+    def test_new_key_is_smoothed_by_its_class(self) -> None:
+        distributions = lengths.LengthModels()
         for _ in range(100):
-            book.add("a", "c", "m", 1_000)
-        fresh = book.get("b", "c", "m").predict_remaining(0, 100_000)
-        self.assertGreater(fresh.expected_remaining, 600)
+            distributions.add("a", "c", "m", 1_000)
+        predicted = distributions.get("b", "c", "m").predict_remaining(0, 100_000)
+        self.assertGreater(predicted.expected_remaining, 600)
 
-    def test_it_adapts(self) -> None:
-        book = lengths.LengthModels()
+    def test_distribution_follows_recent_lengths(self) -> None:
+        distributions = lengths.LengthModels()
         for length in [100] * 400 + [300] * 400:
-            book.add("a", "c", "m", length)
+            distributions.add("a", "c", "m", length)
         self.assertGreater(
-            book.get("a", "c", "m").predict_remaining(0, 10_000).expected_remaining, 200
+            distributions.get("a", "c", "m").predict_remaining(0, 10_000).expected_remaining, 200
         )
 
     def test_keys_are_bounded(self) -> None:
-        book = lengths.LengthModels()
-        for number in range(book.MAX_KEYS + 50):
-            book.get(f"w{number}", "c", "m")
-        self.assertLessEqual(len(book._models), book.MAX_KEYS)
+        distributions = lengths.LengthModels()
+        for number in range(distributions.MAX_KEYS + 50):
+            distributions.get(f"w{number}", "c", "m")
+        self.assertLessEqual(len(distributions._models), distributions.MAX_KEYS)
 
 
 class ConstantsTest(unittest.TestCase):
-    """Bounds that others rely on."""
+    """Properties of constants that the code relies on."""
 
-    def test_resume_delays_rise(self) -> None:
+    def test_resume_delays_do_not_decrease(self) -> None:
         self.assertEqual(sorted(execution.RESUME_DELAYS), list(execution.RESUME_DELAYS))
 
 
