--- a/tillerlane/entry/__init__.py
+++ b/tillerlane/entry/__init__.py
@@ -1,3 +1,4 @@
-"""The entry: callers' HTTP, limits, routing, retries and the relay of tokens.  Keeps no state on
-disk; whatever it knows it can learn again.
+"""The entry: HTTP interface of callers, limits, routing, retries and the relay of tokens.
+
+An entry keeps no state on disk; all that it holds can be rebuilt from its peers.
 """
--- a/tillerlane/entry/routing.py
+++ b/tillerlane/entry/routing.py
@@ -1,8 +1,8 @@
-"""Where a request goes: the target with the best ``place`` among those that may take it.
+"""Routing of requests: the target with the highest ``place`` among the candidates.
 
-Reports lag, so each is corrected by what this entry has sent since.  Two random candidates and
-the one whose prefix cache may hold the prompt are weighed, not all: entries that all saw the
-same lagging best would send there together.
+Load reports lag, so each is corrected by the requests that this entry has sent since.  Only two
+random targets and the one whose prefix cache may hold the prompt are candidates: if all were, all
+entries would send to the target with the best lagging report at the same time (herding).
 """
 
 import dataclasses
@@ -21,12 +21,12 @@
 __all__ = ["Router", "choose_target"]
 
 MAX_EJECTED_SHARE = 0.5
-"""At most this share of a pool is left out for failures: the rest would drown."""
-SAMPLES = 2
-NEWCOMER_SHARE = 0.3
-"""Chance that a newcomer stays among the candidates."""
+"""Largest share of a pool that is ejected for failures, lest the others be overloaded."""
+RANDOM_CANDIDATES = 2
+SLOW_START_PROBABILITY = 0.3
+"""Probability that a target in slow start remains a candidate."""
 PREFIX_LOAD_BOUND = 1.25
-"""A cached prefix attracts only while its target has at most this times the mean load."""
+"""Multiple of the mean load above which a target gets no preference for a cached prefix."""
 
 
 Choose = Callable[[requests.Request, list[fleet.TargetRecord]], fleet.TargetRecord]
@@ -34,19 +34,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Router:
-    """What routing needs besides the request."""
+    """State that routing needs besides the request."""
 
     view: fleet.FleetView
     data_hall: str
     rng: random.Random
     choose: Choose | None = None
-    """Another rule among those that may take a request; benchmarks put baselines here."""
+    """Alternative choice among the eligible targets; benchmarks substitute baselines."""
     get_evacuated: Callable[[], frozenset[str]] = frozenset
-    """Data halls whose targets get nothing new."""
+    """Returns the data halls whose targets get no new requests."""
 
 
 def estimate_wait(record: fleet.TargetRecord, urgent: bool) -> float:
-    """Seconds until a start, by the last report and what was sent since."""
+    """Seconds until a start, from the last report and the requests sent since."""
     load = record.load
     if load is None:
         return 0.05 * record.in_flight
@@ -56,7 +56,7 @@
 
 
 def estimate_free_share(record: fleet.TargetRecord) -> float:
-    """Share of memory neither used, promised nor sent since the report."""
+    """Share of memory not used, promised or taken by requests sent since the report."""
     load = record.load
     if load is None or load.memory_total == 0:
         return 0.5 / (1 + record.in_flight)
@@ -64,7 +64,7 @@
     return max(0.0, 1.0 - used / load.memory_total)
 
 
-def _may_take(record: fleet.TargetRecord, request: requests.Request, tried: set[str]) -> bool:
+def _can_accept(record: fleet.TargetRecord, request: requests.Request, tried: set[str]) -> bool:
     load = record.load
     if record.name in tried or record.leaving or record.peer.link is None:
         return False
@@ -75,24 +75,28 @@
     return not request.model or not load.models or request.model in load.models
 
 
-def _leave_out_ejected(records: list[fleet.TargetRecord], now: float) -> list[fleet.TargetRecord]:
+def _exclude_ejected(records: list[fleet.TargetRecord], now: float) -> list[fleet.TargetRecord]:
     ejected = [item for item in records if item.ejected_until > now]
     if len(ejected) > MAX_EJECTED_SHARE * len(records):
         return records
     return [item for item in records if item.ejected_until <= now]
 
 
-def _find_affine(
+def _find_prefix_target(
     records: list[fleet.TargetRecord], request: requests.Request
 ) -> fleet.TargetRecord | None:
-    """The target that should hold the prompt's prefix: known to, or by rendezvous hashing."""
+    """Target whose cache holds the prompt's prefix by report, or else by rendezvous hashing."""
     if not request.prefix_hash:
         return None
     mean = sum(item.in_flight for item in records) / len(records)
-    light = [item for item in records if item.in_flight <= PREFIX_LOAD_BOUND * mean + 1]
-    knowing = [item for item in light if item.load and request.prefix_hash in item.load.prefixes]
+    below_bound = [item for item in records if item.in_flight <= PREFIX_LOAD_BOUND * mean + 1]
+    reporting = [
+        item for item in below_bound if item.load and request.prefix_hash in item.load.prefixes
+    ]
     return max(
-        knowing or light, key=lambda item: _hash_pair(item.name, request.prefix_hash), default=None
+        reporting or below_bound,
+        key=lambda item: _hash_pair(item.name, request.prefix_hash),
+        default=None,
     )
 
 
@@ -112,7 +116,7 @@
     wait = estimate_wait(record, request.urgent)
     free = estimate_free_share(record)
     hit = 1.0 if load and request.prefix_hash and request.prefix_hash in load.prefixes else 0.0
-    same_hall = record.hall == router.data_hall
+    same_hall = record.data_hall == router.data_hall
     default = builtin.place(
         estimated_wait_s=wait, memory_free_share=free, prefix_hit=hit, same_hall=same_hall
     )
@@ -138,7 +142,7 @@
 
 
 def build_request_facts(request: requests.Request) -> dict[str, programs.Value]:
-    """Facts of a request that do not change."""
+    """Facts of a request that are constant over its life."""
     return {
         "workspace": request.workspace,
         "class_name": request.class_name,
@@ -158,30 +162,34 @@
     tried: set[str],
     now: float,
 ) -> result.Result[fleet.TargetRecord, faults.Fault]:
-    """Choose a target for a request; `tried` ones are left out."""
-    known = [router.view.targets.get(name) for name in request.targets]
+    """Choose a target for a request, excluding those in `tried`."""
+    found = [router.view.targets.get(name) for name in request.targets]
     evacuated = router.get_evacuated()
     records = [
         item
-        for item in known
-        if item is not None and item.hall not in evacuated and _may_take(item, request, tried)
+        for item in found
+        if item is not None
+        and item.data_hall not in evacuated
+        and _can_accept(item, request, tried)
     ]
     if not records:
-        message = f"none of the {len(request.targets)} targets of {request.group!r} can take it"
+        message = f"none of the {len(request.targets)} targets of {request.group!r} is available"
         if evacuated:
             message += f"; evacuated data halls: {sorted(evacuated)}"
         fault = faults.new_fault(kinds.ErrorKind.NO_CAPACITY, message, retry_after=1.0)
         return result.Err(fault)
     if router.choose is not None:
         return result.Ok(router.choose(request, records))
-    records = _leave_out_ejected(records, now)
-    settled = [
-        item for item in records if not item.is_new(now) or router.rng.random() < NEWCOMER_SHARE
+    records = _exclude_ejected(records, now)
+    preferred = [
+        item
+        for item in records
+        if not item.is_in_slow_start(now) or router.rng.random() < SLOW_START_PROBABILITY
     ]
-    records = settled or records
-    candidates = router.rng.sample(records, min(SAMPLES, len(records)))
-    affine = _find_affine(records, request)
-    if affine is not None and affine not in candidates:
-        candidates.append(affine)
+    records = preferred or records
+    candidates = router.rng.sample(records, min(RANDOM_CANDIDATES, len(records)))
+    prefix_target = _find_prefix_target(records, request)
+    if prefix_target is not None and prefix_target not in candidates:
+        candidates.append(prefix_target)
     best = max(candidates, key=lambda item: score(item, request, router, program, now))
     return result.Ok(best)
