--- a/tillerlane/entry/api.py
+++ b/tillerlane/entry/api.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP interface: bounded bodies, keys, limits, server-sent events, plain services."""
+"""HTTP interface for callers: keys, limits, bounded bodies, server-sent events, plain services."""
 
 import asyncio
 import contextlib
@@ -23,17 +23,17 @@
 
 CLASS_HEADER = "x-tillerlane-class"
 REQUEST_HEADER = "x-request-id"
-BODY_SECONDS = 30.0
-"""How long a caller may take to send a body."""
+BODY_TIMEOUT_SECONDS = 30.0
+"""Time within which a caller must send the request body."""
 _SAFE_METHODS = frozenset({"GET", "HEAD"})
-_NO_BODY = {"cache-control": "no-store"}
+_NO_STORE = {"cache-control": "no-store"}
 
 T = TypeVar("T")
 
 
 @dataclasses.dataclass(slots=True)
 class CallerApi:
-    """What the callers' interface works with.
+    """State and dependencies of the interface for callers.
 
     Attributes
     ----------
@@ -42,13 +42,13 @@
     dispatcher : dispatch.Dispatcher
         Runs requests.
     limits : limits.WorkspaceLimits
-        Limits at this entry.
+        Workspace limits at this entry.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     count_entries : callable
-        Live entries, this one included.
+        Returns the number of live entries, this one included.
     is_stopping : callable
-        Whether this entry takes no new requests.
+        Returns whether this entry accepts no new requests.
     measure : callable
         Called with (metric name, seconds).
     """
@@ -62,7 +62,7 @@
     measure: Callable[[str, float], None]
 
     def authenticate(self, http: litestar.Request[Any, Any, Any]) -> str:
-        """Workspace of the bearer key.
+        """Return the workspace of the bearer key.
 
         Raises
         ------
@@ -81,7 +81,7 @@
         return workspace
 
     def admit(self, workspace: str, prompt_tokens: int) -> None:
-        """Count a request in.
+        """Admit a request within the limits.
 
         Raises
         ------
@@ -104,42 +104,42 @@
             raise faults.FaultError(fault)
 
     def release(self, workspace: str, written: int) -> None:
-        """Count a request out."""
+        """Record the end of a request."""
         self.limits.release(workspace, written, asyncio.get_running_loop().time())
 
 
 async def read_body(http: litestar.Request[Any, Any, Any], limit: int) -> bytes:
-    """Read a body, at most `limit` bytes of it and not for ever.
+    """Read a body of at most `limit` bytes within `BODY_TIMEOUT_SECONDS`.
 
     Raises
     ------
     faults.FaultError
         Of kind ``too_large`` or ``bad_request``.
     """
-    announced = http.headers.get("content-length", "0")
-    if announced.isdigit() and int(announced) > limit:
-        raise _too_large(int(announced), limit)
+    content_length = http.headers.get("content-length", "0")
+    if content_length.isdigit() and int(content_length) > limit:
+        raise _build_too_large(int(content_length), limit)
     data = bytearray()
     try:
-        async with asyncio.timeout(BODY_SECONDS):
+        async with asyncio.timeout(BODY_TIMEOUT_SECONDS):
             async for chunk in http.stream():
                 data += chunk
                 if len(data) > limit:
-                    raise _too_large(len(data), limit)
+                    raise _build_too_large(len(data), limit)
     except TimeoutError as error:
-        message = f"the body did not come within {BODY_SECONDS} s"
+        message = f"the request body did not arrive within {BODY_TIMEOUT_SECONDS} s"
         fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message)
         raise faults.FaultError(fault) from error
     return bytes(data)
 
 
-def _too_large(got: int, limit: int) -> faults.FaultError:
+def _build_too_large(got: int, limit: int) -> faults.FaultError:
     message = f"got a body of at least {got} bytes, expected at most {limit}"
     return faults.FaultError(faults.new_fault(kinds.ErrorKind.TOO_LARGE, message))
 
 
-async def _wait_gone(http: litestar.Request[Any, Any, Any]) -> None:
-    """Return when the caller has closed the connection."""
+async def _wait_disconnected(http: litestar.Request[Any, Any, Any]) -> None:
+    """Wait until the caller has closed the connection."""
     while True:
         message = await http.receive()
         if message["type"] == "http.disconnect":
@@ -147,38 +147,38 @@
 
 
 async def _run_while_connected(http: litestar.Request[Any, Any, Any], work: "asyncio.Task[T]") -> T:
-    """Wait for work whose caller may vanish meanwhile; then it is cancelled."""
-    gone = asyncio.create_task(_wait_gone(http))
+    """Wait for work, cancelling it if the caller disconnects."""
+    disconnected = asyncio.create_task(_wait_disconnected(http))
     try:
-        await asyncio.wait({work, gone}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({work, disconnected}, return_when=asyncio.FIRST_COMPLETED)
         if not work.done():
             work.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await work
-            fault = faults.new_fault(kinds.ErrorKind.CANCELLED, "the caller has gone")
+            fault = faults.new_fault(kinds.ErrorKind.CANCELLED, "the caller disconnected")
             raise faults.FaultError(fault)
         return work.result()
     finally:
-        gone.cancel()
+        disconnected.cancel()
 
 
 Items = AsyncIterator[relay.Piece | relay.Ending]
 
 
-async def _write_events(
+async def _encode_events(
     callers: CallerApi,
     request: requests.Request,
     items: Items,
     first: relay.Piece | relay.Ending,
-    writer: formats.EventEncoder,
+    encoder: formats.EventEncoder,
 ) -> AsyncIterator[bytes]:
-    """Events of an answer whose first item is there already."""
+    """Encode the events of a response whose first item was read already."""
     written = 0
     try:
         item: relay.Piece | relay.Ending | None = first
         while item is not None:
             if isinstance(item, relay.Ending):
-                yield writer.encode_ending(item)
+                yield encoder.encode_ending(item)
                 callers.timeline.record(
                     "request.end",
                     request_id=request.request_id,
@@ -187,17 +187,17 @@
                 )
                 return
             written += len(item.texts)
-            yield writer.encode_piece(item)
+            yield encoder.encode_piece(item)
             item = await anext(items, None)
     except faults.FaultError as error:
-        _note_fault(callers, request, error.fault)
+        _record_fault(callers, request, error.fault)
         yield formats.encode_error_event(error.fault)
     finally:
         callers.release(request.workspace, written)
         await items.aclose()  # type: ignore[attr-defined]
 
 
-def _note_fault(callers: CallerApi, request: requests.Request, fault: faults.Fault) -> None:
+def _record_fault(callers: CallerApi, request: requests.Request, fault: faults.Fault) -> None:
     callers.timeline.record(
         "request.fault",
         request_id=request.request_id,
@@ -208,13 +208,13 @@
 
 
 async def _collect(items: Items) -> tuple[str, relay.Ending]:
-    """The whole text and its end."""
+    """Collect the complete text and its end."""
     texts: list[str] = []
     async for item in items:
         if isinstance(item, relay.Ending):
             return "".join(texts), item
         texts.extend(item.texts)
-    raise RuntimeError("a relay ended without an ending")
+    raise RuntimeError("relay finished without an ending")
 
 
 async def _collect_closing(items: Items) -> tuple[str, relay.Ending]:
@@ -222,13 +222,13 @@
         return await _collect(closing)
 
 
-async def _answer(
+async def _serve_generation(
     callers: CallerApi,
     http: litestar.Request[Any, Any, Any],
     form: requests.Form,
     model: type[requests.ChatBody] | type[requests.CompletionBody],
 ) -> litestar.Response[Any] | response.Stream:
-    """Serve one generation, streamed or whole, new or resumed."""
+    """Serve one generation, streamed or complete, new or resumed."""
     loop = asyncio.get_running_loop()
     workspace = callers.authenticate(http)
     configuration = callers.store.current
@@ -252,15 +252,15 @@
     )
     last_event = http.headers.get("last-event-id", "")
     try:
-        items = _open_items(callers, request, last_event)
-        return await _send(callers, http, form, body, request, items)
+        items = _start_relay(callers, request, last_event)
+        return await _respond(callers, http, form, body, request, items)
     except faults.FaultError as error:
-        _note_fault(callers, request, error.fault)
+        _record_fault(callers, request, error.fault)
         raise
 
 
-def _open_items(callers: CallerApi, request: requests.Request, last_event: str) -> Items:
-    """A new generation, or the rest of one."""
+def _start_relay(callers: CallerApi, request: requests.Request, last_event: str) -> Items:
+    """Start a new generation, or resume one at ``Last-Event-ID``."""
     if not last_event:
         callers.admit(request.workspace, request.prompt_tokens)
         return callers.dispatcher.run(request)
@@ -269,7 +269,7 @@
     return callers.dispatcher.resume(request, generation_id, offset)
 
 
-async def _send(
+async def _respond(
     callers: CallerApi,
     http: litestar.Request[Any, Any, Any],
     form: requests.Form,
@@ -277,27 +277,27 @@
     request: requests.Request,
     items: Items,
 ) -> litestar.Response[Any] | response.Stream:
-    headers = {REQUEST_HEADER: request.request_id, **_NO_BODY}
+    headers = {REQUEST_HEADER: request.request_id, **_NO_STORE}
     created = int(time.time())
     if not body.stream:
-        return await _send_whole(callers, http, form, body, request, items)
+        return await _respond_complete(callers, http, form, body, request, items)
     try:
-        first = await _run_while_connected(http, asyncio.create_task(_take_first(items)))
+        first = await _run_while_connected(http, asyncio.create_task(_read_first(items)))
     except BaseException:
         callers.release(request.workspace, 0)
         await items.aclose()  # type: ignore[attr-defined]
         raise
     callers.measure("first_token", asyncio.get_running_loop().time() - request.arrived)
-    writer = formats.EventEncoder(form, body.model, created)
-    events = _write_events(callers, request, items, first, writer)
+    encoder = formats.EventEncoder(form, body.model, created)
+    events = _encode_events(callers, request, items, first, encoder)
     return response.Stream(events, media_type="text/event-stream", headers=headers, status_code=200)
 
 
-async def _take_first(items: Items) -> relay.Piece | relay.Ending:
+async def _read_first(items: Items) -> relay.Piece | relay.Ending:
     return await anext(items)
 
 
-async def _send_whole(
+async def _respond_complete(
     callers: CallerApi,
     http: litestar.Request[Any, Any, Any],
     form: requests.Form,
@@ -318,15 +318,15 @@
         generation_id=ending.generation_id,
         tokens=ending.tokens,
     )
-    answer = formats.build_response(form, body.model, int(time.time()), text, ending)
-    headers = {REQUEST_HEADER: request.request_id, **_NO_BODY}
-    return litestar.Response(answer, headers=headers, status_code=200)
+    body_document = formats.build_response(form, body.model, int(time.time()), text, ending)
+    headers = {REQUEST_HEADER: request.request_id, **_NO_STORE}
+    return litestar.Response(body_document, headers=headers, status_code=200)
 
 
 async def _call_service(
     callers: CallerApi, http: litestar.Request[Any, Any, Any], name: str, path: str
 ) -> litestar.Response[bytes]:
-    """Serve one call of a plain service."""
+    """Serve a call of a plain service."""
     workspace = callers.authenticate(http)
     configuration = callers.store.current
     service = configuration.services.get(name)
@@ -362,33 +362,36 @@
     try:
         items = callers.dispatcher.run(request)
         work = asyncio.create_task(formats.read_service_response(items))
-        answer = await _run_while_connected(http, work)
+        service_response = await _run_while_connected(http, work)
     except faults.FaultError as error:
-        _note_fault(callers, request, error.fault)
+        _record_fault(callers, request, error.fault)
         raise
     finally:
         callers.release(workspace, 0)
-    answer.headers[REQUEST_HEADER] = request.request_id
-    media_type = answer.headers.pop("content-type", "application/octet-stream")
+    service_response.headers[REQUEST_HEADER] = request.request_id
+    media_type = service_response.headers.pop("content-type", "application/octet-stream")
     return litestar.Response(
-        answer.body, status_code=answer.status, headers=answer.headers, media_type=media_type
+        service_response.body,
+        status_code=service_response.status,
+        headers=service_response.headers,
+        media_type=media_type,
     )
 
 
 def build_handlers(callers: CallerApi) -> list[Any]:
-    """Route handlers of the callers' interface."""
+    """Build the route handlers of the interface for callers."""
 
     @litestar.post("/v1/chat/completions", status_code=200)
     async def chat(
         request: litestar.Request[Any, Any, Any],
     ) -> litestar.Response[Any] | response.Stream:
-        return await _answer(callers, request, "chat", requests.ChatBody)
+        return await _serve_generation(callers, request, "chat", requests.ChatBody)
 
     @litestar.post("/v1/completions", status_code=200)
     async def complete(
         request: litestar.Request[Any, Any, Any],
     ) -> litestar.Response[Any] | response.Stream:
-        return await _answer(callers, request, "completion", requests.CompletionBody)
+        return await _serve_generation(callers, request, "completion", requests.CompletionBody)
 
     @litestar.get("/v1/models")
     async def list_models(request: litestar.Request[Any, Any, Any]) -> dict[str, Any]:
--- a/tillerlane/entry/dispatch.py
+++ b/tillerlane/entry/dispatch.py
@@ -1,7 +1,7 @@
-"""Runs a caller's request: target, attempts, claim, and what of it may be tried elsewhere.
+"""Dispatch of callers' requests: choice of the target, retries and idempotency claims.
 
-Once a token has gone to the caller no other generation takes the place of the first.  A request
-that may not be repeated is claimed in the replicated log before it is sent.
+Once a token has been delivered to the caller, the generation is not replaced by another one.  A
+request that may not be repeated is claimed in the replicated log before it is sent.
 """
 
 import asyncio
@@ -26,14 +26,14 @@
 __all__ = ["Dispatcher"]
 
 MAX_STORED_CHARACTERS = 16_384
-"""Answers up to this size are stored with the claim's end."""
+"""Largest response that is stored when its claim is settled."""
 MAX_ATTEMPTS = 6
-JOIN_SECONDS = 2.0
-"""How long a second arrival looks for the generation of the first."""
-JOIN_RETRY_SECONDS = 0.1
+JOIN_TIMEOUT_SECONDS = 2.0
+"""How long a duplicate request tries to attach to the generation of the first."""
+JOIN_RETRY_DELAY_SECONDS = 0.1
 RELEASE_DELAYS = (0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
-"""Seconds before each try to release a claim whose opening got no answer."""
-_ELSEWHERE = frozenset(
+"""Seconds before each attempt to release a claim whose opening got no reply."""
+_RETRYABLE_FAULTS = frozenset(
     {
         kinds.ErrorKind.LEAVING,
         kinds.ErrorKind.NO_CAPACITY,
@@ -42,8 +42,8 @@
         kinds.ErrorKind.UNREACHABLE,
     }
 )
-"""Faults after which another target may do better."""
-_TARGETS_OWN = frozenset({kinds.ErrorKind.TARGET_FAILED, kinds.ErrorKind.GENERATION_LOST})
+"""Faults after which another target may succeed."""
+_TARGET_FAULTS = frozenset({kinds.ErrorKind.TARGET_FAILED, kinds.ErrorKind.GENERATION_LOST})
 
 Propose = Callable[[commands.Command], Awaitable[dict[str, Any]]]
 Item = relay.Piece | relay.Ending
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Claim:
-    """A claim held by this request; `attempt` counts the generations it was given to."""
+    """Claim held by this request; `attempt` numbers the generations under the claim."""
 
     key: str
     attempt: int = 0
@@ -59,8 +59,8 @@
     texts: list[str] = dataclasses.field(default_factory=list)
     characters: int = 0
 
-    def keep(self, piece: relay.Piece) -> None:
-        """Keep an answer while it is small."""
+    def store(self, piece: relay.Piece) -> None:
+        """Store the response up to `MAX_STORED_CHARACTERS`."""
         self.characters += sum(len(text) for text in piece.texts)
         if self.characters <= MAX_STORED_CHARACTERS:
             self.texts.extend(piece.texts)
@@ -72,15 +72,15 @@
     Parameters
     ----------
     view : fleet.FleetView
-        Targets.
+        Targets known to the entry.
     router : routing.Router
-        Chooses among them.
+        State for choosing among them.
     store : stores.Store
         Configuration in force.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     propose : callable
-        Puts a command into the replicated log and gives its answer.
+        Proposes a command to the replicated log and returns its result.
     count : callable
         Called with (metric name, number).
     """
@@ -105,11 +105,11 @@
         self._background: set[asyncio.Task[None]] = set()
         self.active = 0
         self.unserved: collections.Counter[tuple[str, str]] = collections.Counter()
-        """(pool, model) to requests that found no target, since it was last read."""
+        """Requests without an available target since the last report, by (pool, model)."""
         store.add_listener(lambda changed: self._programs.clear())
 
     def _get_program(self, group: str) -> programs.Program:
-        """The policy of a pool; services have the built-in rules."""
+        """Compiled policy of a pool; services use the built-in rules."""
         program = self._programs.get(group)
         if program is None:
             configuration = self._store.current
@@ -118,34 +118,34 @@
             policy = configuration.policies.get(name, documents.Policy())
             compiled = programs.compile_program(name, policy)
             program = compiled.unwrap_or(programs.Program("builtin", {}))
-            program.on_fault = self._note_policy_fault
+            program.on_fault = self._record_policy_fault
             self._programs[group] = program
         return program
 
-    def _note_policy_fault(self, policy: str, expression: str, reason: str) -> None:
+    def _record_policy_fault(self, policy: str, expression: str, reason: str) -> None:
         self._count("policy_faults", 1)
         self._timeline.record("policy.fault", policy=policy, expression=expression, reason=reason)
 
     def pop_unserved(self) -> list[list[Any]]:
-        """Requests that found no target, by pool and model; counts anew from here."""
+        """Return the requests without an available target by pool and model; resets the counts."""
         counted, self.unserved = self.unserved, collections.Counter()
         return [[pool, model, count] for (pool, model), count in counted.items() if model]
 
     # Running
 
     async def run(self, request: requests.Request) -> AsyncIterator[Item]:
-        """Tokens of the answer in order, then its end.
+        """Yield the tokens of the response in order, then its end.
 
         Raises
         ------
         faults.FaultError
-            With the kind and the truth on whether the request ran.
+            With its kind and whether the request ran.
         """
         self.active += 1
         self._budget.record_request(request.group, request.retry_share)
         try:
             if request.repeatable or not request.idempotency_key:
-                attempts = self._try_targets(request, None)
+                attempts = self._run_with_retries(request, None)
             else:
                 attempts = self._run_claimed(request)
             async with contextlib.aclosing(attempts) as items:
@@ -157,7 +157,7 @@
     async def resume(
         self, request: requests.Request, generation_id: str, offset: int
     ) -> AsyncIterator[Item]:
-        """The rest of a generation that another entry, or this one, had been reading."""
+        """Yield the rest of a generation that this or another entry has been reading."""
         target, _ = requests.parse_generation_id(generation_id)
         record = self._view.find(target)
         if record is None:
@@ -165,18 +165,18 @@
             await self._view.connect_far([target], self._router.rng, loop.time())
             record = self._view.find(target)
         if record is None:
-            message = f"the target of {generation_id!r} is gone"
+            message = f"the target of generation {generation_id!r} is no longer known"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.GENERATION_LOST, message))
         self.active += 1
         try:
-            reading = self._relay(request, record, generation_id, offset, attach=True)
-            async with contextlib.aclosing(reading.read()) as items:
+            reader = self._build_relay(request, record, generation_id, offset, attach=True)
+            async with contextlib.aclosing(reader.read()) as items:
                 async for item in items:
                     yield item
         finally:
             self.active -= 1
 
-    def _relay(
+    def _build_relay(
         self,
         request: requests.Request,
         record: fleet.TargetRecord,
@@ -190,17 +190,17 @@
             request, record, generation_id, offset, attach, reconnect_timeout, self._timeline
         )
 
-    async def _try_targets(
+    async def _run_with_retries(
         self, request: requests.Request, claim: _Claim | None
     ) -> AsyncIterator[Item]:
-        """Try targets until one gives the whole answer or nothing more may be tried."""
+        """Try targets until one completes the response or no further attempt is allowed."""
         tried: set[str] = set()
         last: faults.Fault | None = None
         for _ in range(MAX_ATTEMPTS):
             record = await self._choose(request, tried, last)
             generation_id = requests.new_generation_id(record.name, request.class_name)
             if claim is not None:
-                await self._take_claim(request, claim, generation_id)
+                await self._acquire_claim(request, claim, generation_id)
             delivered = False
             try:
                 attempt = self._run_attempt(request, record, generation_id, claim)
@@ -211,19 +211,19 @@
                 return
             except faults.FaultError as error:
                 last = error.fault
-                if delivered or not self._may_try_elsewhere(request, last):
-                    await self._give_up_claim(request, claim, last)
+                if delivered or not self._can_retry(request, last):
+                    await self._close_claim(request, claim, last)
                     raise
             tried.add(record.name)
             self._count("retries", 1)
             self._record("request.retry", request, generation_id, kind=last.kind, ran=last.ran)
-        await self._give_up_claim(request, claim, last)
+        await self._close_claim(request, claim, last)
         raise faults.FaultError(last)
 
     async def _choose(
         self, request: requests.Request, tried: set[str], last: faults.Fault | None
     ) -> fleet.TargetRecord:
-        """A near target, or one of a far hall if no near one can take the request."""
+        """Choose a near target, or one of a far data hall if no near one can accept the request."""
         loop = asyncio.get_running_loop()
         program = self._get_program(request.group)
         chosen = routing.choose_target(request, self._router, program, tried, loop.time())
@@ -237,8 +237,8 @@
             raise faults.FaultError(last or chosen.err_value)
         return chosen.ok_value
 
-    def _may_try_elsewhere(self, request: requests.Request, fault: faults.Fault) -> bool:
-        if fault.kind not in _ELSEWHERE:
+    def _can_retry(self, request: requests.Request, fault: faults.Fault) -> bool:
+        if fault.kind not in _RETRYABLE_FAULTS:
             return False
         if fault.ran is not kinds.Ran.NO and not request.repeatable:
             return False
@@ -255,27 +255,27 @@
         generation_id: str,
         claim: _Claim | None,
     ) -> AsyncIterator[Item]:
-        """One generation; with delivery ``whole`` its tokens are held until its end."""
+        """Run one generation; with delivery ``whole`` its tokens are withheld until its end."""
         self._record("request.send", request, generation_id, target=record.name)
         record.record_send(request.prompt_tokens)
-        held: list[Item] = []
+        withheld: list[Item] = []
         failed = False
-        reading = self._relay(request, record, generation_id, 0, attach=False)
+        reader = self._build_relay(request, record, generation_id, 0, attach=False)
         try:
-            async with contextlib.aclosing(reading.read()) as items:
+            async with contextlib.aclosing(reader.read()) as items:
                 async for item in items:
                     if claim is not None:
-                        await self._note_claimed(request, claim, item)
+                        await self._record_claimed(request, claim, item)
                     if request.delivery is documents.Delivery.WHOLE:
-                        held.append(item)
+                        withheld.append(item)
                     else:
                         yield item
         except faults.FaultError as error:
-            failed = error.fault.kind in _TARGETS_OWN
+            failed = error.fault.kind in _TARGET_FAULTS
             raise
         finally:
             record.record_end(failed, asyncio.get_running_loop().time())
-        for item in held:
+        for item in withheld:
             yield item
 
     def _record(
@@ -288,91 +288,91 @@
     # Claims
 
     async def _run_claimed(self, request: requests.Request) -> AsyncIterator[Item]:
-        """Run a request that may not be repeated, or meet the claim of its first arrival."""
+        """Run a request that may not be repeated, or join the generation of a duplicate."""
         claim = _Claim(request.idempotency_key)
         try:
-            async with contextlib.aclosing(self._try_targets(request, claim)) as items:
+            async with contextlib.aclosing(self._run_with_retries(request, claim)) as items:
                 async for item in items:
                     yield item
-        except _ClaimHeld as held:
-            async with contextlib.aclosing(self._join(request, held.claim)) as items:
+        except _ClaimHeld as error:
+            async with contextlib.aclosing(self._join(request, error.claim)) as items:
                 async for item in items:
                     yield item
 
-    async def _take_claim(
+    async def _acquire_claim(
         self, request: requests.Request, claim: _Claim, generation_id: str
     ) -> None:
-        """Claim the request for a generation, before anything is sent."""
+        """Claim the request for a generation before anything is sent."""
         now_ms = int(time.time() * 1000)
         if claim.attempt == 0:
-            # Its age begins with the end of the request's time: a run that may still be under way
-            # must not have lost its claim.
-            left = max(0.0, request.deadline - asyncio.get_running_loop().time())
-            keep_ms = int((self._store.current.fleet.claim_seconds + left) * 1000)
+            # The retention period starts at the request's deadline, so that a claim cannot expire
+            # while its run may still be in progress.
+            remaining = max(0.0, request.deadline - asyncio.get_running_loop().time())
+            retention_ms = int((self._store.current.fleet.claim_seconds + remaining) * 1000)
             command: commands.Command = commands.ClaimOpen(
                 workspace=request.workspace,
                 key=claim.key,
                 digest=request.digest,
                 generation_id=generation_id,
                 at_ms=now_ms,
-                expires_ms=now_ms + keep_ms,
+                expires_ms=now_ms + retention_ms,
             )
         else:
             command = commands.ClaimMove(request.workspace, claim.key, claim.attempt, generation_id)
         try:
-            answer = await self._propose(command)
+            reply = await self._propose(command)
         except faults.FaultError as error:
             self._release_later(request, claim.key, generation_id)
             fault = dataclasses.replace(error.fault, ran=kinds.Ran.NO)
             raise faults.FaultError(fault) from error
-        if not answer["granted"]:
-            raise _ClaimHeld(answer["claim"])
-        claim.attempt = answer["claim"]["attempt"]
+        if not reply["granted"]:
+            raise _ClaimHeld(reply["claim"])
+        claim.attempt = reply["claim"]["attempt"]
         claim.generation_id = generation_id
         claim.texts = []
         claim.characters = 0
 
     def _release_later(self, request: requests.Request, key: str, generation_id: str) -> None:
-        """Drop a claim that may have been granted without our hearing of it: nothing was sent."""
+        """Release a claim that may have been granted although no reply came; nothing was sent."""
         command = commands.ClaimRelease(request.workspace, key, generation_id)
-        task = asyncio.create_task(self._release_patiently(command))
+        task = asyncio.create_task(self._release_with_retries(command))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def _release_patiently(self, command: commands.ClaimRelease) -> None:
+    async def _release_with_retries(self, command: commands.ClaimRelease) -> None:
         for delay in RELEASE_DELAYS:
             await asyncio.sleep(delay)
             with contextlib.suppress(faults.FaultError):
                 await self._propose(command)
                 return
 
-    async def _note_claimed(self, request: requests.Request, claim: _Claim, item: Item) -> None:
-        """Keep the answer, and settle the claim before its end goes to the caller."""
+    async def _record_claimed(self, request: requests.Request, claim: _Claim, item: Item) -> None:
+        """Store the response, and settle the claim before its end is delivered to the caller."""
         if isinstance(item, relay.Piece):
-            claim.keep(item)
+            claim.store(item)
             return
-        small = claim.characters <= MAX_STORED_CHARACTERS
-        settle = commands.ClaimSettle(
+        is_small = claim.characters <= MAX_STORED_CHARACTERS
+        command = commands.ClaimSettle(
             workspace=request.workspace,
             key=claim.key,
             attempt=claim.attempt,
             outcome="ended",
             tokens=item.tokens,
-            texts=claim.texts if small else None,
+            texts=claim.texts if is_small else None,
         )
-        await self._settle(settle)
+        await self._settle(command)
 
     async def _settle(self, command: commands.Command) -> None:
-        """Store an end; if no quorum answers the claim stays open, which is safe."""
+        """Store an outcome; without a quorum the claim stays open, which is safe."""
         try:
             await self._propose(command)
         except faults.FaultError as error:
             self._timeline.record("claim.unsettled", reason=error.fault.message)
 
-    async def _give_up_claim(
+    async def _close_claim(
         self, request: requests.Request, claim: _Claim | None, fault: faults.Fault
     ) -> None:
-        """Release the claim of a request that truly did not run; otherwise store its fault."""
+        """Release the claim of a request that certainly did not run; otherwise store its fault."""
         if claim is None or claim.attempt == 0:
             return
         if fault.ran is kinds.Ran.NO:
@@ -390,9 +390,9 @@
         await self._settle(command)
 
     async def _join(self, request: requests.Request, claim: dict[str, Any]) -> AsyncIterator[Item]:
-        """Meet an existing claim: its stored end, its running generation, or ``unknown``."""
+        """Serve a duplicate from the claim: its stored response, its generation, or ``unknown``."""
         if claim["digest"] != request.digest:
-            message = "this Idempotency-Key was used for another request"
+            message = "this Idempotency-Key was already used for a different request"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.KEY_REUSED, message))
         generation_id = claim["generation_id"]
         self._record("claim.join", request, generation_id, state=claim["state"])
@@ -403,10 +403,10 @@
             yield relay.Ending(generation_id, "stop", len(texts), request.prompt_tokens)
             return
         if claim["state"] == "fault":
-            message = f"the first arrival failed and may have run: {claim['fault']}"
+            message = f"the original request failed and may have run: {claim['fault']}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.OUTCOME_UNKNOWN, message))
         loop = asyncio.get_running_loop()
-        until = loop.time() + JOIN_SECONDS
+        deadline = loop.time() + JOIN_TIMEOUT_SECONDS
         delivered = False
         while True:
             try:
@@ -416,16 +416,16 @@
                         yield item
                 return
             except faults.FaultError as error:
-                # The first arrival may be on its way between its claim and its agent.
-                if delivered or loop.time() >= until:
-                    message = f"the first arrival cannot be found again: {error.fault.message}"
+                # The original request may still be in transit between its claim and its agent.
+                if delivered or loop.time() >= deadline:
+                    message = f"the original request's generation is lost: {error.fault.message}"
                     fault = faults.new_fault(kinds.ErrorKind.OUTCOME_UNKNOWN, message)
                     raise faults.FaultError(fault) from error
-            await asyncio.sleep(JOIN_RETRY_SECONDS)
+            await asyncio.sleep(JOIN_RETRY_DELAY_SECONDS)
 
 
 class _ClaimHeld(faults.TillerlaneError):
-    """Another arrival of the request holds the claim."""
+    """A duplicate of the request holds the claim."""
 
     def __init__(self, claim: dict[str, Any]) -> None:
         super().__init__("claim held")
--- a/tillerlane/entry/formats.py
+++ b/tillerlane/entry/formats.py
@@ -1,4 +1,4 @@
-"""Answers in the forms that text-generation clients already use."""
+"""Responses in the formats that existing text-generation clients expect."""
 
 import base64
 import dataclasses
@@ -27,9 +27,9 @@
 
 @dataclasses.dataclass(slots=True)
 class EventEncoder:
-    """Writes one generation's tokens as server-sent events.
+    """Encodes one generation's tokens as server-sent events.
 
-    All that does not change between events is written once.
+    The parts that are constant between events are encoded once.
 
     Attributes
     ----------
@@ -47,8 +47,8 @@
     _head: str = ""
     _generation_id: str = ""
 
-    def _open(self, generation_id: str) -> str:
-        """Everything up to the choice; written when the generation is first seen."""
+    def _encode_head(self, generation_id: str) -> str:
+        """Part of the event before the choice, encoded once per generation."""
         if generation_id != self._generation_id:
             self._generation_id = generation_id
             kind = "chat.completion.chunk" if self.form == "chat" else "text_completion"
@@ -62,8 +62,8 @@
         return self._head
 
     def encode_piece(self, piece: relay.Piece) -> bytes:
-        """One event for a piece; its id says where to resume."""
-        head = self._open(piece.generation_id)
+        """Encode a piece as one event, whose id is the position for resuming."""
+        head = self._encode_head(piece.generation_id)
         text = _encode("".join(piece.texts))
         if self.form == "chat":
             role = '"role":"assistant",' if piece.offset == 0 else ""
@@ -74,12 +74,12 @@
         return f"id: {piece.generation_id}:{next_offset}\ndata: {head}{choice}\n\n".encode()
 
     def encode_ending(self, ending: relay.Ending) -> bytes:
-        """The last events."""
-        head = self._open(ending.generation_id)
+        """Encode the last events."""
+        head = self._encode_head(ending.generation_id)
         body = '"delta":{}' if self.form == "chat" else '"text":""'
         usage = _encode(build_usage(ending))
-        last = f'{body},"finish_reason":{_encode(ending.reason)}}}],"usage":{usage}}}'
-        event = f"id: {ending.generation_id}:{ending.tokens}\ndata: {head}{last}\n\n"
+        last_choice = f'{body},"finish_reason":{_encode(ending.reason)}}}],"usage":{usage}}}'
+        event = f"id: {ending.generation_id}:{ending.tokens}\ndata: {head}{last_choice}\n\n"
         return event.encode() + DONE_EVENT
 
 
@@ -93,14 +93,14 @@
 
 
 def encode_error_event(fault: faults.Fault) -> bytes:
-    """An event for a fault after the answer has begun."""
+    """Encode a fault that occurs after the response has started."""
     return f"event: error\ndata: {_encode(fault.to_json())}\n\n".encode()
 
 
 def build_response(
     form: requests.Form, model: str, created: int, text: str, ending: relay.Ending
 ) -> dict[str, Any]:
-    """The whole answer as one JSON body."""
+    """Build a complete response body."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": ending.reason}
     if form == "chat":
         choice["message"] = {"role": "assistant", "content": text}
@@ -117,7 +117,7 @@
 
 
 def build_model_list(names: list[str], created: int) -> dict[str, Any]:
-    """Answer of ``GET /v1/models``."""
+    """Build the response body of ``GET /v1/models``."""
     data = [
         {"id": name, "object": "model", "created": created, "owned_by": "tillerlane"}
         for name in names
@@ -127,7 +127,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceResponse:
-    """A plain service's answer."""
+    """Response of a plain service."""
 
     status: int
     headers: dict[str, str]
@@ -137,7 +137,7 @@
 async def read_service_response(
     items: AsyncIterator[relay.Piece | relay.Ending],
 ) -> ServiceResponse:
-    """Join the tokens of a service call (see `tillerlane.runners.http_service`)."""
+    """Decode the tokens of a service call (see `tillerlane.runners.http_service`)."""
     texts: list[str] = []
     async for item in items:
         if isinstance(item, relay.Piece):
--- a/tillerlane/entry/relay.py
+++ b/tillerlane/entry/relay.py
@@ -1,7 +1,7 @@
-"""Relays one generation from its agent: each token once, in order, over any number of links.
+"""Relay of one generation from its agent: each token once, in order, across link failures.
 
-A lost link is not the end: the relay attaches again from the next offset, to the same agent or
-its successor.  It never starts anything twice; that is `tillerlane.entry.dispatch`'s decision.
+After a lost link the relay attaches again at the next offset, to the same agent or to its next
+process.  It never starts a generation twice; retries are decided by `tillerlane.entry.dispatch`.
 """
 
 import asyncio
@@ -18,14 +18,14 @@
 __all__ = ["Ending", "Piece", "Relay"]
 
 WINDOW_TOKENS = 512
-"""Tokens that an agent may send before the caller has taken them."""
-DIAL_WAIT_SECONDS = 0.5
-FIRST_WORD_SECONDS = 1.0
-"""How long a repeatable request of which nothing came is looked for at a lost agent."""
-OVERTIME_SECONDS = 2.0
-"""How long after the deadline the agent's own word on it is waited for."""
-_OF_THE_ASKER = frozenset({kinds.ErrorKind.NOT_FOUND, kinds.ErrorKind.INTERNAL})
-"""Kinds of refusals to attach that say something of who asks, or of a fault of our own."""
+"""Tokens that an agent may send ahead of the caller's reading."""
+DIAL_TIMEOUT_SECONDS = 0.5
+FIRST_TOKEN_RECONNECT_SECONDS = 1.0
+"""Reconnect timeout of a repeatable request without tokens, which may rather run elsewhere."""
+DEADLINE_GRACE_SECONDS = 2.0
+"""How long after the deadline the agent's own report of the outcome is awaited."""
+_REQUESTER_FAULTS = frozenset({kinds.ErrorKind.NOT_FOUND, kinds.ErrorKind.INTERNAL})
+"""Refusals to attach that concern the requester, or an internal error, not the generation."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ending:
-    """The generation is whole."""
+    """End of a complete generation."""
 
     generation_id: str
     reason: str
@@ -48,29 +48,29 @@
 
 
 class _Gap(Exception):
-    """Tokens are missing: they are asked for again."""
+    """Tokens are missing and must be requested again."""
 
 
 @dataclasses.dataclass(slots=True)
 class Relay:
-    """One generation as the entry reads it.
+    """Reader of one generation.
 
     Attributes
     ----------
     request : requests.Request
         The caller's request.
     record : fleet.TargetRecord
-        Its target.
+        Target that runs it.
     generation_id : str
-        The generation.
+        Id of the generation.
     offset : int
-        Next token wanted.
+        Offset of the next token.
     attach : bool
-        Whether the generation must exist already.
+        Whether to attach to an existing generation instead of starting it.
     patience : float
-        Seconds to look for a lost agent once tokens have come.
+        Seconds to try to reach a lost agent.
     timeline : timelines.Timeline
-        Takes the events.
+        Records the events.
     """
 
     request: requests.Request
@@ -81,15 +81,15 @@
     reconnect_timeout: float
     timeline: timelines.Timeline
     sent: bool = False
-    _taken: int = 0
+    _consumed: int = 0
 
     async def read(self) -> AsyncIterator[Piece | Ending]:
-        """Tokens in order, then the end.
+        """Yield the tokens in order, then the end.
 
         Raises
         ------
         faults.FaultError
-            If the generation was refused, failed or got lost; ``ran`` says what is true of it.
+            If the generation was refused, failed or lost; ``ran`` tells whether it ran.
         """
         loop = asyncio.get_running_loop()
         lost_at: float | None = None
@@ -106,21 +106,21 @@
             except links.LinkLost as error:
                 now = loop.time()
                 lost_at = now if lost_at is None else lost_at
-                self._check_patience(lost_at, now, error)
+                self._check_reconnect_timeout(lost_at, now, error)
                 if self.sent:
                     self.attach = True
                 await asyncio.sleep(0.02)
 
-    def _check_patience(self, lost_at: float, now: float, error: links.LinkLost) -> None:
-        is_fresh = self.offset == 0 and not self.attach
-        if not self.sent and is_fresh:
+    def _check_reconnect_timeout(self, lost_at: float, now: float, error: links.LinkLost) -> None:
+        is_first_start = self.offset == 0 and not self.attach
+        if not self.sent and is_first_start:
             message = f"no link to the agent of {self.record.name}: {error}"
             raise faults.FaultError(
                 faults.new_fault(kinds.ErrorKind.UNREACHABLE, message, ran=kinds.Ran.NO)
             )
-        may_restart = self.offset == 0 and self.request.repeatable
-        reconnect_timeout = FIRST_WORD_SECONDS if may_restart else self.reconnect_timeout
-        if now - lost_at > reconnect_timeout or now > self.request.deadline:
+        can_restart = self.offset == 0 and self.request.repeatable
+        timeout = FIRST_TOKEN_RECONNECT_SECONDS if can_restart else self.reconnect_timeout
+        if now - lost_at > timeout or now > self.request.deadline:
             raise faults.FaultError(self._describe_loss(str(error)))
 
     def _describe_loss(self, reason: str) -> faults.Fault:
@@ -132,44 +132,44 @@
         return faults.new_fault(kinds.ErrorKind.TARGET_FAILED, reason)
 
     async def _read_link(self) -> AsyncIterator[Piece | Ending]:
-        link = await self.record.peer.wait_link(DIAL_WAIT_SECONDS)
-        self._check_time()
+        link = await self.record.peer.wait_link(DIAL_TIMEOUT_SECONDS)
+        self._check_deadline()
         exchange = link.open(self._build_start())
-        exchange.expire_at(self.request.deadline + OVERTIME_SECONDS)
+        exchange.expire_at(self.request.deadline + DEADLINE_GRACE_SECONDS)
         self.sent = True
-        done = False
+        is_finished = False
         try:
             while True:
                 body = await self._receive(exchange)
                 if isinstance(body, messages.Run):
-                    texts = self._take(body)
+                    texts = self._handle_run(body)
                     if texts:
                         piece = Piece(self.generation_id, self.offset - len(texts), texts)
                         yield piece
-                        self._grant(exchange, len(texts))
+                        self._return_credit(exchange, len(texts))
                 elif isinstance(body, messages.End):
-                    ending = self._take_end(body)
-                    done = True
+                    ending = self._handle_end(body)
+                    is_finished = True
                     yield ending
                     return
                 elif isinstance(body, messages.Refusal):
-                    done = True
-                    raise faults.FaultError(self._read_refusal(body))
+                    is_finished = True
+                    raise faults.FaultError(self._interpret_refusal(body))
         except faults.FaultError:
-            done = True
+            is_finished = True
             raise
         finally:
-            if not done:
+            if not is_finished:
                 _cancel(exchange)
             exchange.close()
 
-    def _check_time(self) -> None:
-        """Begin nothing after the deadline, as an entry would that stood still meanwhile.
+    def _check_deadline(self) -> None:
+        """Refuse to start after the deadline, for example after this process was suspended.
 
-        By then the request's claim may be gone, and the request run elsewhere.
+        By then the request's claim may have expired, and the request may have run elsewhere.
         """
         if not self.attach and asyncio.get_running_loop().time() >= self.request.deadline:
-            message = "the deadline passed before it was sent"
+            message = "the deadline passed before the request was sent"
             fault = faults.new_fault(kinds.ErrorKind.DEADLINE_EXPIRED, message, ran=kinds.Ran.NO)
             raise faults.FaultError(fault)
 
@@ -203,8 +203,8 @@
             waited_ms=max(0, int((now - request.arrived) * 1000)),
         )
 
-    def _take(self, run: messages.Run) -> list[str]:
-        """New tokens of a run; repeated ones are dropped, a gap is asked for again."""
+    def _handle_run(self, run: messages.Run) -> list[str]:
+        """New tokens of a run, without duplicates; raises `_Gap` if tokens are missing."""
         if run.offset > self.offset:
             self.timeline.record(
                 "relay.gap",
@@ -218,32 +218,33 @@
         self.offset += len(texts)
         return texts
 
-    def _grant(self, exchange: links.Exchange, count: int) -> None:
-        self._taken += count
-        if self._taken >= WINDOW_TOKENS // 2:
+    def _return_credit(self, exchange: links.Exchange, count: int) -> None:
+        self._consumed += count
+        if self._consumed >= WINDOW_TOKENS // 2:
             try:
-                exchange.send(messages.Credit(self._taken))
+                exchange.send(messages.Credit(self._consumed))
             except links.LinkLost:
                 pass
-            self._taken = 0
+            self._consumed = 0
 
-    def _take_end(self, end: messages.End) -> Ending:
+    def _handle_end(self, end: messages.End) -> Ending:
         if end.fault:
             raise faults.FaultError(links.read_fault(end.fault))
         if end.tokens != self.offset:
             raise _Gap
         return Ending(self.generation_id, end.reason, end.tokens, end.prompt_tokens)
 
-    def _read_refusal(self, refusal: messages.Refusal) -> faults.Fault:
-        """The fault of a refusal, as far as it is the word of somebody who can know.
+    def _interpret_refusal(self, refusal: messages.Refusal) -> faults.Fault:
+        """Fault of a refusal, with ``ran`` limited to what the agent can know.
 
         An agent refuses to attach because it does not find the generation or does not know its
-        terms: that says nothing of what the target, or a former process of the agent, did with it.
+        class: that is no evidence of what the target, or a previous process of the agent, did
+        with it.
         """
         fault = links.read_fault(refusal.fault)
         if not self.attach:
             return fault
-        if fault.kind in _OF_THE_ASKER:
+        if fault.kind in _REQUESTER_FAULTS:
             ran = kinds.Ran.YES if self.offset else kinds.Ran.UNKNOWN
             return dataclasses.replace(fault, ran=ran)
         return self._describe_loss(fault.message)
@@ -251,6 +252,6 @@
 
 def _cancel(exchange: links.Exchange) -> None:
     try:
-        exchange.send(messages.Cancel("the caller has gone"))
+        exchange.send(messages.Cancel("the caller disconnected"))
     except links.LinkLost:
         return
--- a/tillerlane/entry/requests.py
+++ b/tillerlane/entry/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests: validated at the border, a plain dataclass inside."""
+"""Callers' requests: validated on arrival, then passed on as a plain dataclass."""
 
 import dataclasses
 import hashlib
@@ -29,15 +29,15 @@
 Form = Literal["chat", "completion", "service"]
 
 CHARACTERS_PER_TOKEN = 4
-"""Estimate of a prompt's tokens; the engine's own count is not known beforehand."""
+"""Estimate of a prompt's tokens, as the engine's tokenizer is not available here."""
 PREFIX_CHARACTERS = 1_024
-"""Start of a prompt that decides which runner may have it cached."""
+"""Length of the prompt's prefix that is hashed for routing by prefix cache."""
 MAX_KEY_CHARACTERS = 200
 _SEPARATOR = "~"
 
 
 class _Body(pydantic.BaseModel):
-    """Fields that both forms share; other fields of such clients are accepted and not used."""
+    """Fields common to both forms; unknown fields are accepted and ignored."""
 
     model_config = pydantic.ConfigDict(extra="allow", strict=True)
 
@@ -47,7 +47,7 @@
     max_completion_tokens: Annotated[int, pydantic.Field(gt=0)] | None = None
     n: Literal[1] = 1
     timeout: Annotated[float, pydantic.Field(gt=0)] | None = None
-    """Seconds until the caller gives up."""
+    """Seconds until the caller's own timeout."""
 
 
 class _Message(pydantic.BaseModel):
@@ -63,7 +63,7 @@
     messages: Annotated[list[_Message], pydantic.Field(min_length=1)]
 
     def format_prompt(self) -> str:
-        """The conversation as one text."""
+        """The conversation, encoded as JSON."""
         return json.dumps([item.model_dump() for item in self.messages], ensure_ascii=False)
 
 
@@ -73,7 +73,7 @@
     prompt: str
 
     def format_prompt(self) -> str:
-        """The prompt."""
+        """The prompt as given."""
         return self.prompt
 
 
@@ -90,7 +90,7 @@
     class_name: str
     model: str
     group: str
-    """Pool or service."""
+    """Name of the pool or service."""
     targets: dict[str, str]
     payload: bytes
     prompt_tokens: int
@@ -107,18 +107,18 @@
 
     @property
     def digest(self) -> str:
-        """Hash that tells whether two requests with one key are the same request."""
+        """Hash that distinguishes different requests under the same idempotency key."""
         text = f"{self.class_name}\n{self.model}\n".encode() + self.payload
         return hashlib.sha256(text).hexdigest()[:32]
 
 
 def new_request_id() -> str:
-    """A fresh request id."""
+    """Generate a request id."""
     return "r-" + secrets.token_hex(8)
 
 
 def new_generation_id(target: str, class_name: str) -> str:
-    """A fresh generation id; it names its target, so that any entry finds it again."""
+    """Generate a generation id, which names its target so that any entry can find it."""
     return _SEPARATOR.join([target, class_name, secrets.token_hex(8)])
 
 
@@ -128,11 +128,13 @@
     Raises
     ------
     faults.FaultError
-        Of kind ``bad_request`` if it is no generation id.
+        Of kind ``bad_request`` if the id is malformed.
     """
     parts = generation_id.split(_SEPARATOR)
     if len(parts) != 3 or not all(parts):
-        raise _bad(f"got {generation_id!r}, expected a generation id from an event id")
+        raise _build_bad_request(
+            f"got {generation_id!r}, expected the generation id of an event id"
+        )
     return parts[0], parts[1]
 
 
@@ -140,13 +142,13 @@
     """Generation and next offset of a ``Last-Event-ID``."""
     generation_id, _, offset = text.rpartition(":")
     if not offset.isdigit() or len(offset) > 9:
-        raise _bad(f"got Last-Event-ID {text[:80]!r}, expected GENERATION:OFFSET")
+        raise _build_bad_request(f"got Last-Event-ID {text[:80]!r}, expected GENERATION:OFFSET")
     parse_generation_id(generation_id)
     return generation_id, int(offset)
 
 
 def parse_body(model: type[_Body], data: bytes) -> Any:
-    """Check a body.
+    """Parse and validate a body.
 
     Raises
     ------
@@ -157,13 +159,13 @@
         return model.model_validate_json(data)
     except pydantic.ValidationError as error:
         problems = reader.describe_errors(error, model)
-        raise _bad("body: " + "; ".join(problems[:5])) from error
+        raise _build_bad_request("body: " + "; ".join(problems[:5])) from error
 
 
 def find_class(
     configuration: stores.Configuration, workspace: str, model: str, header: str
 ) -> tuple[str, documents.ClassOfWork]:
-    """Class of work by header or by model alias, if the workspace may use it."""
+    """Find the class of work by header or model alias, checking that the workspace may use it."""
     name = configuration.class_by_alias.get(header or model)
     if name is None:
         message = f"got {header or model!r}, expected a class of work or one of its aliases"
@@ -185,17 +187,17 @@
     idempotency_key: str,
     now: float,
 ) -> Request:
-    """Build a request from a checked body.
+    """Build a request from a validated body.
 
     Raises
     ------
     faults.FaultError
-        If the model or the class is not known or not allowed.
+        If the model or class is unknown or not allowed.
     """
     class_name, work = find_class(configuration, workspace, body.model, class_header)
     pool = configuration.pools[work.pool]
     prompt = body.format_prompt()
-    asked = body.max_completion_tokens or body.max_tokens or work.max_tokens
+    requested_tokens = body.max_completion_tokens or body.max_tokens or work.max_tokens
     return Request(
         request_id=request_id,
         workspace=workspace,
@@ -205,7 +207,7 @@
         targets={name: runner.data_hall for name, runner in pool.runners.items()},
         payload=prompt.encode(),
         prompt_tokens=max(1, len(prompt) // CHARACTERS_PER_TOKEN),
-        max_tokens=min(asked, work.max_tokens),
+        max_tokens=min(requested_tokens, work.max_tokens),
         prefix_hash=_hash_prefix(work.model, prompt),
         arrived=now,
         deadline=now + min(work.deadline_seconds, body.timeout or work.deadline_seconds),
@@ -219,19 +221,21 @@
 
 
 def check_key(key: str) -> str:
-    """An ``Idempotency-Key`` as given, if it is not too long."""
+    """Return an ``Idempotency-Key`` after checking its length."""
     if len(key) > MAX_KEY_CHARACTERS:
-        raise _bad(f"got an Idempotency-Key of {len(key)} characters, at most 200 are allowed")
+        raise _build_bad_request(
+            f"got an Idempotency-Key of {len(key)} characters, expected at most 200"
+        )
     return key
 
 
 def _hash_prefix(model: str, prompt: str) -> int:
-    """Hash of the prompt's start; 0 for prompts too short to share one."""
+    """Hash of the prompt's prefix; 0 if the prompt is shorter than the prefix."""
     if len(prompt) < PREFIX_CHARACTERS:
         return 0
     text = f"{model}\n{prompt[:PREFIX_CHARACTERS]}".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=6).digest(), "big")
 
 
-def _bad(message: str) -> faults.FaultError:
+def _build_bad_request(message: str) -> faults.FaultError:
     return faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
