--- a/tillerlane/entry/tests/test_at_most_once.py
+++ b/tillerlane/entry/tests/test_at_most_once.py
@@ -1,6 +1,6 @@
-"""What may run once runs once, and is said not to have run only if it truly did not.
+"""Non-repeatable requests run at most once, and "not run" is reported only if it is certain.
 
-Each way by which a target may begin or go on with such a request; the table of them is
+The scenes cover each way in which a target may start or resume such a request; these are listed in
 ``docs/design/at-most-once.md``.
 """
 
@@ -19,41 +19,41 @@
 from tillerlane.testing import lab, scenes
 
 LENGTH = 3_000
-"""Tokens of a run that outlasts each scene's disturbance; it takes about a minute."""
-AHEAD_MS = 600_000
-"""How far a daemon's clock is ahead: more than a request's time and the age of claims."""
+"""Length of a run that outlasts the disturbance of each scene: about a minute."""
+CLOCK_SKEW_MS = 600_000
+"""How far a daemon's clock is ahead: more than a request's deadline and the claims' retention."""
 
 
 def count_runs(stage: lab.Lab) -> int:
-    """Generations that any engine has seen."""
+    """Number of generations that any engine has received."""
     return sum(len(engine.sequences) for engine in stage.engines.values() if engine is not None)
 
 
 def build_long_document(**fleet: Any) -> dict[str, Any]:
-    """Runs of the class ``once`` are long."""
+    """Build a configuration in which the runs of class ``once`` are long."""
     document = scenes.build_document(once={"repeatable": False, "max_tokens": LENGTH})
     return {**document, "fleet": fleet}
 
 
 class OnceCase(scenes.SceneCase):
-    """Scenes with long runs that may not be repeated, each under a key."""
+    """Scenes with long non-repeatable runs, each under an idempotency key."""
 
     def play_long(self, scene: Any, **fleet: Any) -> None:
-        """Play with three keepers, so that one may be lost."""
+        """Play with three keepers, so that the loss of one is tolerated."""
         document = build_long_document(**fleet)
         self.play(scene, document, keepers=3, get_length=lambda *words: LENGTH)
 
-    async def begin_once(self, stage: lab.Lab) -> tuple[lab.Answer, "asyncio.Task[lab.Answer]"]:
-        """A claimed call of which some tokens have come."""
+    async def start_once(self, stage: lab.Lab) -> tuple[lab.Answer, "asyncio.Task[lab.Answer]"]:
+        """Start a claimed call and wait for its first tokens."""
         answer, task = stage.begin_call("katalog", "once", "refund", key="k1")
         while not answer.texts:
             await asyncio.sleep(0.02)
         return answer, task
 
-    async def begin_stalled(
+    async def start_stalled(
         self, stage: lab.Lab
     ) -> tuple[str, lab.Answer, "asyncio.Task[lab.Answer]"]:
-        """A claimed call that its runner holds and has written nothing of; and that runner."""
+        """Start a claimed call that stays without tokens at its runner, returned with it."""
         for engine in stage.engines.values():
             engine.stalled = True
         answer, task = stage.begin_call("katalog", "once", "refund", key="k1")
@@ -61,21 +61,21 @@
         return self.find_holder(stage), answer, task
 
     def find_holder(self, stage: lab.Lab) -> str:
-        """The one runner that holds a generation."""
+        """Return the only runner that holds a generation."""
         (name,) = [name for name, engine in stage.engines.items() if engine.sequences]
         return name
 
     async def resend(self, stage: lab.Lab) -> lab.Answer:
-        """The same request again, at another entry."""
+        """Send the same request again, to another entry."""
         return await stage.call("katalog", "once", "refund", key="k1", entry="entry-2")
 
 
 class AgentTest(OnceCase):
-    """The agent forgets what its runner works on, or the link to it is lost."""
+    """The agent loses the state of its runner's work, or the link to it is lost."""
 
-    def test_agent_that_started_again_without_the_class_says_nothing_of_not_run(self) -> None:
+    def test_restarted_agent_without_the_class_does_not_report_not_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             document = build_long_document()
             del document["classes"]["once"]
             await stage.apply(document, 1, "c-without-it")
@@ -91,9 +91,9 @@
 
         self.play_long(scene)
 
-    def test_nothing_was_written_yet_and_the_class_is_gone(self) -> None:
+    def test_class_is_removed_before_the_first_token(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            holder, answer, task = await self.begin_stalled(stage)
+            holder, answer, task = await self.start_stalled(stage)
             document = build_long_document()
             del document["classes"]["once"]
             await stage.apply(document, 1, "c-without-it")
@@ -105,9 +105,9 @@
 
         self.play_long(scene)
 
-    def test_agent_that_started_again_serves_another_target(self) -> None:
+    def test_restarted_agent_serves_another_target(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             agent = stage.find_agent(answer.generation_ids[0])
             plan = stage.plans[agent]
             stage.plans[agent] = plan.model_copy(update={"targets": {}})
@@ -120,16 +120,16 @@
 
         self.play_long(scene)
 
-    def test_agent_that_started_again_goes_on_with_the_run_it_finds(self) -> None:
+    def test_restarted_agent_resumes_the_run_at_its_target(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             await stage.restart(stage.find_agent(answer.generation_ids[0]))
             self.check_whole(await task)
             self.assertEqual(count_runs(stage), 1)
 
         self.play_long(scene)
 
-    def test_agent_that_dies_with_the_request_in_its_queue(self) -> None:
+    def test_agent_fails_with_the_request_in_its_queue(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for daemon in stage.daemons.values():
                 for executor in daemon.agent.executors.values() if daemon.agent else ():
@@ -144,8 +144,8 @@
 
         self.play_long(scene)
 
-    def test_request_on_a_link_that_is_cut_runs_once_or_not_at_all(self) -> None:
-        """What was written into the cut may arrive when it heals, so nobody says "not run"."""
+    def test_request_on_a_partitioned_link_runs_at_most_once(self) -> None:
+        """Data sent during a partition may arrive after it heals: "not run" is not certain."""
 
         async def scene(stage: lab.Lab) -> None:
             for agent in ("agent-hall-a", "agent-hall-b"):
@@ -162,9 +162,9 @@
 
         self.play_long(scene)
 
-    def test_lost_link_is_no_reason_to_ask_another_runner(self) -> None:
+    def test_lost_link_does_not_cause_a_retry_elsewhere(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            holder, answer, task = await self.begin_stalled(stage)
+            holder, answer, task = await self.start_stalled(stage)
             stage.network.isolate(stage.find_agent(f"{holder}~c~x"))
             await task
             self.assertEqual(answer.fault.kind, kinds.ErrorKind.OUTCOME_UNKNOWN)
@@ -174,10 +174,10 @@
 
 
 class CancelTest(OnceCase):
-    """A run is ended early, or meant to be."""
+    """A run is cancelled, possibly with a delay or a loss of the cancel."""
 
-    def test_what_was_ended_before_its_start_is_not_started(self) -> None:
-        """A cancel arrives between a request's admission and the start of its run."""
+    def test_request_cancelled_before_its_start_is_not_started(self) -> None:
+        """The cancel arrives between the admission of a request and the start of its run."""
 
         async def scene(stage: lab.Lab) -> None:
             executors = self.list_executors(stage)
@@ -207,35 +207,35 @@
         executor._decide = decide_and_cancel
 
     def list_executors(self, stage: lab.Lab) -> list[execution.Executor]:
-        """The executors of all targets."""
+        """List the executors of all targets."""
         agents = [daemon.agent for daemon in stage.daemons.values() if daemon.agent is not None]
         return [executor for agent in agents for executor in agent.executors.values()]
 
     def list_running(self, stage: lab.Lab) -> list[str]:
-        """Generations that any engine works on."""
+        """List the generations that are running on any engine."""
         engines = [engine for engine in stage.engines.values() if engine is not None]
         return [sequence.id for engine in engines for sequence in engine.running]
 
-    def test_cancel_that_is_lost_is_sent_again(self) -> None:
+    def test_lost_cancel_is_sent_again(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             _, task = stage.begin_call("katalog", "record", "a report")
             await asyncio.sleep(0.5)
             self.assertEqual(len(self.list_running(stage)), 1)
             lost = 0
 
-            async def lose(generation_id: str) -> bool | None:
+            async def lose_cancel(generation_id: str) -> bool | None:
                 nonlocal lost
                 lost += 1
-                raise runners.TargetBroken("broke off", reached=False)
+                raise runners.TargetBroken("connection lost", reached=False)
 
             states = [executor.state for executor in self.list_executors(stage)]
-            sound = [state.client for state in states]
+            clients = [state.client for state in states]
             for state in states:
-                state.client = dataclasses.replace(state.client, cancel=lose)
+                state.client = dataclasses.replace(state.client, cancel=lose_cancel)
             task.cancel()
             await asyncio.sleep(0.5)
             self.assertGreater(lost, 0)
-            for state, client in zip(states, sound, strict=True):
+            for state, client in zip(states, clients, strict=True):
                 state.client = client
             await asyncio.sleep(1.0)
             self.assertEqual(self.list_running(stage), [])
@@ -267,13 +267,13 @@
         executor.state.client = dataclasses.replace(client, start=start)
 
     def play_record(self, scene: Any) -> None:
-        """Play with long runs that end when their caller leaves."""
+        """Play with long runs that are cancelled when their caller disconnects."""
         document = scenes.build_document(record={"max_tokens": LENGTH})
         self.play(scene, document, get_length=lambda *words: LENGTH)
 
-    def test_second_reader_that_leaves_ends_nothing(self) -> None:
+    def test_disconnect_of_a_second_reader_does_not_cancel(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             _, joined = stage.begin_call("katalog", "once", "refund", key="k1", entry="entry-2")
             await asyncio.sleep(0.5)
             joined.cancel()
@@ -283,9 +283,9 @@
 
         self.play_long(scene)
 
-    def test_caller_that_left_meets_the_run_that_goes_on(self) -> None:
+    def test_returning_caller_joins_the_run_in_progress(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             task.cancel()
             await asyncio.sleep(1.0)
             again = await self.resend(stage)
@@ -297,11 +297,11 @@
 
 
 class RunnerTest(OnceCase):
-    """The runner starts again, sets runs aside, or its stream breaks."""
+    """The runner restarts or pauses runs."""
 
-    def test_runner_that_started_again_under_its_name_runs_nothing_anew(self) -> None:
+    def test_restarted_runner_of_the_same_name_repeats_nothing(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             runner = answer.generation_ids[0].split("~")[0]
             stage.kill_engine(runner)
             stage.start_engine(runner)
@@ -313,9 +313,9 @@
 
         self.play_long(scene)
 
-    def test_runner_that_started_again_before_the_first_token(self) -> None:
+    def test_runner_restarts_before_the_first_token(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            holder, answer, task = await self.begin_stalled(stage)
+            holder, answer, task = await self.start_stalled(stage)
             stage.kill_engine(holder)
             for engine in stage.engines.values():
                 if engine is not None:
@@ -327,9 +327,9 @@
 
         self.play_long(scene)
 
-    def test_run_that_was_set_aside_goes_on_as_the_same(self) -> None:
+    def test_paused_run_resumes_as_the_same_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             runner = answer.generation_ids[0].split("~")[0]
             engine = stage.engines[runner]
             self.assertTrue(engine.pause(answer.generation_ids[0]))
@@ -342,9 +342,9 @@
 
 
 class WithoutKeyTest(OnceCase):
-    """A request without a key is claimed nowhere and is sent once all the same."""
+    """A request without a key has no claim and is sent only once nevertheless."""
 
-    def test_runner_that_dies_before_the_first_token(self) -> None:
+    def test_runner_fails_before_the_first_token(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for engine in stage.engines.values():
                 engine.stalled = True
@@ -357,7 +357,7 @@
 
         self.play_long(scene)
 
-    def test_agent_that_dies_before_the_first_token(self) -> None:
+    def test_agent_fails_before_the_first_token(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for engine in stage.engines.values():
                 engine.stalled = True
@@ -370,7 +370,7 @@
 
         self.play_long(scene)
 
-    def test_runner_that_is_gone_before_the_start_is_passed_over(self) -> None:
+    def test_runner_that_failed_before_the_start_is_skipped(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             stage.kill_engine("r1")
             answers = [await stage.call("katalog", "once", f"refund {n}") for n in range(2)]
@@ -382,11 +382,11 @@
 
 
 class EntryTest(OnceCase):
-    """The entry dies, stands still, or its claim is older than it thinks."""
+    """The entry fails or is suspended, or clocks differ."""
 
-    def test_caller_that_resumes_at_another_entry_begins_nothing(self) -> None:
+    def test_resuming_at_another_entry_starts_no_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             task.cancel()
             await stage.kill("entry-1")
             await stage.restart(stage.find_agent(answer.generation_ids[0]))
@@ -397,9 +397,9 @@
 
         self.play_long(scene)
 
-    def test_caller_that_resumes_what_is_gone_begins_nothing(self) -> None:
+    def test_resuming_a_lost_generation_starts_no_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             task.cancel()
             runner = answer.generation_ids[0].split("~")[0]
             stage.kill_engine(runner)
@@ -410,9 +410,9 @@
 
         self.play_long(scene)
 
-    def test_claim_outlives_the_run_that_it_is_for(self) -> None:
+    def test_claim_outlives_its_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             await asyncio.sleep(10)
             again = await self.resend(stage)
             await task
@@ -422,12 +422,12 @@
 
         self.play_long(scene, claim_seconds=5)
 
-    def test_leader_whose_clock_is_ahead_drops_no_claim(self) -> None:
+    def test_leader_with_a_fast_clock_expires_no_claim(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             for name in stage.list_role("keeper"):
                 keeper = stage.daemons[name].keeper
-                keeper._now_ms = lambda now_ms=keeper._now_ms: now_ms() + AHEAD_MS
+                keeper._now_ms = lambda now_ms=keeper._now_ms: now_ms() + CLOCK_SKEW_MS
             again = await self.resend(stage)
             await task
             self.assertEqual(again.generation_ids, answer.generation_ids)
@@ -435,9 +435,9 @@
 
         self.play_long(scene, claim_seconds=60)
 
-    def test_entry_whose_clock_is_ahead_drops_no_claim(self) -> None:
+    def test_entry_with_a_fast_clock_expires_no_claim(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_once(stage)
+            answer, task = await self.start_once(stage)
             dispatcher = stage.daemons["entry-2"].callers.dispatcher
             propose = dispatcher._propose
 
@@ -445,8 +445,8 @@
                 if isinstance(command, commands.ClaimOpen):
                     command = msgspec.structs.replace(
                         command,
-                        at_ms=command.at_ms + AHEAD_MS,
-                        expires_ms=command.expires_ms + AHEAD_MS,
+                        at_ms=command.at_ms + CLOCK_SKEW_MS,
+                        expires_ms=command.expires_ms + CLOCK_SKEW_MS,
                     )
                 return await propose(command)
 
@@ -458,17 +458,17 @@
 
         self.play_long(scene, claim_seconds=60)
 
-    def test_entry_that_stood_still_past_the_deadline_sends_nothing(self) -> None:
+    def test_entry_suspended_past_the_deadline_sends_nothing(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             dispatcher = stage.daemons["entry-1"].callers.dispatcher
             propose = dispatcher._propose
 
-            async def propose_and_stand_still(command: Any) -> dict[str, Any]:
-                granted = await propose(command)
+            async def propose_and_suspend(command: Any) -> dict[str, Any]:
+                reply = await propose(command)
                 await asyncio.sleep(200)
-                return granted
+                return reply
 
-            dispatcher._propose = propose_and_stand_still
+            dispatcher._propose = propose_and_suspend
             answer = await stage.call("katalog", "once", "refund", key="k1")
             self.assertEqual(answer.fault.kind, kinds.ErrorKind.DEADLINE_EXPIRED)
             self.assertEqual(answer.fault.ran, kinds.Ran.NO)
--- a/tillerlane/entry/tests/test_failures.py
+++ b/tillerlane/entry/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures between caller and runner, each alone and in pairs."""
+"""Failures between caller and runner, singly and in pairs."""
 
 import asyncio
 import dataclasses
@@ -12,21 +12,21 @@
 
 
 def count_started(stage: lab.Lab, generation_id: str) -> int:
-    """Engines that hold a generation."""
+    """Number of engines that hold a generation."""
     return sum(
         generation_id in engine.sequences for engine in stage.engines.values() if engine is not None
     )
 
 
 def get_target(answer: lab.Answer) -> str:
-    """Target of an answer's generation."""
+    """Return the target of an answer's generation."""
     return answer.generation_ids[0].split("~")[0]
 
 
 class AgentFailuresTest(scenes.SceneCase):
-    """An agent dies or is cut off."""
+    """An agent fails, restarts or is partitioned."""
 
-    def test_agent_restarts_in_mid_stream(self) -> None:
+    def test_agent_restarts_during_a_stream(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             await stage.restart(stage.find_agent(answer.generation_ids[0]))
@@ -34,7 +34,7 @@
 
         self.play(scene)
 
-    def test_agent_restarts_twice_in_mid_stream(self) -> None:
+    def test_agent_restarts_twice_during_a_stream(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             agent = stage.find_agent(answer.generation_ids[0])
@@ -45,7 +45,7 @@
 
         self.play(scene)
 
-    def test_silent_cut_and_heal_in_mid_stream(self) -> None:
+    def test_partition_and_heal_during_a_stream(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             agent = stage.find_agent(answer.generation_ids[0])
@@ -57,7 +57,7 @@
 
         self.play(scene)
 
-    def test_one_way_cut_in_mid_stream(self) -> None:
+    def test_one_way_partition_during_a_stream(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             agent = stage.find_agent(answer.generation_ids[0])
@@ -68,7 +68,7 @@
 
         self.play(scene)
 
-    def test_cut_link_and_agent_restart_together(self) -> None:
+    def test_partition_together_with_agent_restart(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             agent = stage.find_agent(answer.generation_ids[0])
@@ -80,7 +80,7 @@
 
         self.play(scene)
 
-    def test_agent_gone_for_good(self) -> None:
+    def test_agent_fails_permanently(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             await stage.kill(stage.find_agent(answer.generation_ids[0]))
@@ -92,7 +92,7 @@
 
         self.play(scene)
 
-    def test_agent_dies_with_the_request_in_its_queue(self) -> None:
+    def test_agent_fails_with_the_request_in_its_queue(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for engine in stage.engines.values():
                 engine.stalled = True
@@ -108,9 +108,9 @@
 
 
 class EntryFailuresTest(scenes.SceneCase):
-    """An entry dies; the caller goes on at another."""
+    """An entry fails, and the caller resumes at another one."""
 
-    def test_entry_dies_and_caller_resumes_elsewhere(self) -> None:
+    def test_caller_resumes_elsewhere_after_entry_failure(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             task.cancel()
@@ -120,7 +120,7 @@
 
         self.play(scene)
 
-    def test_entry_and_agent_die_together(self) -> None:
+    def test_entry_and_agent_fail_together(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             agent = stage.find_agent(answer.generation_ids[0])
@@ -133,19 +133,19 @@
 
         self.play(scene)
 
-    def test_resume_of_anothers_generation_is_refused(self) -> None:
+    def test_resuming_the_generation_of_another_workspace_is_refused(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
-            stolen = lab.Answer(answer.request, 0.0)
-            stolen.generation_ids = list(answer.generation_ids)
-            await stage.call("butikk", "record", "", entry="entry-2", answer=stolen)
-            self.assertEqual(stolen.fault.kind, kinds.ErrorKind.NOT_FOUND)
-            self.assertEqual(stolen.texts, [])
+            foreign = lab.Answer(answer.request, 0.0)
+            foreign.generation_ids = list(answer.generation_ids)
+            await stage.call("butikk", "record", "", entry="entry-2", answer=foreign)
+            self.assertEqual(foreign.fault.kind, kinds.ErrorKind.NOT_FOUND)
+            self.assertEqual(foreign.texts, [])
             self.check_whole(await task)
 
         self.play(scene)
 
-    def test_generation_without_entry_is_ended(self) -> None:
+    def test_generation_without_entry_is_cancelled(self) -> None:
         document = scenes.build_document(record={"max_tokens": 20_000})
         document["fleet"] = {"detached_seconds": 3}
 
@@ -161,9 +161,9 @@
 
 
 class RunnerFailuresTest(scenes.SceneCase):
-    """A runner dies, or sends what it should not."""
+    """A runner fails, or sends an incorrect stream."""
 
-    def test_runner_dies_before_the_first_token(self) -> None:
+    def test_runner_fails_before_the_first_token(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for engine in stage.engines.values():
                 engine.stalled = True
@@ -178,7 +178,7 @@
 
         self.play(scene)
 
-    def test_runner_dies_after_the_first_token(self) -> None:
+    def test_runner_fails_after_the_first_token(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             stage.kill_engine(get_target(answer))
@@ -189,7 +189,7 @@
 
         self.play(scene)
 
-    def test_whole_delivery_survives_the_runner(self) -> None:
+    def test_whole_delivery_survives_a_runner_failure(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             _, task = stage.begin_call("katalog", "whole", "an important report")
             await asyncio.sleep(0.5)
@@ -199,7 +199,7 @@
 
         self.play(scene)
 
-    def test_runner_and_agent_die_together(self) -> None:
+    def test_runner_and_agent_fail_together(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             agent = stage.find_agent(answer.generation_ids[0])
@@ -211,7 +211,7 @@
 
         self.play(scene)
 
-    def test_both_runners_dead_is_not_run(self) -> None:
+    def test_failure_of_both_runners_is_reported_as_not_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for target in ("r1", "r2"):
                 stage.kill_engine(target)
@@ -220,8 +220,8 @@
 
         self.play(scene)
 
-    def test_repeated_and_missing_offsets(self) -> None:
-        """A runner that repeats and drops chunks costs requests for the rest, not tokens."""
+    def test_repeated_and_missing_chunks(self) -> None:
+        """Chunks that a runner repeats or drops lead to resumed reads, not to lost tokens."""
 
         def disturb(client: runners.RunnerClient) -> Any:
             async def damage(stream: runners.Stream) -> AsyncIterator[Any]:
@@ -255,9 +255,9 @@
 
 
 class ManyCallersTest(scenes.SceneCase):
-    """Answers that cross each other, callers that vanish or are slow."""
+    """Concurrent responses, and callers that disconnect or are slow."""
 
-    def test_each_caller_gets_its_own(self) -> None:
+    def test_each_caller_gets_its_own_response(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             calls = [
                 stage.call("katalog", "record", f"call {number}", entry=f"entry-{1 + number % 2}")
@@ -271,7 +271,7 @@
 
         self.play(scene)
 
-    def test_vanished_caller_frees_the_runner_within_a_second(self) -> None:
+    def test_disconnect_frees_the_runner_within_a_second(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             task.cancel()
@@ -281,7 +281,7 @@
         document = scenes.build_document(record={"max_tokens": 20_000})
         self.play(scene, document, get_length=lambda *words: 20_000)
 
-    def test_vanished_caller_of_a_class_that_finishes(self) -> None:
+    def test_disconnect_in_a_class_that_finishes_its_runs(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             answer, task = await self.begin_record(stage)
             task.cancel()
@@ -291,7 +291,7 @@
 
         self.play(scene, scenes.build_document(record={"on_disconnect": "finish"}))
 
-    def test_slow_caller_slows_only_itself(self) -> None:
+    def test_slow_caller_delays_only_itself(self) -> None:
         document = scenes.build_document(record={"max_tokens": 3_000})
 
         async def scene(stage: lab.Lab) -> None:
@@ -311,7 +311,7 @@
 
 
 class PlannedStopTest(scenes.SceneCase):
-    """A planned stop cuts no request short."""
+    """A planned stop interrupts no request."""
 
     def test_agent_stops_under_load(self) -> None:
         async def scene(stage: lab.Lab) -> None:
@@ -336,7 +336,7 @@
 
         self.play(scene)
 
-    def test_leaving_target_gets_nothing_new(self) -> None:
+    def test_leaving_target_gets_no_new_requests(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             stage.daemons["agent-hall-a"].agent.leave("test")
             await asyncio.sleep(2.0)
@@ -352,9 +352,9 @@
 
 
 class FarHallsTest(scenes.SceneCase):
-    """An entry keeps links to the agents of its own halls and borrows others at need."""
+    """An entry keeps links to agents of near data halls and dials others only when needed."""
 
-    def test_near_first_and_far_when_near_cannot(self) -> None:
+    def test_far_targets_are_used_when_no_near_one_is_available(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             near = [await stage.call("katalog", "ping", f"near {n}") for n in range(6)]
             self.assertEqual({get_target(answer) for answer in near}, {"r1"})
@@ -369,7 +369,7 @@
 
         self.play(scene, entry_settings={"near_halls": ["hall-a"]})
 
-    def test_resume_of_a_far_generation(self) -> None:
+    def test_generation_of_a_far_target_is_resumed(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             stage.daemons["agent-hall-a"].agent.leave("test")
             answer, task = await self.begin_record(stage)
