--- a/tillerlane/agent/execution.py
+++ b/tillerlane/agent/execution.py
@@ -48,7 +48,7 @@
     count : callable
         Called with (metric name, number).
     decide : callable
-        Returns the actions to take; benchmarks substitute baselines.
+        Returns the actions to take; replaced by baselines in benchmarks.
     """
 
     def __init__(
--- a/tillerlane/entry/fleet.py
+++ b/tillerlane/entry/fleet.py
@@ -130,7 +130,7 @@
         return record is not None and (now < record.retained_until or record.in_flight > 0)
 
     async def connect_far(self, names: Iterable[str], rng: random.Random, now: float) -> bool:
-        """Dial a few targets of far data halls when no near one can take a request.
+        """Dial a few targets of far data halls when no near one is available.
 
         Returns
         -------
--- a/tillerlane/entry/relay.py
+++ b/tillerlane/entry/relay.py
@@ -21,7 +21,7 @@
 """Tokens that an agent may send ahead of the caller's reading."""
 DIAL_TIMEOUT_SECONDS = 0.5
 FIRST_TOKEN_RECONNECT_SECONDS = 1.0
-"""Reconnect timeout of a repeatable request without tokens, which may rather run elsewhere."""
+"""Reconnect timeout of a repeatable request without tokens, which can be retried elsewhere."""
 DEADLINE_GRACE_SECONDS = 2.0
 """How long after the deadline the agent's own report of the outcome is awaited."""
 _REQUESTER_FAULTS = frozenset({kinds.ErrorKind.NOT_FOUND, kinds.ErrorKind.INTERNAL})
@@ -67,7 +67,7 @@
         Offset of the next token.
     attach : bool
         Whether to attach to an existing generation instead of starting it.
-    patience : float
+    reconnect_timeout : float
         Seconds to try to reach a lost agent.
     timeline : timelines.Timeline
         Records the events.
--- a/tillerlane/entry/routing.py
+++ b/tillerlane/entry/routing.py
@@ -56,7 +56,7 @@
 
 
 def estimate_free_share(record: fleet.TargetRecord) -> float:
-    """Share of memory not used, promised or taken by requests sent since the report."""
+    """Share of memory not used, promised or needed by requests sent since the report."""
     load = record.load
     if load is None or load.memory_total == 0:
         return 0.5 / (1 + record.in_flight)
