--- a/tillerlane/agent/scheduling.py
+++ b/tillerlane/agent/scheduling.py
@@ -1,7 +1,7 @@
 """Scheduling decisions at a target: which generations start, resume or are paused.
 
-`decide` reads the state and returns actions; it changes nothing but cached ranks.  Memory is
-counted by the agent itself, so that late or wrong reports of a runner do not affect decisions.
+`decide` reads the state and returns actions; it changes nothing but cached ranks.  The memory of
+generations is counted by the agent itself, since a runner's reports may be late or wrong.
 """
 
 import dataclasses
@@ -25,6 +25,7 @@
 RANK_TTL_SECONDS = 0.5
 """Age below which a rank is not evaluated again."""
 MAX_CANDIDATES_PER_DECISION = 32
+"""Waiting requests considered in one decision, of the urgent ones and of the others each."""
 PREEMPTION_DELAY_SECONDS = 0.5
 """Wait of an urgent request after which another generation is preempted for it."""
 MAX_MISS_PROBABILITY = 0.95
