--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -62,11 +62,11 @@
     def __init__(self, length: int) -> None:
         self._length = length
 
-    def survive(self, length: float) -> float:
+    def compute_survival(self, length: float) -> float:
         """Return the probability that the output is longer than ``length``."""
         return float(self._length > length)
 
-    def look_ahead(self, written: int, longest: int) -> lengths.Survival:
+    def predict_remaining(self, written: int, limit: int) -> lengths.Survival:
         """Return the exact remaining length."""
         left = max(1, self._length - written)
         alive = tuple(1.0 if ahead < left else 0.0 for ahead in lengths.HORIZONS)
--- a/tillerlane/entry/formats.py
+++ b/tillerlane/entry/formats.py
@@ -1,4 +1,4 @@
-"""Answers in the forms that text-generation clients already use."""
+"""Responses in the formats that existing text-generation clients expect."""
 
 import base64
 import dataclasses
@@ -9,7 +9,13 @@
 from tillerlane.entry import relay, requests
 from tillerlane.faults import core as faults
 
-__all__ = ["ChunkWriter", "read_service_answer", "write_error_event", "write_models", "write_whole"]
+__all__ = [
+    "EventEncoder",
+    "build_model_list",
+    "build_response",
+    "encode_error_event",
+    "read_service_response",
+]
 
 DONE_EVENT = b"data: [DONE]\n\n"
 _SEPARATORS = (",", ":")
@@ -20,10 +26,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class ChunkWriter:
-    """Writes one generation's tokens as server-sent events.
+class EventEncoder:
+    """Encodes one generation's tokens as server-sent events.
 
-    All that does not change between events is written once.
+    The parts that are constant between events are encoded once.
 
     Attributes
     ----------
@@ -41,8 +47,8 @@
     _head: str = ""
     _generation_id: str = ""
 
-    def _open(self, generation_id: str) -> str:
-        """Everything up to the choice; written when the generation is first seen."""
+    def _encode_head(self, generation_id: str) -> str:
+        """Part of the event before the choice, encoded once per generation."""
         if generation_id != self._generation_id:
             self._generation_id = generation_id
             kind = "chat.completion.chunk" if self.form == "chat" else "text_completion"
@@ -55,9 +61,9 @@
             self._head = _encode(common)[:-1] + ',"choices":[{"index":0,'
         return self._head
 
-    def write_piece(self, piece: relay.Piece) -> bytes:
-        """One event for a piece; its id says where to resume."""
-        head = self._open(piece.generation_id)
+    def encode_piece(self, piece: relay.Piece) -> bytes:
+        """Encode a piece as one event, whose id is the position for resuming."""
+        head = self._encode_head(piece.generation_id)
         text = _encode("".join(piece.texts))
         if self.form == "chat":
             role = '"role":"assistant",' if piece.offset == 0 else ""
@@ -67,17 +73,17 @@
         next_offset = piece.offset + len(piece.texts)
         return f"id: {piece.generation_id}:{next_offset}\ndata: {head}{choice}\n\n".encode()
 
-    def write_ending(self, ending: relay.Ending) -> bytes:
-        """The last events."""
-        head = self._open(ending.generation_id)
+    def encode_ending(self, ending: relay.Ending) -> bytes:
+        """Encode the last events."""
+        head = self._encode_head(ending.generation_id)
         body = '"delta":{}' if self.form == "chat" else '"text":""'
-        usage = _encode(write_usage(ending))
-        last = f'{body},"finish_reason":{_encode(ending.reason)}}}],"usage":{usage}}}'
-        event = f"id: {ending.generation_id}:{ending.tokens}\ndata: {head}{last}\n\n"
+        usage = _encode(build_usage(ending))
+        last_choice = f'{body},"finish_reason":{_encode(ending.reason)}}}],"usage":{usage}}}'
+        event = f"id: {ending.generation_id}:{ending.tokens}\ndata: {head}{last_choice}\n\n"
         return event.encode() + DONE_EVENT
 
 
-def write_usage(ending: relay.Ending) -> dict[str, int]:
+def build_usage(ending: relay.Ending) -> dict[str, int]:
     """Token counts."""
     return {
         "prompt_tokens": ending.prompt_tokens,
@@ -86,15 +92,15 @@
     }
 
 
-def write_error_event(fault: faults.Fault) -> bytes:
-    """An event for a fault after the answer has begun."""
+def encode_error_event(fault: faults.Fault) -> bytes:
+    """Encode a fault that occurs after the response has started."""
     return f"event: error\ndata: {_encode(fault.to_json())}\n\n".encode()
 
 
-def write_whole(
+def build_response(
     form: requests.Form, model: str, created: int, text: str, ending: relay.Ending
 ) -> dict[str, Any]:
-    """The whole answer as one JSON body."""
+    """Build a complete response body."""
     choice: dict[str, Any] = {"index": 0, "finish_reason": ending.reason}
     if form == "chat":
         choice["message"] = {"role": "assistant", "content": text}
@@ -106,12 +112,12 @@
         "created": created,
         "model": model,
         "choices": [choice],
-        "usage": write_usage(ending),
+        "usage": build_usage(ending),
     }
 
 
-def write_models(names: list[str], created: int) -> dict[str, Any]:
-    """Answer of ``GET /v1/models``."""
+def build_model_list(names: list[str], created: int) -> dict[str, Any]:
+    """Build the response body of ``GET /v1/models``."""
     data = [
         {"id": name, "object": "model", "created": created, "owned_by": "tillerlane"}
         for name in names
@@ -120,20 +126,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ServiceAnswer:
-    """A plain service's answer."""
+class ServiceResponse:
+    """Response of a plain service."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
 
-async def read_service_answer(items: AsyncIterator[relay.Piece | relay.Ending]) -> ServiceAnswer:
-    """Join the tokens of a service call (see `tillerlane.runners.http_service`)."""
+async def read_service_response(
+    items: AsyncIterator[relay.Piece | relay.Ending],
+) -> ServiceResponse:
+    """Decode the tokens of a service call (see `tillerlane.runners.http_service`)."""
     texts: list[str] = []
     async for item in items:
         if isinstance(item, relay.Piece):
             texts.extend(item.texts)
     head = json.loads(texts[0])
     body = b"".join(base64.b64decode(text) for text in texts[1:])
-    return ServiceAnswer(head["status"], head["headers"], body)
+    return ServiceResponse(head["status"], head["headers"], body)
