--- a/tillerlane/testing/interface_names.py
+++ b/tillerlane/testing/interface_names.py
@@ -113,6 +113,8 @@
         )
         if is_doc or is_export:
             left_out.update(id(inner) for inner in ast.walk(node))
+        if isinstance(node, ast.JoinedStr):
+            left_out.update(id(piece) for piece in node.values if _is_mid_sentence(piece))
         for annotation in (getattr(node, "annotation", None), getattr(node, "returns", None)):
             if annotation is not None:
                 left_out.update(id(inner) for inner in ast.walk(annotation))
@@ -127,6 +129,11 @@
                 yield "text", value.strip()
 
 
+def _is_mid_sentence(piece: ast.expr) -> bool:
+    """Whether a piece of an f-string follows a value after a space, as only sentences do."""
+    return isinstance(piece, ast.Constant) and str(piece.value).startswith(" ")
+
+
 def main() -> None:
     """Print the list, or what is missing of an earlier one."""
     parser = argparse.ArgumentParser(description=__doc__)
