--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -72,7 +72,7 @@
     targets = [f"t{number}" for number in range(TARGETS)]
     for name in targets:
         runner = await stage.add_runner(name, "app")
-        runner.deadly = frozenset({DEADLY})
+        runner.poison_bodies = frozenset({DEADLY})
     await asyncio.sleep(1.0)
 
     def read_sent() -> tuple[int, int]:
--- a/benchmarks/mixes.py
+++ b/benchmarks/mixes.py
@@ -71,7 +71,7 @@
 def draw_output(prompt: str, stretch: float = 1.0) -> int:
     """Length that a prompt's answer turns out to have; the prompt carries its seed and shape."""
     _, median, spread, longest, seed = prompt.split("|")[0].split(" ")
-    drawn = texts.draw_length(int(seed), float(median) * stretch, float(spread), int(longest))
+    drawn = texts.sample_length(int(seed), float(median) * stretch, float(spread), int(longest))
     return min(drawn, int(longest))
 
 
--- a/tillerlane/decisions/tests/test_limits.py
+++ b/tillerlane/decisions/tests/test_limits.py
@@ -17,7 +17,7 @@
 """(entry, times of its sends, now) gives whether it may send."""
 
 
-def count_most(times: list[float]) -> int:
+def count_peak(times: list[float]) -> int:
     """Most sends within any second."""
     ordered = sorted(times)
     most, first = 0, 0
@@ -73,7 +73,7 @@
         total = 0.0
         for _ in range(TARGETS):
             times = play_entries(entries, build_shares(rate, entries, rng), 0.0)
-            self.assertLessEqual(count_most(times), rate.maximum)
+            self.assertLessEqual(count_peak(times), rate.maximum)
             total += len(times) / SECONDS
         return total / TARGETS
 
@@ -96,7 +96,7 @@
         """What is not chosen: 68 in the first second with a rate of 5 and a bound of 12.5."""
         rate = limits.WindowQuota(5.0, 12.5)
         times = play_entries(68, build_savings(rate, 68), 0.0)
-        self.assertGreater(count_most(times), rate.maximum)
+        self.assertGreater(count_peak(times), rate.maximum)
 
     def test_entry_that_does_not_know_the_fleets_size_sends_nothing(self) -> None:
         self.assertEqual(limits.compute_share(limits.WindowQuota(34.0, 56.0), 0, 0.99), 0)
--- a/tillerlane/decisions/tests/test_permits.py
+++ b/tillerlane/decisions/tests/test_permits.py
@@ -40,7 +40,7 @@
             for seed in range(20):
                 sent = play_owner(limit, random.Random(seed))
                 bound = limit * limits.WINDOW_SECONDS + limits.SLACK_REQUESTS
-                self.assertLessEqual(limit_scenes.count_most(sent), bound)
+                self.assertLessEqual(limit_scenes.count_peak(sent), bound)
 
     def test_nearly_all_of_the_limit_is_given_out(self) -> None:
         for limit in (1.9, 10.0, 50.0):
--- a/tillerlane/decisions/tests/test_placing.py
+++ b/tillerlane/decisions/tests/test_placing.py
@@ -132,7 +132,7 @@
         self,
         load: float,
         *,
-        knows_pace: bool = True,
+        knows_event_seconds: bool = True,
         unheard: float | None = None,
         least_whole: float = 0.0,
     ) -> tuple[float, float]:
@@ -146,26 +146,30 @@
             unheard = sum(rates) * engine_play.REPORT_AGE_SECONDS
         paces, shares, wholes = [], [], []
         for seed in SEEDS:
-            arrivals = engine_play.draw_arrivals(
+            arrivals = engine_play.sample_arrivals(
                 random.Random(seed),
                 SECONDS,
                 {"long": (rates[0], 3_079, 238.0), "short": (rates[1], 2_550, 3.0)},
             )
             choose = build_chooser(random.Random(seed), unheard)
-            outcomes = engine_play.play(pool, arrivals, choose, knows_pace=knows_pace)
+            outcomes = engine_play.play(
+                pool, arrivals, choose, knows_event_seconds=knows_event_seconds
+            )
             self.assertEqual(len(outcomes), len(arrivals))
             counted = [item for item in outcomes if item.arrival.at > WARM_SECONDS]
-            paces.append(engine_play.read_mean_event(counted, "long") * 1000)
-            shares.append(engine_play.read_share(counted, "short", FIRST_AIM_SECONDS))
+            paces.append(engine_play.compute_mean_event_seconds(counted, "long") * 1000)
+            shares.append(engine_play.compute_on_time_share(counted, "short", FIRST_AIM_SECONDS))
             wholes.append(
-                engine_play.read_whole_share(counted, "long", LONG_AIM_SECONDS, PAUSE_SECONDS)
+                engine_play.compute_uninterrupted_share(
+                    counted, "long", LONG_AIM_SECONDS, PAUSE_SECONDS
+                )
             )
         self.assertGreater(statistics.mean(wholes), least_whole)
         return statistics.mean(paces), statistics.mean(shares)
 
     def test_long_runs_are_faster_where_runners_paces_are_known(self) -> None:
         """Half-full pool; before 36.3 ms an event and 0.984 in time, after 33.8 and 0.993."""
-        before, share_before = self.play(1.0, knows_pace=False)
+        before, share_before = self.play(1.0, knows_event_seconds=False)
         after, share_after = self.play(1.0, least_whole=0.98)
         self.assertLess(after, 0.95 * before)
         self.assertGreater(share_after, share_before - 0.02)
@@ -175,7 +179,7 @@
 
         With the slow runners left to short requests only, 0.01 of these come in time.
         """
-        pace_before, share_before = self.play(1.8, knows_pace=False)
+        pace_before, share_before = self.play(1.8, knows_event_seconds=False)
         pace, share = self.play(1.8)
         self.assertLess(pace, pace_before)
         self.assertGreater(share, 0.9)
@@ -212,7 +216,7 @@
         load: float,
         bounds: Bounds = Bounds(),
         *,
-        word_seconds: float = 0.03,
+        report_age_seconds: float = 0.03,
         long_rank: int = 0,
     ) -> tuple[float, float]:
         """Share of short requests' first pieces in time, and of long runs in time and unbroken."""
@@ -221,26 +225,30 @@
             for number in range(FEW_RUNNERS)
         ]
         kinds = {"long": (9.62 * load, 3_079, 187.0), "short": (18.7 * load, 2_550, 3.0)}
-        unheard = sum(rate for rate, *_ in kinds.values()) * word_seconds
+        unheard = sum(rate for rate, *_ in kinds.values()) * report_age_seconds
         firsts, wholes = [], []
         for seed in SEEDS:
             arrivals = [
                 dataclasses.replace(item, rank=long_rank if item.kind == "long" else 0)
-                for item in engine_play.draw_arrivals(random.Random(seed), SECONDS, kinds)
+                for item in engine_play.sample_arrivals(random.Random(seed), SECONDS, kinds)
             ]
             choose = build_holding_chooser(random.Random(seed), unheard, bounds)
-            outcomes = engine_play.play(pool, arrivals, choose, word_seconds=word_seconds)
+            outcomes = engine_play.play(
+                pool, arrivals, choose, report_age_seconds=report_age_seconds
+            )
             counted = [item for item in outcomes if item.arrival.at > WARM_SECONDS]
-            firsts.append(engine_play.read_share(counted, "short", FIRST_AIM_SECONDS))
+            firsts.append(engine_play.compute_on_time_share(counted, "short", FIRST_AIM_SECONDS))
             wholes.append(
-                engine_play.read_whole_share(counted, "long", LONG_AIM_SECONDS, PAUSE_SECONDS)
+                engine_play.compute_uninterrupted_share(
+                    counted, "long", LONG_AIM_SECONDS, PAUSE_SECONDS
+                )
             )
         return statistics.mean(firsts), statistics.mean(wholes)
 
     def test_word_of_a_send_at_once_brings_more_in_time(self) -> None:
         """Before, with word 0.2 s old, 0.903 short and 0.888 long; after, 0.962 and 0.941."""
         bounds = Bounds(reads_enough=False)
-        before = self.play(0.8, bounds, word_seconds=0.2)
+        before = self.play(0.8, bounds, report_age_seconds=0.2)
         after = self.play(0.8, bounds)
         self.assertGreater(after[0], before[0] + 0.03)
         self.assertGreater(after[1], before[1] + 0.03)
--- a/tillerlane/gateway/tests/test_at_most_once.py
+++ b/tillerlane/gateway/tests/test_at_most_once.py
@@ -15,7 +15,7 @@
 """An answer to a request that nobody has sent yet."""
 
 
-class WordOfTargetTest(gateway_scenes.OnceCase):
+class WordOfTargetTest(gateway_scenes.AtMostOnceCase):
     """A target's "not run" is believed only if it speaks of this request and of no other."""
 
     def play_denials(self, route: str, pool: str, status: int, **more: Any) -> None:
@@ -26,7 +26,7 @@
                 runner.denies_status = status
                 runner.names_no_request = True
             answer = await stage.call("entry-1", route, "r1", **gateway_scenes.LONG)
-            self.check_once(stage, "r1", answer.status)
+            self.check_at_most_once(stage, "r1", answer.status)
 
         self.play(scene)
 
@@ -43,7 +43,7 @@
             await stage.publish("keeper-1", document)
             await asyncio.sleep(1.0)
             answer = await stage.call("entry-1", "order", "r1")
-            self.check_once(stage, "r1", answer.status)
+            self.check_at_most_once(stage, "r1", answer.status)
 
         self.play(scene)
 
@@ -63,7 +63,7 @@
                 runner.answers_for = "r0"
             answer = await stage.call("entry-1", "order", "r1")
             self.assertEqual(answer.status, 502)
-            self.check_once(stage, "r1", answer.status)
+            self.check_at_most_once(stage, "r1", answer.status)
 
         self.play(scene)
 
@@ -77,7 +77,7 @@
                     runner.denies_status = status
                 request_id = f"r{status}"
                 answer = await stage.call("entry-1", "order", request_id)
-                self.check_once(stage, request_id, answer.status)
+                self.check_at_most_once(stage, request_id, answer.status)
 
         self.play(scene)
 
@@ -93,12 +93,12 @@
             answer = await stage.call("entry-1", "order", "r1")
             self.assertEqual(answer.status, 503)
             self.assertEqual(gateway_scenes.list_runs(stage, "r1"), [])
-            self.assertEqual(sorted(len(item.turned_away) for item in runners), [1, 1])
+            self.assertEqual(sorted(len(item.rejected) for item in runners), [1, 1])
 
         self.play(scene)
 
 
-class UnsentTest(gateway_scenes.OnceCase):
+class UnsentTest(gateway_scenes.AtMostOnceCase):
     """Nothing of the request was written to a target."""
 
     def test_target_where_nobody_listens_costs_no_attempt(self) -> None:
@@ -126,7 +126,7 @@
         self.play(scene)
 
 
-class ConnectionTest(gateway_scenes.OnceCase):
+class ConnectionTest(gateway_scenes.AtMostOnceCase):
     """What stands on a connection before, behind and beside a request."""
 
     def test_bytes_behind_a_whole_answer_belong_to_no_request(self) -> None:
@@ -147,7 +147,7 @@
                 runner.preface = b"HTTP/1.1 102 Processing\r\n\r\n"
             answer = await stage.call("entry-1", "order", "r1")
             self.assertEqual((answer.status, answer.body), (200, b"answer to r1"))
-            self.check_once(stage, "r1", answer.status)
+            self.check_at_most_once(stage, "r1", answer.status)
 
         self.play(scene)
 
@@ -208,7 +208,7 @@
         return statuses, bodies
 
 
-class IncarnationTest(gateway_scenes.OnceCase):
+class IncarnationTest(gateway_scenes.AtMostOnceCase):
     """A target starts again under its address while a request is at its former start."""
 
     def test_order_at_a_target_that_starts_again_at_its_address(self) -> None:
@@ -220,7 +220,7 @@
             self.assertEqual(len(first.ran), 1)
             await self.start_again(stage, first)
             answer = await call
-            self.check_once(stage, "r1", answer.status)
+            self.check_at_most_once(stage, "r1", answer.status)
             self.assertEqual(answer.status, 502)
 
         self.play(scene)
@@ -253,7 +253,7 @@
         await asyncio.sleep(0.2)
 
 
-class ConfigurationTest(gateway_scenes.OnceCase):
+class ConfigurationTest(gateway_scenes.AtMostOnceCase):
     """The kind of a route changes while a request waits or runs."""
 
     def build_document(self, version: int, kind: str) -> dict[str, Any]:
@@ -273,7 +273,7 @@
             await asyncio.sleep(0.3)
             await stage.publish("keeper-1", self.build_document(3, "idempotent"))
             answer = await call
-            self.check_once(stage, "r1", answer.status)
+            self.check_at_most_once(stage, "r1", answer.status)
             self.assertEqual(answer.status, 502)
 
         self.play(scene)
@@ -286,7 +286,7 @@
             await self.add_two(stage, pace=0.5)
             for runner in stage.runners.values():
                 runner.refuses = True
-                runner.turn_away_seconds = 1.0
+                runner.rejection_seconds = 1.0
                 runner.loses_answer = True
             await stage.publish("keeper-1", self.build_document(2, "non_idempotent"))
             await asyncio.sleep(1.0)
@@ -296,7 +296,7 @@
                 runner.refuses = False
             await stage.publish("keeper-1", self.build_document(3, "idempotent"))
             answer = await call
-            self.check_once(stage, "r1", answer.status)
+            self.check_at_most_once(stage, "r1", answer.status)
             self.assertEqual(answer.status, 502)
 
         self.play(scene)
@@ -341,7 +341,7 @@
         self.play(scene)
 
 
-class EntryTest(gateway_scenes.OnceCase):
+class EntryTest(gateway_scenes.AtMostOnceCase):
     """The entry goes away while a request that may run once is at a target."""
 
     def test_order_at_an_entry_that_ends_runs_nowhere_else(self) -> None:
@@ -355,7 +355,7 @@
             stage.add_entry("entry-2")
             await stage.start_entry("entry-2")
             await asyncio.sleep(15.0)
-            self.check_once(stage, "r1", answer.status)
+            self.check_at_most_once(stage, "r1", answer.status)
             self.assertEqual(len(gateway_scenes.list_runs(stage, "r1")), 1)
 
         self.play(scene)
--- a/tillerlane/gateway/tests/test_backoff.py
+++ b/tillerlane/gateway/tests/test_backoff.py
@@ -20,8 +20,8 @@
         most = 0
         for refused in arrived:
             entry = refused.request_id.rpartition("-")[0].rpartition("-")[0]
-            since = refused.turned_away_at + UNDER_WAY_SECONDS
-            until = refused.turned_away_at + refused.backoff
+            since = refused.rejected_at + UNDER_WAY_SECONDS
+            until = refused.rejected_at + refused.backoff
             found = [
                 item
                 for item in arrived
@@ -42,7 +42,7 @@
             stage.runners["app-1"].refuses = True
             stage.runners["app-1"].backoff = "3"
             await self.ask(stage, dict.fromkeys(stage.entry_names, 4.6), 9.0)
-            self.assertGreater(len(stage.runners["app-1"].turned_away), 0)
+            self.assertGreater(len(stage.runners["app-1"].rejected), 0)
             self.assertLessEqual(self.count_most_in_backoff(stage, "app-1"), 0)
 
         self.play(scene)
@@ -93,7 +93,7 @@
             runner.refuses, runner.backoff = True, "3"
             await self.ask(stage, {"entry-1": 20.0}, 0.1)
             answers = await self.ask(stage, {"entry-1": 20.0}, 2.0)
-            ends_at = runner.arrived[0].turned_away_at + 3.0
+            ends_at = runner.arrived[0].rejected_at + 3.0
             now = asyncio.get_running_loop().time()
             self.assertEqual({answer.status for answer in answers}, {503})
             self.assertLess(max(answer.seconds for answer in answers), 0.02)
@@ -122,7 +122,7 @@
         async def scene(stage: gateway_lab.GatewayLab) -> None:
             await self.add_targets(stage, 3)
             runner = stage.runners["app-1"]
-            runner.refuses, runner.backoff, runner.turn_away_seconds = True, "3", 0.3
+            runner.refuses, runner.backoff, runner.rejection_seconds = True, "3", 0.3
             answers = await self.ask(stage, dict.fromkeys(stage.entry_names, 20.0), 7.0)
             self.assertEqual({answer.status for answer in answers}, {200})
             self.assertLessEqual(self.count_most_in_backoff(stage, "app-1"), 0)
@@ -188,7 +188,7 @@
             resting = stage.runners["llm-2"]
             resting.refuses, resting.backoff = True, "4"
             await asyncio.sleep(1.6)
-            self.assertGreater(len(resting.turned_away), 0)
+            self.assertGreater(len(resting.rejected), 0)
             self.heartbeats.cancel()
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
             answers = await calls
@@ -234,7 +234,7 @@
             other.loses_copies = True
             await asyncio.sleep(0.2)
             stage.beat("llm-1", "llm", phase=directories.Phase.DRAINING)
-            while not other.turned_away:
+            while not other.rejected:
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.02)
             failures = stage.entries["entry-1"]._relay._sender._selector.failures
--- a/tillerlane/gateway/tests/test_cold.py
+++ b/tillerlane/gateway/tests/test_cold.py
@@ -28,7 +28,9 @@
     entries = 68
     desired_voters = 5
 
-    async def rush(self, stage: gateway_lab.GatewayLab, until: float) -> list[caller.CallerAnswer]:
+    async def rush(
+        self, stage: gateway_lab.GatewayLab, until: float
+    ) -> list[caller.CallerResponse]:
         """Have callers of all entries ask again and again; gives all their answers."""
         answers = []
 
@@ -58,7 +60,7 @@
         for runner in stage.runners.values():
             times = [run.began for run in runner.ran if began < run.began]
             cold = [at for at in times if at < began + COLD_SECONDS - 0.2]
-            self.assertLessEqual(limit_plays.count_most(cold), BOUND)
+            self.assertLessEqual(limit_plays.count_peak(cold), BOUND)
             total += len(cold)
         return total
 
--- a/tillerlane/gateway/tests/test_evacuation.py
+++ b/tillerlane/gateway/tests/test_evacuation.py
@@ -80,7 +80,7 @@
             await asyncio.sleep(SPREAD_SECONDS)
             await scene(stage)
             self.assertEqual([item.request_id for item in stage.runners["there"].ran], [])
-            self.assertEqual(stage.runners["there"].turned_away, [])
+            self.assertEqual(stage.runners["there"].rejected, [])
 
         self.play(run)
 
--- a/tillerlane/gateway/tests/test_handover_evidence.py
+++ b/tillerlane/gateway/tests/test_handover_evidence.py
@@ -394,7 +394,7 @@
             self.assertTrue(backed)
             runners[0].crash()
             await asyncio.sleep(1.0)
-            self.assertEqual(runners[1].turned_away, [])
+            self.assertEqual(runners[1].rejected, [])
             for request_id in backed:
                 self.assertEqual(len(gateway_scenes.list_runs(stage, request_id)), 1)
             for call in calls:
--- a/tillerlane/gateway/tests/test_moves.py
+++ b/tillerlane/gateway/tests/test_moves.py
@@ -127,7 +127,7 @@
             answer = await call
             self.assertEqual(answer.body, gateway_scenes.build_stream("r1", 90))
             self.assertTrue(answer.is_whole)
-            self.assertIn("r1", second.turned_away)
+            self.assertIn("r1", second.rejected)
             self.assertEqual((len(first.ran), len(second.ran)), (2, 0))
             # It goes on there with its own memory, behind the event at which it stopped.
             former, later = first.ran
--- a/tillerlane/gateway/tests/test_named_limits.py
+++ b/tillerlane/gateway/tests/test_named_limits.py
@@ -117,7 +117,7 @@
             began = asyncio.get_running_loop().time()
             await self.ask(stage, {**rates, "entry-9": 10.0}, 5.0)
             sends = self.list_sends(stage, "app-1", began)
-            self.assertLessEqual(limit_scenes.count_most(sends), 2.0 * 4 + 5)
+            self.assertLessEqual(limit_scenes.count_peak(sends), 2.0 * 4 + 5)
 
         self.play(scene)
 
@@ -264,7 +264,7 @@
     def assert_users_bound(self, stage: gateway_lab.GatewayLab, limit: float, since: float) -> None:
         """The users' rule, which allows half as much again."""
         sends = self.list_sends(stage, "app-1", since)
-        self.assertLessEqual(limit_scenes.count_most(sends), 1.5 * limit * 4 + 5)
+        self.assertLessEqual(limit_scenes.count_peak(sends), 1.5 * limit * 4 + 5)
 
     def test_limit_holds_while_another_leader_is_elected(self) -> None:
         async def scene(stage: gateway_lab.GatewayLab) -> None:
--- a/tillerlane/gateway/tests/test_named_limits_scale.py
+++ b/tillerlane/gateway/tests/test_named_limits_scale.py
@@ -23,7 +23,7 @@
             asking = asyncio.create_task(
                 self.ask(stage, dict.fromkeys(stage.entry_names, 0.7), 5.0)
             )
-            await asyncio.sleep(limit_scenes.TOLD_SECONDS + 0.1)
+            await asyncio.sleep(limit_scenes.PROPAGATION_SECONDS + 0.1)
             for entry in stage.entries.values():
                 self.assertEqual([entry.permits.find_limit(item) for item in limited], [3.0] * 3)
             answers = await asking
@@ -44,7 +44,7 @@
             await self.ask(stage, rates, 5.0)
             sends = self.list_sends(stage, "app-1", began)
             self.assertGreater(len(sends), 0.75 * 4.0 * 5.0)
-            self.assertLessEqual(limit_scenes.count_most(sends), 4.0 * 4.0 + 5)
+            self.assertLessEqual(limit_scenes.count_peak(sends), 4.0 * 4.0 + 5)
             runner.limit = ""
             await self.ask(stage, rates, 3.0)
             limits = {entry.permits.find_limit("app-1") for entry in stage.entries.values()}
--- a/tillerlane/gateway/tests/test_permits.py
+++ b/tillerlane/gateway/tests/test_permits.py
@@ -140,7 +140,7 @@
     ) -> None:
         for saves in (False, True):
             sent = play(entries, limit, Trouble(late=0.2, saves=saves), seed)
-            self.assertLessEqual(limit_scenes.count_most(sent), limit * 4 + 5)
+            self.assertLessEqual(limit_scenes.count_peak(sent), limit * 4 + 5)
 
     @profiles.choose(15)
     @given(
@@ -154,7 +154,7 @@
         self, entries: int, limit: float, seed: int
     ) -> None:
         sent = play(entries, limit, Trouble(late=0.2, lost=0.1, changes=0.3), seed)
-        self.assertLessEqual(limit_scenes.count_most(sent), 1.5 * limit * 4 + 5)
+        self.assertLessEqual(limit_scenes.count_peak(sent), 1.5 * limit * 4 + 5)
 
     def test_most_of_the_limit_is_used(self) -> None:
         for entries in (1, 6, 40):
--- a/tillerlane/gateway/tests/test_quarantine.py
+++ b/tillerlane/gateway/tests/test_quarantine.py
@@ -28,10 +28,10 @@
 from tillerlane.gateway import http_client
 from tillerlane.testing import (
     caller,
-    deadly_pool,
     gateway_lab,
     gateway_scenes,
     platform_runner,
+    poison_pool,
 )
 
 DEADLY = b"a request that no runner survives"
@@ -48,7 +48,7 @@
         """Have a deadly request come every two seconds, twice each time, beside others."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners = deadly_pool.DeadlyPool(stage, {DEADLY}, pool, length)
+            runners = poison_pool.PoisonPool(stage, {DEADLY}, pool, length)
             for _ in range(5):
                 await runners.start_one()
             await asyncio.sleep(0.5)
@@ -81,7 +81,7 @@
 
 def begin_calls(
     stage: gateway_lab.GatewayLab, route: str, count: int
-) -> list[asyncio.Task[caller.CallerAnswer]]:
+) -> list[asyncio.Task[caller.CallerResponse]]:
     """Send the same request so many times at once, to all entries in turn."""
     names = stage.entry_names
     return [
@@ -100,12 +100,12 @@
         asyncio.get_running_loop().call_later(0.1, tell)
 
 
-async def end_three(stage: gateway_lab.GatewayLab, pool: deadly_pool.DeadlyPool) -> None:
+async def end_three(stage: gateway_lab.GatewayLab, pool: poison_pool.PoisonPool) -> None:
     """Have a deadly request end three targets."""
     for number in range(2):
         entry = stage.entry_names[number % len(stage.entry_names)]
         await stage.call(entry, "price", f"deadly-{number}", body=DEADLY)
-    assert len(pool.list_ends(DEADLY)) == 3
+    assert len(pool.list_target_exits(DEADLY)) == 3
 
 
 class LastsTest(gateway_scenes.GatewayCase):
@@ -121,7 +121,7 @@
         """Have three targets end, change something, and have the request come everywhere."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            pool = deadly_pool.DeadlyPool(stage, {DEADLY}, "app", 0)
+            pool = poison_pool.PoisonPool(stage, {DEADLY}, "app", 0)
             for _ in range(5):
                 await pool.start_one()
             await asyncio.sleep(0.5)
@@ -132,7 +132,7 @@
                 answer = await stage.call(entry, "price", f"later-{number}", body=DEADLY)
                 self.assertEqual(answer.status, 503)
                 self.assertEqual((await stage.call(entry, "price", f"good-{number}")).status, 200)
-            self.assertEqual(len(pool.list_ends(DEADLY)), 3)
+            self.assertEqual(len(pool.list_target_exits(DEADLY)), 3)
 
         self.play(scene)
 
@@ -203,7 +203,7 @@
         """The aim is 99 of 100 within a second; here all of them within 0.1 s."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            pool = deadly_pool.DeadlyPool(stage, {DEADLY}, "app", 0)
+            pool = poison_pool.PoisonPool(stage, {DEADLY}, "app", 0)
             for _ in range(5):
                 await pool.start_one()
             await asyncio.sleep(0.5)
@@ -325,14 +325,14 @@
             ]
             document = gateway_lab.build_document(2, tenants=workspaces)
             await stage.publish("keeper-1", document)
-            pool = deadly_pool.DeadlyPool(stage, {DEADLY}, "app", 0)
+            pool = poison_pool.PoisonPool(stage, {DEADLY}, "app", 0)
             for _ in range(5):
                 await pool.start_one()
             await asyncio.sleep(0.5)
             await end_three(stage, pool)
-            await asyncio.sleep(deadly_pool.BACK_SECONDS + 1.0)
+            await asyncio.sleep(poison_pool.RESTART_DELAY_SECONDS + 1.0)
             for runner in pool.targets:
-                runner.deadly = frozenset()
+                runner.poison_bodies = frozenset()
             answers = [
                 await stage.call("entry-1", "price", "r1", body=DEADLY),
                 await stage.call("entry-1", "price", "r2", body=DEADLY + b"."),
--- a/tillerlane/gateway/tests/test_quarantine_stateful.py
+++ b/tillerlane/gateway/tests/test_quarantine_stateful.py
@@ -18,7 +18,7 @@
 from hypothesis import stateful, strategies
 
 from tillerlane.config import store as stores
-from tillerlane.testing import caller, deadly_pool, gateway_lab, lab, profiles
+from tillerlane.testing import caller, gateway_lab, lab, poison_pool, profiles
 
 KEEPERS, ENTRIES, TARGETS = 3, 3, 6
 BODIES = tuple(f"deadly {number}".encode() for number in range(6))
@@ -61,7 +61,7 @@
         await self.stage.start()
         await asyncio.sleep(SETTLE_SECONDS)
         await self.stage.publish("keeper-1", gateway_lab.build_document(1))
-        self.pool = deadly_pool.DeadlyPool(self.stage, BODIES, "app", 0)
+        self.pool = poison_pool.PoisonPool(self.stage, BODIES, "app", 0)
         for _ in range(TARGETS):
             await self.pool.start_one()
         await asyncio.sleep(1.0)
@@ -104,13 +104,13 @@
         CASES["deadly"] += 1
         before = self.loop.time()
         in_touch = not self.is_cut and before - self.trouble_at > CONTACT_SECONDS
-        ends = self.pool.list_ends(body)
-        is_late = len(ends) >= 3 and before > ends[2] + deadly_pool.REACTION_SECONDS
+        ends = self.pool.list_target_exits(body)
+        is_late = len(ends) >= 3 and before > ends[2] + poison_pool.REACTION_SECONDS
         self.run(self.call(self.list_entries()[number], body))
         if in_touch and is_late:
             self.late[body] += self.pool.count_sends(body, before)
         assert self.late[body] <= MOST_SENDS
-        CASES["ends"] += len(self.pool.list_ends(body)) - len(ends)
+        CASES["ends"] += len(self.pool.list_target_exits(body)) - len(ends)
 
     def send_good(self, number: int) -> None:
         """Have a request come that ends nothing."""
@@ -184,10 +184,10 @@
         if not any(entry.quarantine.find_reason(fingerprint) for entry in entries):
             return
         CASES["held"] += 1
-        ends = len(self.pool.list_ends(body))
+        ends = len(self.pool.list_target_exits(body))
         for name in self.list_entries():
             assert self.run(self.call(name, body)) == 503
-        assert len(self.pool.list_ends(body)) == ends
+        assert len(self.pool.list_target_exits(body)) == ends
         for keeper in self.stage.keepers.values():
             assert fingerprint in keeper.replica.state_machine.store.list_names(stores.QUARANTINE)
 
--- a/tillerlane/gateway/tests/test_resuming.py
+++ b/tillerlane/gateway/tests/test_resuming.py
@@ -14,7 +14,7 @@
 LENGTH = 90
 
 
-class ResumptionTest(gateway_scenes.OnceCase):
+class ResumptionTest(gateway_scenes.AtMostOnceCase):
     """A caller comes back with the id of the last event that it has."""
 
     def test_run_has_ended_before_its_caller_resumes_it_at_another_entry(self) -> None:
@@ -64,7 +64,7 @@
         self.play(scene)
 
 
-class MoveTest(gateway_scenes.OnceCase):
+class MoveTest(gateway_scenes.AtMostOnceCase):
     """A run moves more than once, or finds a copy of an earlier start of its own."""
 
     def test_run_that_moves_twice_is_at_one_runner_at_a_time(self) -> None:
--- a/tillerlane/platform/tests/test_suspension.py
+++ b/tillerlane/platform/tests/test_suspension.py
@@ -102,18 +102,18 @@
 
     def wake(self, daemon: platform_fleet.Daemon) -> None:
         """Have a suspended host go on, with no way to any keeper."""
-        self.do(forwarder.Harm.SILENCE)
+        self.inject(forwarder.LinkFault.SILENCE)
         self.fleet.send(daemon, signal.SIGCONT)
 
-    def do(self, harm: forwarder.Harm) -> None:
+    def inject(self, harm: forwarder.LinkFault) -> None:
         """Do harm to all connections to keepers."""
         for keeper in self.keepers:
-            keeper.way_in.do(harm)
+            keeper.proxy.inject(harm)
 
     def reset(self) -> None:
         """Reset all connections to keepers, so that none holds what a suspended host was told."""
-        self.do(forwarder.Harm.RESET)
-        self.do(forwarder.Harm.NONE)
+        self.inject(forwarder.LinkFault.RESET)
+        self.inject(forwarder.LinkFault.NONE)
 
 
 class SuspensionTest(unittest.TestCase):
@@ -163,7 +163,7 @@
             stage.wake(entry)
             self.assertIn(await late, (401, 503))
             self.assertNotIn("late", [run.request_id for run in stage.target.ran])
-            stage.do(forwarder.Harm.NONE)
+            stage.inject(forwarder.LinkFault.NONE)
 
             async def is_back() -> bool:
                 return await stage.call(caller.KEY, "after") == 200
--- a/tillerlane/testing/caller.py
+++ b/tillerlane/testing/caller.py
@@ -5,7 +5,7 @@
 
 from tillerlane.gateway import fingerprints, http_client, http_head
 
-__all__ = ["HOST", "KEY", "WORKSPACE", "CallerAnswer", "call", "compute_fingerprint"]
+__all__ = ["HOST", "KEY", "WORKSPACE", "CallerResponse", "call", "compute_fingerprint"]
 
 KEY = "key-of-workspace-a"
 WORKSPACE = "workspace-a"
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class CallerAnswer:
+class CallerResponse:
     """What a caller got.
 
     Attributes
@@ -45,7 +45,7 @@
     wait_ms: int = 10_000,
     leave_after: float | None = None,
     **headers: str,
-) -> CallerAnswer:
+) -> CallerResponse:
     """Send a request to an entry and read its answer to the end."""
     found = {
         "Host": HOST,
@@ -61,7 +61,7 @@
     )
     loop = asyncio.get_running_loop()
     began = loop.time()
-    answer = CallerAnswer()
+    answer = CallerResponse()
     exchange = await http_client.connect(address, CONNECT_SECONDS)
     exchange.send(head, body)
     try:
--- a/tillerlane/testing/engine.py
+++ b/tillerlane/testing/engine.py
@@ -89,7 +89,7 @@
         self, spec: EngineSpec, get_length: Callable[[str, str, int], int] | None = None
     ) -> None:
         self.spec = spec
-        self._get_length = get_length or self._draw_length
+        self._get_length = get_length or self._sample_length
         self.sequences: dict[str, Sequence] = {}
         self.waiting: list[Sequence] = []
         self.running: list[Sequence] = []
@@ -102,10 +102,10 @@
         self.dead = False
         self._work = asyncio.Event()
 
-    def _draw_length(self, generation_id: str, seed_text: str, longest: int) -> int:
+    def _sample_length(self, generation_id: str, seed_text: str, max_tokens: int) -> int:
         spec = self.spec
         seed = texts.seed_of(seed_text)
-        return texts.draw_length(seed, spec.median_tokens, spec.length_spread, longest)
+        return texts.sample_length(seed, spec.median_tokens, spec.length_spread, max_tokens)
 
     @property
     def memory_used(self) -> int:
@@ -198,10 +198,10 @@
             return False
         while self.cache and needed > spare - sum(self.cache.values()):
             dropped, _ = self.cache.popitem(last=False)
-            self._tell_cache("dropped", dropped)
+            self._record_cache_event("dropped", dropped)
         return True
 
-    def _tell_cache(self, what: str, prefix_hash: int) -> None:
+    def _record_cache_event(self, what: str, prefix_hash: int) -> None:
         self.cache_events.append((len(self.cache_events) + 1, what, prefix_hash))
 
     def _admit(self) -> None:
@@ -227,12 +227,12 @@
             sequence.to_prefill = max(0, sequence.to_prefill - sequence.prefix_tokens)
             return
         self.cache[sequence.prefix_hash] = sequence.prefix_tokens
-        self._tell_cache("stored", sequence.prefix_hash)
+        self._record_cache_event("stored", sequence.prefix_hash)
         while sum(self.cache.values()) > self.spec.prefix_cache_tokens:
             dropped, _ = self.cache.popitem(last=False)
-            self._tell_cache("dropped", dropped)
+            self._record_cache_event("dropped", dropped)
 
-    def _push_aside(self) -> None:
+    def _preempt(self) -> None:
         """Free memory for one step by setting sequences aside."""
         while self.running and not self._free_for(len(self.running)):
             victim = min(self.running, key=lambda item: (item.priority, -item.arrived))
@@ -244,7 +244,7 @@
     def step(self) -> float:
         """Do one step; how long it took, in seconds."""
         self._admit()
-        self._push_aside()
+        self._preempt()
         budget = self.spec.prefill_chunk_tokens
         prefilled = 0
         ended = []
@@ -271,7 +271,7 @@
             self._end(sequence, "stop")
         return self.last_step_seconds
 
-    def _forget_old(self) -> None:
+    def _expire_old(self) -> None:
         horizon = asyncio.get_running_loop().time() - self.spec.keep_ended_seconds
         old = [
             key
@@ -296,6 +296,6 @@
             began = loop.time()
             took = self.step()
             if loop.time() > next_sweep:
-                self._forget_old()
+                self._expire_old()
                 next_sweep = loop.time() + 10.0
             await asyncio.sleep(max(0.0, took - (loop.time() - began)))
--- a/tillerlane/testing/engine_play.py
+++ b/tillerlane/testing/engine_play.py
@@ -22,11 +22,11 @@
     "Outcome",
     "Pool",
     "RunnerSpec",
-    "draw_arrivals",
+    "compute_mean_event_seconds",
+    "compute_on_time_share",
+    "compute_uninterrupted_share",
     "play",
-    "read_mean_event",
-    "read_share",
-    "read_whole_share",
+    "sample_arrivals",
 ]
 
 STEP_SECONDS = 0.007
@@ -73,7 +73,7 @@
 
     arrival: Arrival
     first_seconds: float = float("inf")
-    whole_seconds: float = float("inf")
+    total_seconds: float = float("inf")
     longest_pause: float = 0.0
 
 
@@ -102,7 +102,7 @@
         self.reading: collections.deque[_Run] = collections.deque()
         self.writing: list[_Run] = []
         self.now = 0.0
-        self.pushed_aside = 0
+        self.preemptions = 0
         self.events = 0.0
         self.event_seconds = 0.0
 
@@ -117,15 +117,15 @@
     def _count_memory(self) -> int:
         return sum(run.count_memory() for run in self.writing)
 
-    def _push_aside(self) -> None:
+    def _preempt_excess(self) -> None:
         """Push the newest runs of the last rank aside while there is too little memory."""
         while len(self.writing) > 1 and self._count_memory() > self.spec.memory_tokens:
-            self._push_one_aside(max(self.writing, key=_read_order))
+            self._preempt(max(self.writing, key=_read_order))
 
-    def _push_one_aside(self, run: _Run) -> None:
+    def _preempt(self, run: _Run) -> None:
         self.writing.remove(run)
         run.unread = run.count_memory()
-        self.pushed_aside += 1
+        self.preemptions += 1
         self.take(run, is_first=True)
 
     def take(self, run: _Run, *, is_first: bool = False) -> None:
@@ -142,14 +142,14 @@
             last = max(self.writing, key=_read_order)
             if last.outcome.arrival.rank <= first.outcome.arrival.rank:
                 return False
-            self._push_one_aside(last)
+            self._preempt(last)
         return True
 
     def _has_room(self, run: _Run) -> bool:
         return self._count_memory() + run.count_memory() <= self.spec.memory_tokens
 
     def _step(self) -> None:
-        self._push_aside()
+        self._preempt_excess()
         seconds = STEP_SECONDS + STEP_SECONDS_A_RUN * (len(self.writing) + len(self.reading))
         may_read = self._may_read()
         if may_read:
@@ -176,10 +176,10 @@
             run.outcome.longest_pause = max(run.outcome.longest_pause, pause)
         run.wrote_at = self.now
         if run.tokens_left <= 0:
-            run.outcome.whole_seconds = passed
+            run.outcome.total_seconds = passed
             self.writing.remove(run)
 
-    def read_standing(self) -> tuple[int, int, int, int, int]:
+    def compute_load(self) -> tuple[int, int, int, int, int]:
         """Requests, tokens, unread tokens, events seen lately and their milliseconds."""
         runs = [*self.reading, *self.writing]
         tokens = sum(run.count_memory() + min(300, run.tokens_left // 2) for run in runs)
@@ -196,8 +196,8 @@
     arrivals: list[Arrival],
     choose: Choose,
     *,
-    knows_pace: bool = True,
-    word_seconds: float = REPORT_AGE_SECONDS,
+    knows_event_seconds: bool = True,
+    report_age_seconds: float = REPORT_AGE_SECONDS,
 ) -> list[Outcome]:
     """Play a load to its end.
 
@@ -217,9 +217,9 @@
     """
     runners = [_Runner(spec) for spec in pool]
     outcomes = []
-    seen = collections.deque([[runner.read_standing() for runner in runners]])
+    seen = collections.deque([[runner.compute_load() for runner in runners]])
     now = 0.0
-    tick = min(TICK_SECONDS, word_seconds)
+    tick = min(TICK_SECONDS, report_age_seconds)
     kept = math.exp(-tick / PACE_SECONDS)
     waiting = collections.deque(arrivals)
     held: list[Arrival] = []
@@ -230,14 +230,14 @@
             runner.run_until(now)
             runner.events *= kept
             runner.event_seconds *= kept
-        seen.append([runner.read_standing() for runner in runners])
-        if len(seen) > round(word_seconds / tick):
+        seen.append([runner.compute_load() for runner in runners])
+        if len(seen) > round(report_age_seconds / tick):
             seen.popleft()
         while waiting and waiting[0].at <= now:
             held.append(waiting.popleft())
         came, held = held, []
         for arrival in came:
-            position = _choose(pool, seen[0], arrival, choose, knows_pace)
+            position = _choose(pool, seen[0], arrival, choose, knows_event_seconds)
             if position is None:
                 held.append(arrival)
                 continue
@@ -259,9 +259,9 @@
     seen: list[tuple[int, int, int, int, int]],
     arrival: Arrival,
     choose: Choose,
-    knows_pace: bool,
+    knows_event_seconds: bool,
 ) -> int | None:
-    paces = [(events, event_ms) if knows_pace else (0, 0) for *_, events, event_ms in seen]
+    paces = [(events, event_ms) if knows_event_seconds else (0, 0) for *_, events, event_ms in seen]
     pool_pace = placing.compute_pool_event_seconds(paces)
     standings = [
         placing.CandidateLoad(
@@ -279,7 +279,7 @@
     return choose(work, standings, pool_pace)
 
 
-def draw_arrivals(
+def sample_arrivals(
     rng: random.Random, seconds: float, kinds: dict[str, tuple[float, int, float]]
 ) -> list[Arrival]:
     """Requests by chance: for each kind how many a second, prompt tokens, mean of its events."""
@@ -294,23 +294,25 @@
     return sorted(arrivals, key=lambda item: item.at)
 
 
-def read_share(outcomes: list[Outcome], kind: str, aim_seconds: float) -> float:
+def compute_on_time_share(outcomes: list[Outcome], kind: str, objective_seconds: float) -> float:
     """Share of a kind's requests whose first piece came in time."""
     of_kind = [item for item in outcomes if item.arrival.kind == kind]
-    return sum(item.first_seconds <= aim_seconds for item in of_kind) / len(of_kind)
+    return sum(item.first_seconds <= objective_seconds for item in of_kind) / len(of_kind)
 
 
-def read_whole_share(outcomes: list[Outcome], kind: str, aim: float, pause: float) -> float:
+def compute_uninterrupted_share(
+    outcomes: list[Outcome], kind: str, aim: float, pause: float
+) -> float:
     """Share of a kind's requests that came in time and without a pause that is too long."""
     of_kind = [item for item in outcomes if item.arrival.kind == kind]
     good = [item.first_seconds <= aim and item.longest_pause <= pause for item in of_kind]
     return sum(good) / len(of_kind)
 
 
-def read_mean_event(outcomes: list[Outcome], kind: str) -> float:
+def compute_mean_event_seconds(outcomes: list[Outcome], kind: str) -> float:
     """Mean time of an event of a kind's runs, in seconds."""
     spans = [
-        (item.whole_seconds - item.first_seconds) / max(1, item.arrival.events - 1)
+        (item.total_seconds - item.first_seconds) / max(1, item.arrival.events - 1)
         for item in outcomes
         if item.arrival.kind == kind and item.arrival.events > 1
     ]
--- a/tillerlane/testing/forwarder.py
+++ b/tillerlane/testing/forwarder.py
@@ -9,20 +9,20 @@
 
 from tillerlane.peers import node as nodes
 
-__all__ = ["Forwarder", "Harm"]
+__all__ = ["Forwarder", "LinkFault"]
 
 CHUNK_BYTES = 64 * 1024
 DELAY_SECONDS = (0.02, 0.3)
 """Least and most delay of a chunk on a slow connection."""
 LONG_DELAY_SECONDS = (0.5, 1.5)
-CHECK_SECONDS = 0.02
+CHECK_INTERVAL_SECONDS = 0.02
 BACKLOG = 100
 FILLERS = 3
 """Own connections that fill the queue of a listener that takes one more, so that no other one
 comes about."""
 
 
-class Harm(enum.StrEnum):
+class LinkFault(enum.StrEnum):
     """What happens to connections."""
 
     NONE = "none"
@@ -37,10 +37,10 @@
     """Connections are reset, those that come too."""
 
 
-_HOLDS_IN = frozenset({Harm.SILENCE, Harm.CUT_IN})
-_HOLDS_OUT = frozenset({Harm.SILENCE, Harm.CUT_OUT})
-_HOLDS_CONNECTIONS = _HOLDS_IN | _HOLDS_OUT
-_DELAYS = {Harm.DELAY: DELAY_SECONDS, Harm.LONG_DELAY: LONG_DELAY_SECONDS}
+_BLOCKS_IN = frozenset({LinkFault.SILENCE, LinkFault.CUT_IN})
+_BLOCKS_OUT = frozenset({LinkFault.SILENCE, LinkFault.CUT_OUT})
+_BLOCKS_CONNECTIONS = _BLOCKS_IN | _BLOCKS_OUT
+_DELAYS = {LinkFault.DELAY: DELAY_SECONDS, LinkFault.LONG_DELAY: LONG_DELAY_SECONDS}
 
 
 @dataclasses.dataclass(eq=False, slots=True)
@@ -72,7 +72,7 @@
         self.address = address
         self._behind = behind
         self._rng = rng
-        self._harm = Harm.NONE
+        self._harm = LinkFault.NONE
         self._pairs: set[_Pair] = set()
         self._listener: socket.socket | None = None
         self._fillers: list[socket.socket] = []
@@ -82,22 +82,22 @@
         """Listen."""
         self._listener = socket.create_server(nodes.split_address(self.address), backlog=BACKLOG)
         self._listener.setblocking(False)
-        self.do(Harm.NONE)
+        self.inject(LinkFault.NONE)
 
     def stop(self) -> None:
         """End all connections and stop listening."""
-        self.do(Harm.RESET)
+        self.inject(LinkFault.RESET)
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
             self._listener = None
 
-    def do(self, harm: Harm) -> None:
-        """Do harm from now on; `Harm.NONE` ends it."""
+    def inject(self, harm: LinkFault) -> None:
+        """Do harm from now on; `LinkFault.NONE` ends it."""
         self._harm = harm
         if self._listener is not None:
-            self._hold_connections(self._listener, harm in _HOLDS_CONNECTIONS)
-        if harm is Harm.RESET:
+            self._hold_connections(self._listener, harm in _BLOCKS_CONNECTIONS)
+        if harm is LinkFault.RESET:
             for pair in list(self._pairs):
                 pair.reset()
 
@@ -133,9 +133,9 @@
             self._serving.add(task)
             task.add_done_callback(self._serving.discard)
 
-    async def _wait_out(self, harms: frozenset[Harm]) -> None:
+    async def _wait_out(self, harms: frozenset[LinkFault]) -> None:
         while self._harm in harms:
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def _serve(self, connection: socket.socket) -> None:
         try:
@@ -146,14 +146,14 @@
         pair = _Pair(writer)
         self._pairs.add(pair)
         try:
-            await self._wait_out(_HOLDS_CONNECTIONS)
-            if self._harm is Harm.RESET:
+            await self._wait_out(_BLOCKS_CONNECTIONS)
+            if self._harm is LinkFault.RESET:
                 return
             host, port = nodes.split_address(self._behind)
             answers, pair.behind = await asyncio.open_connection(host, port)
             await asyncio.gather(
-                self._pump(pair, reader, pair.behind, _HOLDS_IN),
-                self._pump(pair, answers, writer, _HOLDS_OUT),
+                self._pump(pair, reader, pair.behind, _BLOCKS_IN),
+                self._pump(pair, answers, writer, _BLOCKS_OUT),
             )
         except (OSError, RuntimeError):
             pass  # one end is gone, so the other must be told
@@ -166,7 +166,7 @@
         pair: _Pair,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        held_by: frozenset[Harm],
+        held_by: frozenset[LinkFault],
     ) -> None:
         while True:
             data = await reader.read(CHUNK_BYTES)
--- a/tillerlane/testing/gateway_lab.py
+++ b/tillerlane/testing/gateway_lab.py
@@ -273,7 +273,7 @@
 
     async def call(
         self, entry_name: str, route: str, request_id: str, **more: Any
-    ) -> caller.CallerAnswer:
+    ) -> caller.CallerResponse:
         """Send a request as a caller (`caller.call`) and read its answer to the end."""
         host = self.get_address(entry_name).partition(":")[0]
         return await caller.call(f"{host}:8000", route, request_id, **more)
--- a/tillerlane/testing/gateway_scenes.py
+++ b/tillerlane/testing/gateway_scenes.py
@@ -11,9 +11,9 @@
 
 __all__ = [
     "LONG",
-    "PROMISES",
+    "NOT_RUN_STATUSES",
+    "AtMostOnceCase",
     "GatewayCase",
-    "OnceCase",
     "build_stream",
     "drop_log_lines",
     "list_runs",
@@ -21,7 +21,7 @@
 
 LONG = {"Token_Counts": "3000,2000", "Length_Hint": "1000", "Model": "m"}
 """Headers of a generation that is worth a copy."""
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 """Statuses that promise a caller that its request has not run and never will."""
 
 
@@ -63,7 +63,7 @@
     return [run for run in runs if run.request_id == request_id]
 
 
-class OnceCase(GatewayCase):
+class AtMostOnceCase(GatewayCase):
     """Scenes with two targets of the service that may not be asked twice."""
 
     async def add_two(
@@ -74,12 +74,14 @@
         await asyncio.sleep(0.2)
         return runners
 
-    def check_once(self, stage: gateway_lab.GatewayLab, request_id: str, status: int) -> None:
+    def check_at_most_once(
+        self, stage: gateway_lab.GatewayLab, request_id: str, status: int
+    ) -> None:
         """A request ran at most once, and is not promised not to have run if it did."""
         runs = list_runs(stage, request_id)
         self.assertLessEqual(len(runs), 1)
         if runs:
-            self.assertNotIn(status, PROMISES)
+            self.assertNotIn(status, NOT_RUN_STATUSES)
 
 
 def drop_log_lines() -> None:
--- a/tillerlane/testing/limit_scenes.py
+++ b/tillerlane/testing/limit_scenes.py
@@ -6,19 +6,19 @@
 
 from tillerlane.testing import caller, gateway_lab, gateway_scenes
 
-__all__ = ["BOUND_SLACK", "WINDOW_SECONDS", "LimitCase", "count_most"]
+__all__ = ["LIMIT_SLACK", "WINDOW_SECONDS", "LimitCase", "count_peak"]
 
 WINDOW_SECONDS = 4.0
-BOUND_SLACK = 5
+LIMIT_SLACK = 5
 """Requests that a target may get beyond its limit within any `WINDOW_SECONDS`."""
-TOLD_SECONDS = 0.5
+PROPAGATION_SECONDS = 0.5
 """Time by which all entries have to know a limit."""
 HEARTBEAT_SECONDS = 1.0
 SETTLE_SECONDS = 2.0
 """Time after their start in which entries wait for targets that are unheard of."""
 
 
-def count_most(times: Iterable[float], seconds: float = WINDOW_SECONDS) -> int:
+def count_peak(times: Iterable[float], seconds: float = WINDOW_SECONDS) -> int:
     """Most of some times that lie within any span."""
     window: collections.deque[float] = collections.deque()
     most = 0
@@ -57,11 +57,11 @@
         route: str = "order",
         wait_ms: int = 1_000,
         **more: str,
-    ) -> list[caller.CallerAnswer]:
+    ) -> list[caller.CallerResponse]:
         """Have callers ask so many times a second at each entry; gives their answers."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        calls: list[asyncio.Task[caller.CallerAnswer]] = []
+        calls: list[asyncio.Task[caller.CallerResponse]] = []
 
         async def keep_asking(name: str, rate: float) -> None:
             # Entries begin at different moments of the interval, as callers do.
@@ -87,5 +87,5 @@
         self, stage: gateway_lab.GatewayLab, target_id: str, limit: float, named_at: float
     ) -> None:
         """No span has more than the limit and the slack, once all entries have to know it."""
-        sends = self.list_sends(stage, target_id, named_at + TOLD_SECONDS)
-        self.assertLessEqual(count_most(sends), limit * WINDOW_SECONDS + BOUND_SLACK)
+        sends = self.list_sends(stage, target_id, named_at + PROPAGATION_SECONDS)
+        self.assertLessEqual(count_peak(sends), limit * WINDOW_SECONDS + LIMIT_SLACK)
--- a/tillerlane/testing/platform_checker.py
+++ b/tillerlane/testing/platform_checker.py
@@ -11,7 +11,7 @@
 
 __all__ = ["Call", "Leaving", "NamedLimit", "Observations", "PlannedStop", "check"]
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that say that a request has not run and never will."""
 OVERLAP_SECONDS = 0.4
 """How long a run's former runner may work on after another one has gone on with it, while the
@@ -23,13 +23,13 @@
 paused or has started is excused."""
 UNDER_WAY_SECONDS = 0.5
 """Time after a refusal in which requests that were under way may reach a target."""
-MOST_IN_BACKOFF = 2
+MAX_REQUESTS_IN_BACKOFF = 2
 """Requests of one entry that may reach a target in a back-off that it asked for."""
-LIMIT_STRETCH = 1.5
+LIMIT_TOLERANCE_FACTOR = 1.5
 """How far above its limit the users let a target get, beside the slack."""
 Span = tuple[float, float]
 """Times of the event loop, in seconds."""
-MOST_LATE = 3
+MAX_LATE_REQUESTS = 3
 """Requests that may reach a leaving runner late, as each may cross its word on the way."""
 
 
@@ -52,7 +52,7 @@
     key: str
     sent_at: float
     ended_at: float = 0.0
-    answer: caller.CallerAnswer = dataclasses.field(default_factory=caller.CallerAnswer)
+    answer: caller.CallerResponse = dataclasses.field(default_factory=caller.CallerResponse)
     entry: str = ""
 
 
@@ -131,23 +131,23 @@
     sent: list[int] = dataclasses.field(default_factory=list)
     in_force: dict[tuple[str, int], list[int]] = dataclasses.field(default_factory=dict)
     read_back: dict[str, int | None] = dataclasses.field(default_factory=dict)
-    harmed: list[Span] = dataclasses.field(default_factory=list)
-    ways_harmed: dict[str, list[Span]] = dataclasses.field(default_factory=dict)
+    fault_spans: list[Span] = dataclasses.field(default_factory=list)
+    link_fault_spans: dict[str, list[Span]] = dataclasses.field(default_factory=dict)
     entries_paused: dict[str, list[Span]] = dataclasses.field(default_factory=dict)
     entries_ended: dict[str, list[float]] = dataclasses.field(default_factory=dict)
     limits: list[NamedLimit] = dataclasses.field(default_factory=list)
-    turned_away: dict[str, list[platform_runner.Arrival]] = dataclasses.field(default_factory=dict)
+    rejected: dict[str, list[platform_runner.Arrival]] = dataclasses.field(default_factory=dict)
     backoffs: int = 0
-    told_in_answers: list[Leaving] = dataclasses.field(default_factory=list)
+    announced_in_responses: list[Leaving] = dataclasses.field(default_factory=list)
     planned_only: bool = False
 
-    def was_harmed(self, since: float, until: float) -> bool:
+    def had_fault(self, since: float, until: float) -> bool:
         """Whether a fault fell into a span."""
-        return any(begin < until and end > since for begin, end in self.harmed)
+        return any(begin < until and end > since for begin, end in self.fault_spans)
 
-    def list_out_of_reach(self, target_id: str, call: Call) -> list[Span]:
+    def list_unreachable_spans(self, target_id: str, call: Call) -> list[Span]:
         """Spans in which the entry of a call could not reach a target, in order."""
-        spans = self.ways_harmed.get(target_id, []) + self.entries_paused.get(call.entry, [])
+        spans = self.link_fault_spans.get(target_id, []) + self.entries_paused.get(call.entry, [])
         ends = [at for at in self.entries_ended.get(call.entry, []) if at >= call.sent_at]
         return sorted(spans + [(at, float("inf")) for at in ends])
 
@@ -169,7 +169,7 @@
     problems += _check_leaving(seen, drain_seconds)
     problems += _check_limits(seen)
     problems += _check_backoffs(seen)
-    problems += _check_told_in_answers(seen, drain_seconds)
+    problems += _check_announced_leaving(seen, drain_seconds)
     problems += _check_configuration(seen)
     return problems
 
@@ -184,13 +184,13 @@
             return [f"{name}: whole, but {len(answer.body)} bytes are not its own answer"]
         if not expected.startswith(answer.body):
             return [f"{name}: events are missing, repeated or another request's"]
-    if answer.status in PROMISES and runs and call.route != "price":
+    if answer.status in NOT_RUN_STATUSES and runs and call.route != "price":
         return [f"{name}: got {answer.status}, which says that it has not run, but it ran"]
-    if answer.status in PROMISES and "retry-after" not in answer.headers:
+    if answer.status in NOT_RUN_STATUSES and "retry-after" not in answer.headers:
         return [f"{name}: got {answer.status} without a time to come back"]
     is_revoked = call.key in seen.revoked
     if seen.planned_only and not is_revoked:
-        is_refused = answer.status in PROMISES
+        is_refused = answer.status in NOT_RUN_STATUSES
         is_whole = answer.status == 200 and answer.is_whole
         if not is_refused and not is_whole and not _outlasted_stop(seen, call, runs):
             at = f"{call.entry} from {call.sent_at:.2f} to {call.ended_at:.2f}"
@@ -255,7 +255,7 @@
     """
     for former, later in itertools.pairwise(runs):
         longest, since = 0.0, later.began
-        for begin, end in seen.list_out_of_reach(former.target_id, call):
+        for begin, end in seen.list_unreachable_spans(former.target_id, call):
             if end > since:
                 longest = max(longest, min(begin, former.ended_at) - since)
                 since = end
@@ -269,9 +269,9 @@
             run
             for run in seen.ran.get(leaving.target_id, [])
             if run.began > leaving.acknowledged_at + drain_seconds
-            and not seen.was_harmed(leaving.acknowledged_at - 3.0, run.began)
+            and not seen.had_fault(leaving.acknowledged_at - 3.0, run.began)
         ]
-        if len(late) > MOST_LATE:
+        if len(late) > MAX_LATE_REQUESTS:
             problems.append(f"{leaving.target_id}: got {len(late)} requests after it had drained")
     return problems
 
@@ -285,11 +285,11 @@
             for run in seen.ran.get(named.target_id, [])
             if named.began + CONTACT_SECONDS <= run.began <= named.ended
             and not _is_excused(seen, entries.get(run.request_id, ""), run.began)
-            and not _was_held_up(seen, named.target_id, run.began)
+            and not _was_delayed(seen, named.target_id, run.began)
         ]
-        most = limit_scenes.count_most(times)
-        borne = LIMIT_STRETCH * named.limit * limit_scenes.WINDOW_SECONDS
-        if most > borne + limit_scenes.BOUND_SLACK:
+        most = limit_scenes.count_peak(times)
+        allowed = LIMIT_TOLERANCE_FACTOR * named.limit * limit_scenes.WINDOW_SECONDS
+        if most > allowed + limit_scenes.LIMIT_SLACK:
             span = f"from {named.began:.2f} to {named.ended:.2f}"
             text = f"got {most} requests in 4 s with a limit of {named.limit} a second"
             problems.append(f"{named.target_id}: {text}, {span}")
@@ -300,32 +300,32 @@
     """In each back-off, what reached the target from the entry that it had turned away."""
     entries = {call.request_id: call.entry for call in seen.calls}
     problems = []
-    for target_id, turned_away in seen.turned_away.items():
+    for target_id, rejected in seen.rejected.items():
         ran = [(run.began, run.request_id) for run in seen.ran.get(target_id, [])]
-        arrivals = ran + [(item.at, item.request_id) for item in turned_away]
-        for refused in turned_away:
+        arrivals = ran + [(item.at, item.request_id) for item in rejected]
+        for refused in rejected:
             entry = entries.get(refused.request_id, "")
-            since = refused.turned_away_at + UNDER_WAY_SECONDS
+            since = refused.rejected_at + UNDER_WAY_SECONDS
             found = [
                 at
                 for at, request_id in arrivals
-                if since < at < refused.turned_away_at + refused.backoff
+                if since < at < refused.rejected_at + refused.backoff
                 and entries.get(request_id) == entry
                 and not _is_excused(seen, entry, at)
-                and not _was_held_up(seen, target_id, at)
+                and not _was_delayed(seen, target_id, at)
             ]
-            if len(found) > MOST_IN_BACKOFF:
+            if len(found) > MAX_REQUESTS_IN_BACKOFF:
                 text = f"asked {entry} for {refused.backoff} s of back-off"
-                at = f"at {refused.turned_away_at:.2f}"
+                at = f"at {refused.rejected_at:.2f}"
                 problems.append(f"{target_id}: {text} {at}, got {len(found)} requests")
     return problems
 
 
-def _check_told_in_answers(seen: Observations, drain_seconds: float) -> list[str]:
+def _check_announced_leaving(seen: Observations, drain_seconds: float) -> list[str]:
     """Requests sent long after their entry had an answer that says that the target leaves."""
     calls = {call.request_id: call for call in seen.calls}
     problems = []
-    for leaving in seen.told_in_answers:
+    for leaving in seen.announced_in_responses:
         answered: dict[str, float] = {}
         for run in sorted(seen.ran.get(leaving.target_id, []), key=lambda run: run.began):
             call = calls.get(run.request_id)
@@ -348,10 +348,12 @@
     return paused or any(since < ended < at for ended in seen.entries_ended.get(entry, []))
 
 
-def _was_held_up(seen: Observations, target_id: str, at: float) -> bool:
+def _was_delayed(seen: Observations, target_id: str, at: float) -> bool:
     """Whether requests may have waited on the way to a target, and come together."""
     since = at - CONTACT_SECONDS
-    return any(begin < at and end > since for begin, end in seen.ways_harmed.get(target_id, []))
+    return any(
+        begin < at and end > since for begin, end in seen.link_fault_spans.get(target_id, [])
+    )
 
 
 def _check_configuration(seen: Observations) -> list[str]:
--- a/tillerlane/testing/platform_fleet.py
+++ b/tillerlane/testing/platform_fleet.py
@@ -55,7 +55,7 @@
     address: str
     folder: pathlib.Path
     settings: str
-    way_in: forwarder.Forwarder
+    proxy: forwarder.Forwarder
     process: subprocess.Popen[bytes] | None = None
     starts: int = 0
 
@@ -128,8 +128,8 @@
         own.mkdir()
         listens = address.replace(f"127.{self.net}.", f"127.{self.net + 1}.", 1)
         settings = _write_settings(name, role, address, listens, HALLS[number % 4], own)
-        way_in = forwarder.Forwarder(f"{address}:{PEER_PORT}", f"{listens}:{PEER_PORT}", rng)
-        self.daemons[name] = Daemon(name, role, address, own, settings, way_in)
+        proxy = forwarder.Forwarder(f"{address}:{PEER_PORT}", f"{listens}:{PEER_PORT}", rng)
+        self.daemons[name] = Daemon(name, role, address, own, settings, proxy)
 
     def list_role(self, role: str) -> list[Daemon]:
         """Daemons of a role."""
@@ -138,7 +138,7 @@
     async def start_all(self) -> None:
         """Start the forwarders and all processes."""
         for daemon in self.daemons.values():
-            await daemon.way_in.start()
+            await daemon.proxy.start()
             self.start(daemon)
 
     def start(self, daemon: Daemon) -> None:
@@ -190,7 +190,7 @@
     def kill_all(self) -> None:
         """End every process and forwarder."""
         for daemon in self.daemons.values():
-            daemon.way_in.stop()
+            daemon.proxy.stop()
             if daemon.process is not None:
                 with contextlib.suppress(ProcessLookupError):
                     daemon.process.kill()
--- a/tillerlane/testing/platform_record.py
+++ b/tillerlane/testing/platform_record.py
@@ -51,28 +51,28 @@
         """Write no more."""
         os.close(self._file)
 
-    def note_start(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """The target listens."""
         self._write(_Line(now, "start"))
 
-    def note_begin(self, run: platform_runner.RanRequest) -> None:
+    def record_begin(self, run: platform_runner.RanRequest) -> None:
         """A run begins."""
         name = f"{os.getpid()}.{len(self._runs)}"
         self._runs[id(run)] = name  # runs are kept, so that no other one has its number
         headers = {key: run.headers[key] for key in _HEADERS if key in run.headers}
         self._write(_Line(run.began, "begin", run.request_id, name, headers))
 
-    def note_event(self, run: platform_runner.RanRequest, now: float) -> None:
+    def record_event(self, run: platform_runner.RanRequest, now: float) -> None:
         """A run has come to an event."""
         name = self._runs[id(run)]
         self._write(_Line(now, "event", run.request_id, name, event=run.events))
 
-    def note_turned_away(self, arrival: platform_runner.Arrival) -> None:
+    def record_rejection(self, arrival: platform_runner.Arrival) -> None:
         """A request was turned away."""
-        at, seconds = arrival.turned_away_at, arrival.backoff
+        at, seconds = arrival.rejected_at, arrival.backoff
         self._write(_Line(at, "refuse", arrival.request_id, backoff=seconds))
 
-    def note_end(self, run: platform_runner.RanRequest) -> None:
+    def record_end(self, run: platform_runner.RanRequest) -> None:
         """A run has ended."""
         name = self._runs[id(run)]
         self._write(_Line(run.ended_at, "end", run.request_id, name, ended=run.ended))
@@ -104,7 +104,7 @@
         self._place = 0
         self._under_way: dict[str, platform_runner.RanRequest] = {}
         self.ran: list[platform_runner.RanRequest] = []
-        self.turned_away: list[platform_runner.Arrival] = []
+        self.rejected: list[platform_runner.Arrival] = []
         self.starts = 0
 
     @property
@@ -122,17 +122,17 @@
         whole = data[: data.rfind(b"\n") + 1]
         self._place += len(whole)
         for line in whole.splitlines():
-            self._take(msgspec.json.decode(line, type=_Line))
+            self._handle_line(msgspec.json.decode(line, type=_Line))
 
-    def note_crash(self) -> None:
+    def record_crash(self) -> None:
         """The target's process has ended, and what it worked on with it."""
         for run in self._under_way.values():
             run.ended = "crashed"
         self._under_way.clear()
 
-    def _take(self, line: _Line) -> None:
+    def _handle_line(self, line: _Line) -> None:
         if line.what == "start":
-            self.note_crash()
+            self.record_crash()
             self.starts += 1
         elif line.what == "begin":
             run = platform_runner.RanRequest(
@@ -148,11 +148,11 @@
             self._under_way[line.run] = run
         elif line.what == "refuse":
             arrival = platform_runner.Arrival(line.request_id, line.at, line.at, line.backoff)
-            self.turned_away.append(arrival)
+            self.rejected.append(arrival)
         else:
-            self._note_work(line)
+            self._handle_progress(line)
 
-    def _note_work(self, line: _Line) -> None:
+    def _handle_progress(self, line: _Line) -> None:
         run = self._under_way[line.run]
         run.ended_at = line.at
         run.events = max(run.events, line.event)
--- a/tillerlane/testing/platform_runner.py
+++ b/tillerlane/testing/platform_runner.py
@@ -19,7 +19,7 @@
 NEW_PART_SECONDS = 0.01
 """Time of a repeated copy, which has only what is new to carry."""
 READING_CHECK_SECONDS = 0.05
-DEADLY_SECONDS = 0.08
+POISON_EXIT_DELAY_SECONDS = 0.08
 """Time from the beginning of a deadly request's run to the end of its runner."""
 
 
@@ -76,7 +76,7 @@
 
     request_id: str
     at: float
-    turned_away_at: float = 0.0
+    rejected_at: float = 0.0
     backoff: float = 0.0
 
 
@@ -141,7 +141,7 @@
     preface, surplus : bytes
         What it sends before and behind each whole answer.
     deadly : frozenset of bytes
-        Bodies of requests that end it, `DEADLY_SECONDS` after it began to run them.
+        Bodies of requests that end it, `POISON_EXIT_DELAY_SECONDS` after it began to run them.
     limit : str
         Requests a second that it names as its limit in each answer; empty for none.
     backoff : str
@@ -183,7 +183,7 @@
         self.copy_seconds = copy_seconds
         self.reading_seconds = reading_seconds
         self.ran: list[RanRequest] = []
-        self.turned_away: list[str] = []
+        self.rejected: list[str] = []
         self.copies: dict[str, MemoryCopy] = {}
         self.answer_status = 200
         self.refuses = False
@@ -196,10 +196,10 @@
         self.works_on = False
         self.names_no_request = False
         self.denies_status = 0
-        self.turn_away_seconds = 0.0
+        self.rejection_seconds = 0.0
         self.preface = b""
         self.surplus = b""
-        self.deadly: frozenset[bytes] = frozenset()
+        self.poison_bodies: frozenset[bytes] = frozenset()
         self.limit = ""
         self.backoff = ""
         self.leaving = ""
@@ -277,15 +277,13 @@
         for runner in list(self.others.values()) if is_source else [self]:
             runner.copies.pop(handle, None)
 
-    async def _turn_away(
-        self, status: int, request_id: str, responder: http_server.Responder
-    ) -> None:
-        self.turned_away.append(request_id)
-        await asyncio.sleep(self.turn_away_seconds)
+    async def _reject(self, status: int, request_id: str, responder: http_server.Responder) -> None:
+        self.rejected.append(request_id)
+        await asyncio.sleep(self.rejection_seconds)
         await self._send_refusal(status, request_id, responder)
 
-    def _note_turned_away(self, arrival: Arrival) -> None:
-        arrival.turned_away_at = asyncio.get_running_loop().time()
+    def _record_rejection(self, arrival: Arrival) -> None:
+        arrival.rejected_at = asyncio.get_running_loop().time()
         arrival.backoff = float(self.backoff or 0)
 
     async def _send_refusal(
@@ -305,7 +303,7 @@
     ) -> None:
         request_id = headers.get("request-id", "")
         if headers.get("expect-instance", self.target_id) != self.target_id:
-            await self._turn_away(421, request_id, responder)
+            await self._reject(421, request_id, responder)
             return
         arrival = Arrival(request_id, asyncio.get_running_loop().time())
         self.arrived.append(arrival)
@@ -313,8 +311,8 @@
         copy_from = headers.get("kv-from", "")
         is_full = self.slots > 0 and self._present >= self.slots + self.queue
         if self.refuses or is_full or (copy_from and not self._take_copy(copy_from, request_id)):
-            await self._turn_away(503, request_id, responder)
-            self._note_turned_away(arrival)
+            await self._reject(503, request_id, responder)
+            self._record_rejection(arrival)
             return
         run = RanRequest(
             request_id,
@@ -328,11 +326,11 @@
         )
         self.ran.append(run)
         if self.loses_answer and self.length:
-            self._note_end(run, "lost")
+            self._record_end(run, "lost")
             responder.abort()
             return
         if self.denies_status:
-            self._note_end(run, "denied")
+            self._record_end(run, "denied")
             await self._send_refusal(self.denies_status, request_id, responder)
             return
         if self.length:
@@ -342,9 +340,9 @@
         try:
             await self._work(run)
         except asyncio.CancelledError:
-            self._note_end(run, "gone")
+            self._record_end(run, "gone")
             raise
-        self._note_end(run, "whole")
+        self._record_end(run, "whole")
         if self.is_mute:
             await asyncio.sleep(3600)
         if self.loses_answer:
@@ -419,10 +417,10 @@
                 self._working.add(task)
                 task.add_done_callback(self._working.discard)
             else:
-                self._note_end(run, "gone")
+                self._record_end(run, "gone")
             raise
         except Exception:
-            self._note_end(run, "gone")
+            self._record_end(run, "gone")
             raise
         finally:
             self._streams.pop(run.request_id, None)
@@ -443,7 +441,7 @@
             if self.is_dark:
                 await asyncio.sleep(3600)
             if number == self.breaks_at:
-                self._note_end(run, "gone")
+                self._record_end(run, "gone")
             if run.ended:
                 if responder is not None:
                     responder.abort()
@@ -454,17 +452,17 @@
                 await responder.write(build_event(run.request_id, number))
             run.events = number
             self._grow_copy(run)
-        self._note_end(run, "whole")
+        self._record_end(run, "whole")
         return not run.is_mute and not self.is_cut_off
 
-    def _note_end(self, run: RanRequest, ended: str) -> None:
+    def _record_end(self, run: RanRequest, ended: str) -> None:
         run.ended = run.ended or ended
         run.ended_at = run.ended_at or asyncio.get_running_loop().time()
 
     async def _die_of(self, run: RanRequest) -> None:
         """End if the request is one that ends its runners."""
-        if run.body in self.deadly:
-            await asyncio.sleep(DEADLY_SECONDS)
+        if run.body in self.poison_bodies:
+            await asyncio.sleep(POISON_EXIT_DELAY_SECONDS)
             self.crash()
             self.on_crash(self)
             await asyncio.sleep(3600)
@@ -489,7 +487,7 @@
     def _stop(self, run: RanRequest) -> None:
         """Stop a run at once and close its stream without its end."""
         run.is_stopped = True
-        self._note_end(run, "stopped")
+        self._record_end(run, "stopped")
         self.stopped.append(run.request_id)
         responder = self._streams.get(run.request_id)
         if responder is not None:
--- a/tillerlane/testing/platform_soak.py
+++ b/tillerlane/testing/platform_soak.py
@@ -230,7 +230,7 @@
             kind = due.pop() if due else self._rng.choice(kinds)
             name = kind.__qualname__.replace("PlatformSoak.", "").strip("_")
             self.done[name] = self.done.get(name, 0) + 1
-            self._begin(kind() if kind in planned else self._note_harm(kind))
+            self._begin(kind() if kind in planned else self._record_fault(kind))
 
     async def _name_limits(self) -> None:
         """Have targets name limits, one after another; callers press on."""
@@ -272,14 +272,14 @@
         ]
         return [self._stop_entry, self._reload, self.targets.drain], daemons + targets
 
-    async def _note_harm(self, kind: Fault) -> None:
+    async def _record_fault(self, kind: Fault) -> None:
         began = self._loop.time()
-        span = len(self.seen.harmed)
-        self.seen.harmed.append((began, float("inf")))
+        span = len(self.seen.fault_spans)
+        self.seen.fault_spans.append((began, float("inf")))
         try:
             await kind()
         finally:
-            self.seen.harmed[span] = (began, self._loop.time())
+            self.seen.fault_spans[span] = (began, self._loop.time())
 
     def _draw_daemon(self, role: str = "") -> platform_fleet.Daemon:
         found = [item for item in self.fleet.daemons.values() if role in ("", item.role)]
@@ -340,13 +340,13 @@
         change(keeper)
         self.fleet.start(keeper)
 
-    async def _harm(self, way: forwarder.Forwarder, kinds: list[forwarder.Harm]) -> None:
-        way.do(self._rng.choice(kinds))
+    async def _harm(self, way: forwarder.Forwarder, kinds: list[forwarder.LinkFault]) -> None:
+        way.inject(self._rng.choice(kinds))
         await asyncio.sleep(self._rng.uniform(0.2, 4.0))
-        way.do(forwarder.Harm.NONE)
+        way.inject(forwarder.LinkFault.NONE)
 
     async def _harm_link(self) -> None:
-        await self._harm(self._draw_daemon().way_in, list(forwarder.Harm)[1:])
+        await self._harm(self._draw_daemon().proxy, list(forwarder.LinkFault)[1:])
 
     # Planned work
 
@@ -390,7 +390,7 @@
                 if self._loop.time() > until:
                     raise TimeoutError(f"{entry.name} is not ready")
                 await asyncio.sleep(0.1)
-        await asyncio.sleep(2 * platform_targets.BEAT_SECONDS)
+        await asyncio.sleep(2 * platform_targets.HEARTBEAT_INTERVAL_SECONDS)
 
     async def run(self, seconds: float, rest_seconds: float) -> list[str]:
         """Run everything, let it come to rest, and give what was broken."""
@@ -440,7 +440,7 @@
     """One line on what a run saw."""
     calls = soak.seen.calls
     whole = sum(call.answer.status == 200 and call.answer.is_whole for call in calls)
-    refused = sum(call.answer.status in platform_checker.PROMISES for call in calls)
+    refused = sum(call.answer.status in platform_checker.NOT_RUN_STATUSES for call in calls)
     runs = [run for ran in soak.seen.ran.values() for run in ran]
     gone_on = sum(run.is_resumed for run in runs)
     faults = ", ".join(f"{name} {number}" for name, number in sorted(soak.done.items()))
@@ -449,7 +449,7 @@
         f"runs {len(runs) - gone_on}, gone on elsewhere {gone_on}; "
         f"versions {len(soak.seen.acknowledged)} of {len(soak.seen.sent)}; "
         f"limits {len(soak.seen.limits)}, back-offs {soak.seen.backoffs}, "
-        f"leavings in answers {len(soak.seen.told_in_answers)}; {faults}"
+        f"leavings in answers {len(soak.seen.announced_in_responses)}; {faults}"
     )
 
 
--- a/tillerlane/testing/platform_target.py
+++ b/tillerlane/testing/platform_target.py
@@ -120,7 +120,7 @@
         self._record = record
 
     def append(self, run: platform_runner.RanRequest) -> None:
-        self._record.note_begin(run)
+        self._record.record_begin(run)
         super().append(run)
 
 
@@ -145,7 +145,7 @@
     async def start(self) -> None:
         """Listen."""
         await super().start()
-        self._record.note_start(time.monotonic())
+        self._record.record_start(time.monotonic())
 
     async def _serve(self, request: http_server.Request, responder: http_server.Responder) -> None:
         path = request.head.target.decode()
@@ -159,18 +159,18 @@
         await responder.send_response(http_head.ResponseHead(200, []), b"")
 
     def _grow_copy(self, run: platform_runner.RanRequest) -> None:
-        self._record.note_event(run, time.monotonic())
+        self._record.record_event(run, time.monotonic())
         super()._grow_copy(run)
 
-    def _note_turned_away(self, arrival: platform_runner.Arrival) -> None:
-        super()._note_turned_away(arrival)
-        self._record.note_turned_away(arrival)
+    def _record_rejection(self, arrival: platform_runner.Arrival) -> None:
+        super()._record_rejection(arrival)
+        self._record.record_rejection(arrival)
 
-    def _note_end(self, run: platform_runner.RanRequest, ended: str) -> None:
+    def _record_end(self, run: platform_runner.RanRequest, ended: str) -> None:
         had_ended = bool(run.ended)
-        super()._note_end(run, ended)
+        super()._record_end(run, ended)
         if not had_ended:
-            self._record.note_end(run)
+            self._record.record_end(run)
 
     def take(self, switches: Switches) -> None:
         """Switch faults on and off."""
--- a/tillerlane/testing/platform_targets.py
+++ b/tillerlane/testing/platform_targets.py
@@ -34,7 +34,7 @@
 STREAM_LENGTH = 80
 STREAM_PACE = 0.03
 COPY_SECONDS = 0.1
-BEAT_SECONDS = 1.2
+HEARTBEAT_INTERVAL_SECONDS = 1.2
 """The platform's usual pause between heartbeats."""
 NOTICE_SECONDS = 2.0
 """Time from a runner's word that it drains to its end."""
@@ -87,12 +87,12 @@
     """
 
     def __init__(
-        self, orders: platform_target.Orders, pool: str, hall: str, way_in: forwarder.Forwarder
+        self, orders: platform_target.Orders, pool: str, hall: str, proxy: forwarder.Forwarder
     ) -> None:
         self.target_id = orders.target_id
         self.pool = pool
         self.hall = hall
-        self.way_in = way_in
+        self.proxy = proxy
         self.state = "ready"
         self.is_running = False
         """Whether its process has begun to listen and has not ended."""
@@ -115,7 +115,7 @@
                 await asyncio.sleep(START_CHECK_SECONDS)
                 self.record.read()
         if self._process is not None:
-            await self.way_in.start()
+            await self.proxy.start()
             self.is_running = True
 
     def _begin_process(self) -> None:
@@ -168,7 +168,7 @@
 
     def kill(self) -> None:
         """End its process at once, with its connections, and take what it wrote down."""
-        self.way_in.stop()
+        self.proxy.stop()
         self.is_running = False
         if self._process is None:
             return
@@ -179,7 +179,7 @@
                 self._process.stdin.close()
         self._process = None
         self.record.read()
-        self.record.note_crash()
+        self.record.record_crash()
 
 
 class Targets:
@@ -238,12 +238,12 @@
             copy_seconds=COPY_SECONDS,
         )
         hall = platform_fleet.HALLS[number % 4]
-        way_in = forwarder.Forwarder(told, listens, self._rng)
-        target = Target(orders, pool, hall, way_in)
+        proxy = forwarder.Forwarder(told, listens, self._rng)
+        target = Target(orders, pool, hall, proxy)
         works_on = is_runner and self._rng.random() < WORKS_ON_SHARE
         self._targets[target.target_id] = target
         self._seen.ran[target.target_id] = target.record.ran
-        self._seen.turned_away[target.target_id] = target.record.turned_away
+        self._seen.rejected[target.target_id] = target.record.rejected
         await target.start()
         target.switch(platform_target.Switches({"works_on": works_on}))
         target.beating = self._loop.create_task(self._beat(target))
@@ -253,7 +253,7 @@
             if target.is_running and not target.is_paused:
                 path = f"/Instances.Heartbeat/{target.target_id}"
                 await self._tell(path, target.write_heartbeat)
-            await asyncio.sleep(BEAT_SECONDS * self._rng.uniform(0.9, 1.1))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS * self._rng.uniform(0.9, 1.1))
 
     def end(self, target: Target) -> None:
         """End a target at once, if it has not ended."""
@@ -341,7 +341,7 @@
         target.state = "leaving by answers"
         await self.add(target.pool)
         told = platform_checker.Leaving(target.target_id, self._loop.time())
-        self._seen.told_in_answers.append(told)
+        self._seen.announced_in_responses.append(told)
         target.switch(platform_target.Switches({"leaving": "1"}))
         until = self._loop.time() + 2 * NOTICE_SECONDS
         while self._loop.time() < until or (self._seen.planned_only and target.is_busy):
@@ -371,7 +371,7 @@
     async def pause(self) -> None:
         """A target's process stands still for a while."""
         target = self._draw()
-        with self._note_harm(target):
+        with self._record_link_fault(target):
             target.is_paused = True
             target.send(signal.SIGSTOP)
             await asyncio.sleep(self._rng.uniform(*HARM_SECONDS))
@@ -383,15 +383,15 @@
         await self._harm_way(self._draw())
 
     async def _harm_way(self, target: Target) -> None:
-        with self._note_harm(target):
-            target.way_in.do(self._rng.choice(list(forwarder.Harm)[1:]))
+        with self._record_link_fault(target):
+            target.proxy.inject(self._rng.choice(list(forwarder.LinkFault)[1:]))
             await asyncio.sleep(self._rng.uniform(*HARM_SECONDS))
-            target.way_in.do(forwarder.Harm.NONE)
+            target.proxy.inject(forwarder.LinkFault.NONE)
 
     @contextlib.contextmanager
-    def _note_harm(self, target: Target) -> Iterator[None]:
+    def _record_link_fault(self, target: Target) -> Iterator[None]:
         """Note a span in which entries do not reach a target."""
-        spans = self._seen.ways_harmed.setdefault(target.target_id, [])
+        spans = self._seen.link_fault_spans.setdefault(target.target_id, [])
         began, place = self._loop.time(), len(spans)
         spans.append((began, float("inf")))
         try:
@@ -405,7 +405,7 @@
 
     def _break_connections(self, target: Target) -> None:
         if self._rng.random() < 0.5:
-            target.way_in.orphan()
+            target.proxy.orphan()
         else:
             target.switch(platform_target.Switches(resets=True))
 
--- a/tillerlane/testing/deadly_pool.py
+++ b/tillerlane/testing/poison_pool.py
@@ -5,16 +5,16 @@
 
 from tillerlane.testing import gateway_lab, platform_runner
 
-__all__ = ["BACK_SECONDS", "REACTION_SECONDS", "DeadlyPool"]
+__all__ = ["REACTION_SECONDS", "RESTART_DELAY_SECONDS", "PoisonPool"]
 
-BACK_SECONDS = 3.0
+RESTART_DELAY_SECONDS = 3.0
 """How long a target is away after it ended."""
 HEARTBEAT_SECONDS = 1.0
 REACTION_SECONDS = 3.0
 """Time after the third end from which a request's further sends are counted."""
 
 
-class DeadlyPool:
+class PoisonPool:
     """Targets that end under deadly requests and come back under new ids.
 
     Parameters
@@ -48,7 +48,7 @@
         """Start one more target."""
         target_id = f"{self._name}-{len(self.targets) + 1}"
         target = await self._stage.add_runner(target_id, self._name, length=self._length)
-        target.deadly = self._bodies
+        target.poison_bodies = self._bodies
         target.on_crash = lambda target: self._tasks.add(asyncio.create_task(self._come_back()))
         self.targets.append(target)
 
@@ -61,12 +61,12 @@
                     self._stage.beat(target.target_id, self._name)
 
     async def _come_back(self) -> None:
-        await asyncio.sleep(BACK_SECONDS)
+        await asyncio.sleep(RESTART_DELAY_SECONDS)
         while not self._stage.keepers:
             await asyncio.sleep(HEARTBEAT_SECONDS)
         await self.start_one()
 
-    def list_ends(self, body: bytes) -> list[float]:
+    def list_target_exits(self, body: bytes) -> list[float]:
         """Times of the event loop at which targets ended under a request."""
         found = [
             run.ended_at
@@ -84,5 +84,5 @@
 
     def count_late_sends(self, body: bytes) -> int:
         """Sends of a request later than the reaction time after its third end."""
-        ends = self.list_ends(body)
+        ends = self.list_target_exits(body)
         return self.count_sends(body, ends[2] + REACTION_SECONDS) if len(ends) >= 3 else 0
--- a/tillerlane/testing/tests/test_platform_soak.py
+++ b/tillerlane/testing/tests/test_platform_soak.py
@@ -46,7 +46,7 @@
 def build_call(request_id: str, route: str, status: int, body: bytes, *, whole: bool = True):
     """A call as its caller saw it."""
     headers = {"retry-after": "1"} if status == 503 else {}
-    answer = caller.CallerAnswer(status, headers, body, whole)
+    answer = caller.CallerResponse(status, headers, body, whole)
     return platform_checker.Call(request_id, route, caller.KEY, 10.0, 12.0, answer)
 
 
@@ -172,7 +172,7 @@
 
     def send_in_backoff(self, requests: int) -> None:
         """Have a target ask an entry for 3 s of back-off at 20.0, and get more in that time."""
-        away = self.seen.turned_away.setdefault("t2", [])
+        away = self.seen.rejected.setdefault("t2", [])
         for number in range(requests + 1):
             request_id, at = f"away-{number}", 20.0 + 0.7 * number
             seconds = 3.0 if number == 0 else 0.0
@@ -195,7 +195,7 @@
 
     def send_to_leaving(self, sent_at: float) -> None:
         """Have a target that told an entry at 20.1 that it leaves get one more of its requests."""
-        self.seen.told_in_answers.append(platform_checker.Leaving("t2", 19.0))
+        self.seen.announced_in_responses.append(platform_checker.Leaving("t2", 19.0))
         for request_id, at in (("told", 20.0), ("late", sent_at)):
             self.seen.ran["t2"].append(build_run(request_id, at, at + 0.1))
             answer = b"answer to " + request_id.encode()
@@ -252,12 +252,12 @@
     def test_harm_excuses_only_what_it_touched(self) -> None:
         self.seen.ran["t1"][0].ended_at = 11.5
         self.seen.calls[0].entry = "entry-1"
-        self.seen.harmed = [(0.0, 100.0)]
-        self.seen.ways_harmed = {"t1": [(10.0, 11.0)], "t2": [(0.0, 100.0)]}
+        self.seen.fault_spans = [(0.0, 100.0)]
+        self.seen.link_fault_spans = {"t1": [(10.0, 11.0)], "t2": [(0.0, 100.0)]}
         self.seen.entries_paused = {"entry-2": [(0.0, 100.0)]}
         self.seen.entries_ended = {"entry-1": [5.0], "entry-2": [11.0]}
         self.assert_found("two runners worked on it for 0.50 s")
-        self.seen.ways_harmed["t1"] = [(11.0, 11.2)]
+        self.seen.link_fault_spans["t1"] = [(11.0, 11.2)]
         self.assertEqual(self.check(), [])
 
     def test_paused_or_ended_entry_stops_no_runner(self) -> None:
@@ -307,21 +307,25 @@
         await asyncio.sleep(platform_soak.END_SECONDS)
 
     async def test_silence_holds_and_then_lets_pass(self) -> None:
-        self.way.do(forwarder.Harm.SILENCE)
+        self.way.inject(forwarder.LinkFault.SILENCE)
         self.writer.write(b"word")
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(self.reader.readexactly(4), 0.2)
-        self.way.do(forwarder.Harm.NONE)
+        self.way.inject(forwarder.LinkFault.NONE)
         self.assertEqual(await self.reader.readexactly(4), b"word")
 
     async def test_silence_lets_no_connection_come_about(self) -> None:
         host, port = nodes.split_address(self.way.address)
-        for harm in (forwarder.Harm.SILENCE, forwarder.Harm.CUT_IN, forwarder.Harm.CUT_OUT):
-            self.way.do(harm)
+        for harm in (
+            forwarder.LinkFault.SILENCE,
+            forwarder.LinkFault.CUT_IN,
+            forwarder.LinkFault.CUT_OUT,
+        ):
+            self.way.inject(harm)
             await asyncio.sleep(0.05)
             with self.assertRaises(TimeoutError):
                 await asyncio.wait_for(asyncio.open_connection(host, port), 0.3)
-            self.way.do(forwarder.Harm.NONE)
+            self.way.inject(forwarder.LinkFault.NONE)
             reader, writer = await asyncio.open_connection(host, port)
             writer.write(b"word")
             self.assertEqual(await asyncio.wait_for(reader.readexactly(4), 1.0), b"word")
@@ -336,14 +340,14 @@
             self.assertEqual(await self.reader.read(4), b"")
         await asyncio.sleep(0.1)
         self.assertEqual(self.left, 0)
-        self.way.do(forwarder.Harm.RESET)
+        self.way.inject(forwarder.LinkFault.RESET)
         await asyncio.sleep(0.1)
         self.assertEqual(self.left, 1)
 
     async def test_reset(self) -> None:
         self.writer.write(b"word")
         await self.reader.readexactly(4)
-        self.way.do(forwarder.Harm.RESET)
+        self.way.inject(forwarder.LinkFault.RESET)
         try:
             self.assertEqual(await self.reader.read(4), b"")
         except ConnectionResetError:
--- a/tillerlane/testing/tests/test_platform_target.py
+++ b/tillerlane/testing/tests/test_platform_target.py
@@ -37,17 +37,17 @@
         self.reader.read()
         self.writer = platform_record.Writer(self.path)
         self.addCleanup(self.writer.close)
-        self.writer.note_start(0.5)
+        self.writer.record_start(0.5)
 
     def test_run_that_ends(self) -> None:
         run = build_run("a", kv_from="t2/h", last_event_id="4", credential="key")
-        self.writer.note_begin(run)
+        self.writer.record_begin(run)
         run.events = 5
-        self.writer.note_event(run, 2.0)
+        self.writer.record_event(run, 2.0)
         self.reader.read()
         self.assertTrue(self.reader.is_busy)
         run.ended, run.ended_at = "whole", 3.0
-        self.writer.note_end(run)
+        self.writer.record_end(run)
         self.reader.read()
         [found] = self.reader.ran
         self.assertEqual((found.request_id, found.target_id, found.events), ("a", "t1", 5))
@@ -57,21 +57,21 @@
 
     def test_run_of_a_process_that_was_killed_ends_with_its_last_event(self) -> None:
         run = build_run("a")
-        self.writer.note_begin(run)
-        self.writer.note_event(run, 2.0)
-        self.writer.note_start(9.0)
+        self.writer.record_begin(run)
+        self.writer.record_event(run, 2.0)
+        self.writer.record_start(9.0)
         later = build_run("a")
-        self.writer.note_begin(later)
+        self.writer.record_begin(later)
         self.reader.read()
         former, present = self.reader.ran
         self.assertEqual((former.ended, former.ended_at), ("crashed", 2.0))
         self.assertEqual(present.ended, "")
         self.assertEqual(self.reader.starts, 2)
-        self.reader.note_crash()
+        self.reader.record_crash()
         self.assertEqual(present.ended, "crashed")
 
     def test_half_a_line_is_left_for_later(self) -> None:
-        self.writer.note_begin(build_run("a"))
+        self.writer.record_begin(build_run("a"))
         whole = self.path.read_bytes()
         self.path.write_bytes(whole[:-5])
         self.reader.read()
@@ -100,8 +100,8 @@
                 PACE_SECONDS,
                 0.01,
             )
-            way_in = forwarder.Forwarder(address, orders.listen_address, random.Random(1))
-            self.targets.append(platform_targets.Target(orders, "llm", "hall-a", way_in))
+            proxy = forwarder.Forwarder(address, orders.listen_address, random.Random(1))
+            self.targets.append(platform_targets.Target(orders, "llm", "hall-a", proxy))
         await asyncio.gather(*(target.start() for target in self.targets))
 
     async def end(self) -> None:
@@ -113,7 +113,7 @@
     async def send(self, number: int, method: bytes, path: bytes, body: bytes, **headers: str):
         """Begin an exchange with a target."""
         target = self.targets[number]
-        exchange = await http_client.connect(target.way_in.address, 1.0)
+        exchange = await http_client.connect(target.proxy.address, 1.0)
         named = [(name.replace("_", "-").encode(), text.encode()) for name, text in headers.items()]
         exchange.send(http_head.RequestHead(method, path, named), body)
         return exchange
@@ -146,12 +146,12 @@
     async def test_run_goes_on_in_another_process(self) -> None:
         exchange = await self.send(0, b"POST", b"/x", b"", Request_Id="a")
         await exchange.read_chunk()
-        order = f'{{"id": "a", "target_version": "{self.targets[1].way_in.address}"}}'.encode()
+        order = f'{{"id": "a", "target_version": "{self.targets[1].proxy.address}"}}'.encode()
         moved = await self.send(0, b"POST", b"/kv-move", order)
         self.assertEqual((await moved.read_head()).status, 200)
         handle = json.loads(await moved.read_body(1000))["handle"]
         await asyncio.sleep(0.2)
-        source = self.targets[0].way_in.address
+        source = self.targets[0].proxy.address
         headers = {"Request_Id": "a", "Kv_From": f"{source}/{handle}", "Last_Event_Id": "1"}
         taken = await self.send(1, b"POST", b"/x", b"", **headers)
         self.assertEqual((await taken.read_head()).status, 200)
--- a/tillerlane/testing/texts.py
+++ b/tillerlane/testing/texts.py
@@ -8,7 +8,7 @@
 import math
 import random
 
-__all__ = ["draw_length", "make_token", "seed_of"]
+__all__ = ["make_token", "sample_length", "seed_of"]
 
 _FIELDS = ("Title", "Author", "Printer", "Place", "Year", "Format", "Leaves", "Binding", "Notes")
 _WORDS = (
@@ -34,7 +34,7 @@
     return f" {word}{ending}"
 
 
-def draw_length(seed: int, median: float, spread: float, longest: int) -> int:
+def sample_length(seed: int, median: float, spread: float, max_tokens: int) -> int:
     """Length with a long tail (log-normal), in tokens, the same for the same seed."""
     drawn = random.Random(seed).lognormvariate(math.log(median), spread)
-    return max(1, min(longest, round(drawn)))
+    return max(1, min(max_tokens, round(drawn)))
