--- a/tillerlane/testing/engine_play.py
+++ b/tillerlane/testing/engine_play.py
@@ -1,10 +1,10 @@
-"""A pool of model runners played step by step, for decisions on where requests go.
+"""Discrete simulation of a pool of model runners, for testing the placement of requests.
 
-Each runner reads prompts one after another, a piece in each step, and writes a token of each run in
-each step; a step takes longer the more runs there are, and while a prompt is read.  A prompt waits
-until there is memory for it, and where runs outgrow memory the newest is pushed aside and read
-anew.  What the chooser sees of the runners is some tenths of a second old.  Times are those of the
-play.
+Each runner prefills prompts one after another, one chunk per step, and decodes one token of every
+running request per step. A step takes longer the more runs there are, and while a prompt is
+prefilled. A prompt waits until there is memory for it. Where runs outgrow the memory, the newest is
+preempted and has to be prefilled again. The placement function sees load reports that are some
+tenths of a second old. All times are simulated.
 """
 
 import collections
@@ -30,34 +30,33 @@
 ]
 
 STEP_SECONDS = 0.007
-STEP_SECONDS_A_RUN = 0.000_12
-PIECE_TOKENS = 112
-"""Prompt tokens read in a step at most."""
-TOKENS_A_SECOND = 14_000
-"""Prompt tokens that are read in a second of reading."""
+STEP_SECONDS_PER_RUN = 0.000_12
+PREFILL_CHUNK_TOKENS = 112
+"""Maximum number of prompt tokens that are prefilled in a step."""
+PREFILL_TOKENS_PER_SECOND = 14_000
 EVENT_TOKENS = 4
 REPORT_AGE_SECONDS = 0.2
-"""Age of what the chooser sees, unless a play says otherwise."""
+"""Default age of the load reports that the placement function sees."""
 TICK_SECONDS = 0.05
-"""Pause between two looks at the runners; with fresher word, as long as that is old."""
-PACE_SECONDS = 20.0
-"""Time over which the events seen are smoothed."""
+"""Interval between load reports; shorter where reports have to be fresher than this."""
+SMOOTHING_SECONDS = 20.0
+"""Time constant over which reported events are smoothed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerSpec:
-    """A runner: how many times as long its steps take, and its memory in tokens."""
+    """A runner: the factor by which its steps are slower, its memory in tokens and its slots."""
 
-    slowness: float
+    slowdown: float
     memory_tokens: int = 34_340
     slots: int = 24
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request: when it comes, what it reads, how many events it writes, and its rank at runners.
+    """A request: its arrival time, prompt length, number of events, and priority on runners.
 
-    Rank 0 is read first, and runs of a later rank are pushed aside for it.
+    Rank 0 is prefilled first, and runs of a higher rank are preempted for it.
     """
 
     at: float
@@ -69,29 +68,29 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What a request's caller got, in seconds from its arrival."""
+    """Latencies that a request's caller observed, in seconds since its arrival."""
 
     arrival: Arrival
     first_seconds: float = float("inf")
     total_seconds: float = float("inf")
-    longest_pause: float = 0.0
+    max_pause: float = 0.0
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class _Run:
     outcome: Outcome
-    unread: int
+    unprefilled: int
     tokens_left: int
-    wrote_at: float = 0.0
+    last_token_at: float = 0.0
 
     def count_memory(self) -> int:
-        """Tokens of its prompt and of what it has written."""
+        """Number of tokens in memory: the prompt and the output so far."""
         arrival = self.outcome.arrival
         return arrival.prompt_tokens + arrival.events * EVENT_TOKENS - self.tokens_left
 
 
-def _read_order(run: _Run) -> tuple[int, float]:
-    """By rank, and within one by age; the last is pushed aside first."""
+def _priority_key(run: _Run) -> tuple[int, float]:
+    """Sort by rank, then by arrival time; the last one is preempted first."""
     arrival = run.outcome.arrival
     return arrival.rank, arrival.at
 
@@ -99,47 +98,47 @@
 class _Runner:
     def __init__(self, spec: RunnerSpec) -> None:
         self.spec = spec
-        self.reading: collections.deque[_Run] = collections.deque()
-        self.writing: list[_Run] = []
+        self.prefilling: collections.deque[_Run] = collections.deque()
+        self.decoding: list[_Run] = []
         self.now = 0.0
         self.preemptions = 0
         self.events = 0.0
         self.event_seconds = 0.0
 
     def run_until(self, until: float) -> None:
-        """Make steps until a time."""
+        """Execute steps until the given time."""
         while self.now < until:
-            if not self.reading and not self.writing:
+            if not self.prefilling and not self.decoding:
                 self.now = until
                 return
             self._step()
 
     def _count_memory(self) -> int:
-        return sum(run.count_memory() for run in self.writing)
+        return sum(run.count_memory() for run in self.decoding)
 
     def _preempt_excess(self) -> None:
-        """Push the newest runs of the last rank aside while there is too little memory."""
-        while len(self.writing) > 1 and self._count_memory() > self.spec.memory_tokens:
-            self._preempt(max(self.writing, key=_read_order))
+        """Preempt the newest runs of the highest rank while memory is exceeded."""
+        while len(self.decoding) > 1 and self._count_memory() > self.spec.memory_tokens:
+            self._preempt(max(self.decoding, key=_priority_key))
 
     def _preempt(self, run: _Run) -> None:
-        self.writing.remove(run)
-        run.unread = run.count_memory()
+        self.decoding.remove(run)
+        run.unprefilled = run.count_memory()
         self.preemptions += 1
-        self.take(run, is_first=True)
+        self.enqueue(run, is_first=True)
 
-    def take(self, run: _Run, *, is_first: bool = False) -> None:
-        """Queue a run for reading, behind those of its rank, or before them."""
+    def enqueue(self, run: _Run, *, is_first: bool = False) -> None:
+        """Queue a run for prefill after the runs of its rank, or before them with `is_first`."""
         rank = run.outcome.arrival.rank
-        before = sum(item.outcome.arrival.rank < rank + (not is_first) for item in self.reading)
-        self.reading.insert(before, run)
+        before = sum(item.outcome.arrival.rank < rank + (not is_first) for item in self.prefilling)
+        self.prefilling.insert(before, run)
 
-    def _may_read(self) -> bool:
-        if not self.reading:
+    def _make_room_to_prefill(self) -> bool:
+        if not self.prefilling:
             return False
-        first = self.reading[0]
-        while self.writing and not self._has_room(first):
-            last = max(self.writing, key=_read_order)
+        first = self.prefilling[0]
+        while self.decoding and not self._has_room(first):
+            last = max(self.decoding, key=_priority_key)
             if last.outcome.arrival.rank <= first.outcome.arrival.rank:
                 return False
             self._preempt(last)
@@ -150,21 +149,21 @@
 
     def _step(self) -> None:
         self._preempt_excess()
-        seconds = STEP_SECONDS + STEP_SECONDS_A_RUN * (len(self.writing) + len(self.reading))
-        may_read = self._may_read()
-        if may_read:
-            piece = min(PIECE_TOKENS, self.reading[0].unread)
-            self.reading[0].unread -= piece
-            seconds += piece / TOKENS_A_SECOND
-        seconds *= self.spec.slowness
+        seconds = STEP_SECONDS + STEP_SECONDS_PER_RUN * (len(self.decoding) + len(self.prefilling))
+        can_prefill = self._make_room_to_prefill()
+        if can_prefill:
+            chunk = min(PREFILL_CHUNK_TOKENS, self.prefilling[0].unprefilled)
+            self.prefilling[0].unprefilled -= chunk
+            seconds += chunk / PREFILL_TOKENS_PER_SECOND
+        seconds *= self.spec.slowdown
         self.now += seconds
-        for run in list(self.writing):
+        for run in list(self.decoding):
             run.tokens_left -= 1
-            self._note(run, seconds)
-        if may_read and self.reading[0].unread <= 0:
-            self.writing.append(self.reading.popleft())
+            self._record_token(run, seconds)
+        if can_prefill and self.prefilling[0].unprefilled <= 0:
+            self.decoding.append(self.prefilling.popleft())
 
-    def _note(self, run: _Run, seconds: float) -> None:
+    def _record_token(self, run: _Run, seconds: float) -> None:
         self.events += 1 / EVENT_TOKENS
         self.event_seconds += seconds
         passed = self.now - run.outcome.arrival.at
@@ -172,19 +171,19 @@
         if written == EVENT_TOKENS:
             run.outcome.first_seconds = passed
         elif written > EVENT_TOKENS:
-            pause = self.now - run.wrote_at
-            run.outcome.longest_pause = max(run.outcome.longest_pause, pause)
-        run.wrote_at = self.now
+            pause = self.now - run.last_token_at
+            run.outcome.max_pause = max(run.outcome.max_pause, pause)
+        run.last_token_at = self.now
         if run.tokens_left <= 0:
             run.outcome.total_seconds = passed
-            self.writing.remove(run)
+            self.decoding.remove(run)
 
     def compute_load(self) -> tuple[int, int, int, int, int]:
-        """Requests, tokens, unread tokens, events seen lately and their milliseconds."""
-        runs = [*self.reading, *self.writing]
+        """Return (requests, tokens, unprefilled tokens, recent events, their milliseconds)."""
+        runs = [*self.prefilling, *self.decoding]
         tokens = sum(run.count_memory() + min(300, run.tokens_left // 2) for run in runs)
-        unread = sum(run.unread for run in self.reading)
-        return len(runs), tokens, unread, int(self.events), int(self.event_seconds * 1000)
+        unprefilled = sum(run.unprefilled for run in self.prefilling)
+        return len(runs), tokens, unprefilled, int(self.events), int(self.event_seconds * 1000)
 
 
 Pool = list[RunnerSpec]
@@ -199,56 +198,56 @@
     knows_event_seconds: bool = True,
     report_age_seconds: float = REPORT_AGE_SECONDS,
 ) -> list[Outcome]:
-    """Play a load to its end.
+    """Simulate a load until all requests have finished.
 
     Parameters
     ----------
     pool : list of RunnerSpec
         The runners.
     arrivals : list of Arrival
-        Requests by time.
+        Requests, sorted by arrival time.
     choose : callable
-        (work, standing of each runner, pace of the pool) gives the position of one; None has the
-        request wait where it came in, and asks again with the next word.
-    knows_pace : bool
-        Whether runners' events are seen; without, all seem to run alike.
-    word_seconds : float
-        Age of what the chooser sees.
+        Called with (work, load of each runner, seconds per event of the pool); returns the position
+        of a runner, or None to keep the request waiting until the next load report.
+    knows_event_seconds : bool
+        Whether load reports include events; if not, all runners appear equally fast.
+    report_age_seconds : float
+        Age of the load reports.
     """
     runners = [_Runner(spec) for spec in pool]
     outcomes = []
-    seen = collections.deque([[runner.compute_load() for runner in runners]])
+    reported = collections.deque([[runner.compute_load() for runner in runners]])
     now = 0.0
     tick = min(TICK_SECONDS, report_age_seconds)
-    kept = math.exp(-tick / PACE_SECONDS)
+    decay = math.exp(-tick / SMOOTHING_SECONDS)
     waiting = collections.deque(arrivals)
-    held: list[Arrival] = []
+    deferred: list[Arrival] = []
     last = arrivals[-1].at + 60.0
     while now < last:
         now += tick
         for runner in runners:
             runner.run_until(now)
-            runner.events *= kept
-            runner.event_seconds *= kept
-        seen.append([runner.compute_load() for runner in runners])
-        if len(seen) > round(report_age_seconds / tick):
-            seen.popleft()
+            runner.events *= decay
+            runner.event_seconds *= decay
+        reported.append([runner.compute_load() for runner in runners])
+        if len(reported) > round(report_age_seconds / tick):
+            reported.popleft()
         while waiting and waiting[0].at <= now:
-            held.append(waiting.popleft())
-        came, held = held, []
-        for arrival in came:
-            position = _choose(pool, seen[0], arrival, choose, knows_event_seconds)
+            deferred.append(waiting.popleft())
+        arrived, deferred = deferred, []
+        for arrival in arrived:
+            position = _choose(pool, reported[0], arrival, choose, knows_event_seconds)
             if position is None:
-                held.append(arrival)
+                deferred.append(arrival)
                 continue
             outcome = Outcome(arrival)
             outcomes.append(outcome)
             run = _Run(outcome, arrival.prompt_tokens, arrival.events * EVENT_TOKENS)
-            runners[position].take(run)
+            runners[position].enqueue(run)
         if (
             not waiting
-            and not held
-            and not any(runner.reading or runner.writing for runner in runners)
+            and not deferred
+            and not any(runner.prefilling or runner.decoding for runner in runners)
         ):
             break
     return outcomes
@@ -256,33 +255,40 @@
 
 def _choose(
     pool: Pool,
-    seen: list[tuple[int, int, int, int, int]],
+    reported: list[tuple[int, int, int, int, int]],
     arrival: Arrival,
     choose: Choose,
     knows_event_seconds: bool,
 ) -> int | None:
-    paces = [(events, event_ms) if knows_event_seconds else (0, 0) for *_, events, event_ms in seen]
-    pool_pace = placing.compute_pool_event_seconds(paces)
-    standings = [
+    event_times = [
+        (events, event_ms) if knows_event_seconds else (0, 0) for *_, events, event_ms in reported
+    ]
+    pool_event_seconds = placing.compute_pool_event_seconds(event_times)
+    loads = [
         placing.CandidateLoad(
             requests,
             spec.slots,
             tokens,
             spec.memory_tokens,
-            unread,
-            placing.estimate_event_seconds(*pace, pool_pace),
+            unprefilled,
+            placing.estimate_event_seconds(*event_time, pool_event_seconds),
+        )
+        for spec, (requests, tokens, unprefilled, *_), event_time in zip(
+            pool, reported, event_times, strict=True
         )
-        for spec, (requests, tokens, unread, *_), pace in zip(pool, seen, paces, strict=True)
     ]
     growth = min(300, arrival.events * EVENT_TOKENS // 2)
     work = placing.Work(arrival.prompt_tokens + growth, arrival.prompt_tokens, arrival.events)
-    return choose(work, standings, pool_pace)
+    return choose(work, loads, pool_event_seconds)
 
 
 def sample_arrivals(
     rng: random.Random, seconds: float, kinds: dict[str, tuple[float, int, float]]
 ) -> list[Arrival]:
-    """Requests by chance: for each kind how many a second, prompt tokens, mean of its events."""
+    """Sample random arrivals; `kinds` maps a kind to (rate per second, prompt tokens, events).
+
+    Prompt tokens and events are means.
+    """
     arrivals = []
     for kind, (rate, prompt_tokens, events) in kinds.items():
         at = rng.expovariate(rate)
@@ -295,22 +301,25 @@
 
 
 def compute_on_time_share(outcomes: list[Outcome], kind: str, objective_seconds: float) -> float:
-    """Share of a kind's requests whose first piece came in time."""
+    """Share of a kind's requests whose first event arrived within the objective."""
     of_kind = [item for item in outcomes if item.arrival.kind == kind]
     return sum(item.first_seconds <= objective_seconds for item in of_kind) / len(of_kind)
 
 
 def compute_uninterrupted_share(
-    outcomes: list[Outcome], kind: str, aim: float, pause: float
+    outcomes: list[Outcome], kind: str, objective_seconds: float, max_pause_seconds: float
 ) -> float:
-    """Share of a kind's requests that came in time and without a pause that is too long."""
+    """Share of a kind's requests that met the objective and had no pause above the limit."""
     of_kind = [item for item in outcomes if item.arrival.kind == kind]
-    good = [item.first_seconds <= aim and item.longest_pause <= pause for item in of_kind]
+    good = [
+        item.first_seconds <= objective_seconds and item.max_pause <= max_pause_seconds
+        for item in of_kind
+    ]
     return sum(good) / len(of_kind)
 
 
 def compute_mean_event_seconds(outcomes: list[Outcome], kind: str) -> float:
-    """Mean time of an event of a kind's runs, in seconds."""
+    """Mean time per event of a kind's runs, in seconds."""
     spans = [
         (item.total_seconds - item.first_seconds) / max(1, item.arrival.events - 1)
         for item in outcomes
--- a/tillerlane/testing/gateway_lab.py
+++ b/tillerlane/testing/gateway_lab.py
@@ -1,7 +1,7 @@
-"""Keepers, entries and stand-in targets of the gateway in virtual time.
+"""Keepers, entries and simulated targets of the gateway in virtual time.
 
-The daemons run unchanged; connections between keepers and entries can be cut, disks fail as
-`tillerlane.testing.memory_disk` says.
+The daemons run unchanged. Connections between keepers and entries can be cut, and disk failures can
+be injected through `tillerlane.testing.memory_disk`.
 """
 
 import asyncio
@@ -20,7 +20,11 @@
 
 
 def build_document(version: int, **changes: Any) -> dict[str, Any]:
-    """A configuration: a stream that runs once, a resumable one, two plain kinds."""
+    """Build a configuration with one route of each kind.
+
+    The routes are a stream that must run at most once, a resumable stream, a non-idempotent and an
+    idempotent plain request.
+    """
 
     def route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
         return {
@@ -64,9 +68,9 @@
     Parameters
     ----------
     keepers, entries : int
-        How many of each.
+        Number of daemons of each role.
     desired_voters : int
-        Size of the keepers' log.
+        Number of voting keepers.
     """
 
     def __init__(self, keepers: int = 3, entries: int = 1, desired_voters: int = 3) -> None:
@@ -78,8 +82,8 @@
         self._by_address: dict[str, platform_runner.PlatformRunner] = {}
         self._sequences: dict[str, int] = {}
         self.lost_connections = 0
-        """Connections that were tried to targets that are cut off."""
-        self._wished = desired_voters
+        """Number of connection attempts to targets that are cut off."""
+        self._desired_voters = desired_voters
         self.keeper_names = [f"keeper-{number}" for number in range(1, keepers + 1)]
         self.entry_names = [f"entry-{number}" for number in range(1, entries + 1)]
         for names, net in ((self.keeper_names, 0), (self.entry_names, 1)):
@@ -92,22 +96,21 @@
         return next(key for key, value in self.network.names.items() if value == name)
 
     def find_leader(self) -> str:
-        """The keeper that holds the lease; empty without one."""
+        """Name of the keeper that holds the leader lease; empty if there is none."""
         leading = (name for name, item in self.keepers.items() if item.replica.has_lease)
         return next(leading, "")
 
-    # Life
-
+    # Lifecycle
     async def start(self) -> None:
-        """Start all daemons, on empty disks."""
-        self._hold_connections()
+        """Start all daemons on empty disks."""
+        self._block_connections()
         for name in self.keeper_names:
             await self.start_keeper(name, is_first=True)
         for name in self.entry_names:
             await self.start_entry(name)
 
-    def _hold_connections(self) -> None:
-        """Have new connections to a target that is cut off wait for ever, as lost packets do."""
+    def _block_connections(self) -> None:
+        """Make new connections to a target that is cut off hang, as with lost packets."""
         loop = asyncio.get_running_loop()
         connect = loop.create_connection
 
@@ -121,29 +124,29 @@
         loop.create_connection = create_connection  # type: ignore[method-assign]
 
     def add_keeper(self, name: str) -> None:
-        """Give a keeper that is not there yet an address that no other one has had."""
+        """Register a new keeper under an address that has never been used."""
         number = len(self.network.names) + 1
         self.network.names[f"10.0.2.{number}:7000"] = name
         self.keeper_names.append(name)
 
     def add_entry(self, name: str) -> None:
-        """Give an entry that is not there yet an address that no other one has had."""
+        """Register a new entry under an address that has never been used."""
         number = len(self.network.names) + 1
         self.network.names[f"10.0.1.{number}:7000"] = name
         self.entry_names.append(name)
 
     def set_seeds(self, names: list[str]) -> None:
-        """Exchange the seeds, for all keepers that live and all daemons that start later."""
+        """Replace the seeds of all running keepers and of all daemons started later."""
         self.seeds = tuple(self.get_address(name) for name in names)
         for daemon in self.keepers.values():
             daemon.set_seeds(self.seeds)
 
     async def start_keeper(self, name: str, *, is_first: bool = False) -> control.Control:
-        """Start a keeper, on the disk that it had before if any."""
+        """Start a keeper, on its previous disk if it had one."""
         loop = asyncio.get_running_loop()
         address = self.get_address(name)
         disk = self.disks.setdefault(name, memory_disk.MemoryDisk(random.Random(1)))
-        own = control.ControlSettings(
+        daemon_settings = control.ControlSettings(
             name=name,
             peer_address=address,
             peer_listen_address=address,
@@ -151,7 +154,7 @@
             data_folder=name,
             plan=formation.FormationSettings(
                 self.seeds,
-                self._wished,
+                self._desired_voters,
                 voter_timeout_seconds=2.0,
                 can_bootstrap=is_first and address == self.seeds[0],
             ),
@@ -165,13 +168,13 @@
             now=lambda: lab.WALL_BEGIN + loop.time(),
             rng=random.Random(name),
         )
-        daemon = control.Control(own, dependencies)
+        daemon = control.Control(daemon_settings, dependencies)
         self.keepers[name] = daemon
         await daemon.start()
         return daemon
 
     async def kill_keeper(self, name: str, *, wipe: bool = False) -> None:
-        """Kill a keeper; what was not synced is lost, with `wipe` all of its disk."""
+        """Kill a keeper, losing unsynced data; with `wipe`, its whole disk."""
         await self.keepers.pop(name).stop()
         await asyncio.sleep(0)
         if wipe:
@@ -180,17 +183,17 @@
             self.disks[name].crash()
 
     async def stop_keeper(self, name: str) -> None:
-        """Stop a keeper as planned; its disk stays."""
+        """Stop a keeper gracefully, keeping its disk."""
         await self.keepers[name].leave()
         await self.kill_keeper(name)
 
     async def lose_keeper(self, name: str) -> None:
-        """Lose a keeper for good: its disk, its address and its place among the keepers."""
+        """Remove a keeper permanently, with its disk, address and membership."""
         await self.kill_keeper(name, wipe=True)
         self.keeper_names.remove(name)
 
     async def lose_power(self, wiped: list[str]) -> None:
-        """Have all keepers lose power at once, and some of them their disks, and come back."""
+        """Crash all keepers at once, wipe the disks of some, and restart them all."""
         for name in list(self.keepers):
             await self.kill_keeper(name, wipe=name in wiped)
         await asyncio.sleep(1.3)
@@ -201,7 +204,7 @@
         """Start an entry."""
         address = self.get_address(name)
         host = address.partition(":")[0]
-        own = entry.EntrySettings(
+        daemon_settings = entry.EntrySettings(
             name=name,
             data_hall="hall-a",
             peer_address=address,
@@ -217,7 +220,10 @@
             cold=cold.ColdBounds(1.5, 5.0),
         )
         daemon = entry.Entry(
-            own, adapter.build_dialect(), self.network.connect_as(name), random.Random(name)
+            daemon_settings,
+            adapter.build_dialect(),
+            self.network.connect_as(name),
+            random.Random(name),
         )
         self.entries[name] = daemon
         await daemon.start()
@@ -228,7 +234,7 @@
     async def add_runner(
         self, target_id: str, pool: str, hall: str = "hall-a", **more: Any
     ) -> platform_runner.PlatformRunner:
-        """Start a target and have it tell of itself."""
+        """Start a target and send its first heartbeat."""
         number = len(self.runners) + 1
         address = f"10.0.9.{number}:9000"
         runner = platform_runner.PlatformRunner(target_id, address, self._by_address, **more)
@@ -249,7 +255,7 @@
         """Send a target's heartbeat to one keeper."""
         sequence = self._sequences.get(target_id, 0) + 1
         self._sequences[target_id] = sequence
-        told = directories.Target(
+        target = directories.Target(
             target_id,
             pool,
             self.runners[target_id].address,
@@ -261,7 +267,7 @@
             asyncio.get_running_loop().time() + cold_seconds,
         )
         daemon = self.keepers[keeper] if keeper else next(iter(self.keepers.values()))
-        daemon.handle_heartbeat(told)
+        daemon.handle_heartbeat(target)
 
     # Operators and callers
 
@@ -274,6 +280,6 @@
     async def call(
         self, entry_name: str, route: str, request_id: str, **more: Any
     ) -> caller.CallerResponse:
-        """Send a request as a caller (`caller.call`) and read its answer to the end."""
+        """Send a request with `caller.call` and read the complete response."""
         host = self.get_address(entry_name).partition(":")[0]
         return await caller.call(f"{host}:8000", route, request_id, **more)
--- a/tillerlane/testing/gateway_scenes.py
+++ b/tillerlane/testing/gateway_scenes.py
@@ -1,4 +1,4 @@
-"""Scenes on a gateway in virtual time, as test cases."""
+"""Base classes for test cases that run scenarios on a gateway in virtual time."""
 
 import asyncio
 import unittest
@@ -20,31 +20,31 @@
 ]
 
 LONG = {"Token_Counts": "3000,2000", "Length_Hint": "1000", "Model": "m"}
-"""Headers of a generation that is worth a copy."""
+"""Headers of a generation that is long enough to have its memory copied."""
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-"""Statuses that promise a caller that its request has not run and never will."""
+"""Statuses that guarantee to a caller that its request has not run and never will."""
 
 
 def build_stream(request_id: str, length: int, first: int = 1) -> bytes:
-    """All events of a stream."""
+    """Build the body of a stream, from event `first` to event `length`."""
     return b"".join(
         platform_runner.build_event(request_id, number) for number in range(first, length + 1)
     )
 
 
 class GatewayCase(unittest.TestCase):
-    """Base of tests that play a scene; virtual time makes each run the same."""
+    """Base class of tests that run a scenario in virtual time, which makes runs reproducible."""
 
     keepers = 3
     entries = 1
     desired_voters = 3
 
     def setUp(self) -> None:
-        """Keep the daemons' log lines out of the tests' output."""
+        """Drop the daemons' log lines."""
         drop_log_lines()
 
     def play(self, scene: Callable[[gateway_lab.GatewayLab], Awaitable[None]]) -> None:
-        """Start a fleet whose first configuration is in force, and play a scene."""
+        """Start a fleet, wait for its first configuration to be in force, and run a scenario."""
 
         async def run() -> None:
             stage = gateway_lab.GatewayLab(self.keepers, self.entries, self.desired_voters)
@@ -58,18 +58,18 @@
 
 
 def list_runs(stage: gateway_lab.GatewayLab, request_id: str) -> list[platform_runner.RanRequest]:
-    """All runs of a request, at any runner."""
+    """List all runs of a request, on any runner."""
     runs = [run for runner in stage.runners.values() for run in runner.ran]
     return [run for run in runs if run.request_id == request_id]
 
 
 class AtMostOnceCase(GatewayCase):
-    """Scenes with two targets of the service that may not be asked twice."""
+    """Base class of tests with two targets of a service whose requests must run at most once."""
 
     async def add_two(
         self, stage: gateway_lab.GatewayLab, pool: str = "app", **more: Any
     ) -> list[platform_runner.PlatformRunner]:
-        """Two targets that are known to the entry."""
+        """Start two targets and wait until the entry has discovered them."""
         runners = [await stage.add_runner(name, pool, **more) for name in ("t1", "t2")]
         await asyncio.sleep(0.2)
         return runners
@@ -77,7 +77,7 @@
     def check_at_most_once(
         self, stage: gateway_lab.GatewayLab, request_id: str, status: int
     ) -> None:
-        """A request ran at most once, and is not promised not to have run if it did."""
+        """Check that a request ran at most once, and that a "not run" status is true."""
         runs = list_runs(stage, request_id)
         self.assertLessEqual(len(runs), 1)
         if runs:
@@ -85,7 +85,7 @@
 
 
 def drop_log_lines() -> None:
-    """Keep log lines out of a test's output."""
+    """Drop all log lines, to keep them out of the test output."""
     structlog.configure(processors=[_drop])
 
 
--- a/tillerlane/testing/limit_scenes.py
+++ b/tillerlane/testing/limit_scenes.py
@@ -1,4 +1,4 @@
-"""Scenes of targets that name limits: callers that keep asking, and what the targets got."""
+"""Test cases for targets that announce rate limits, under a constant load from callers."""
 
 import asyncio
 import collections
@@ -10,39 +10,39 @@
 
 WINDOW_SECONDS = 4.0
 LIMIT_SLACK = 5
-"""Requests that a target may get beyond its limit within any `WINDOW_SECONDS`."""
+"""Number of requests that a target may get above its limit within any `WINDOW_SECONDS`."""
 PROPAGATION_SECONDS = 0.5
-"""Time by which all entries have to know a limit."""
+"""Time within which all entries must learn of a limit."""
 HEARTBEAT_SECONDS = 1.0
 SETTLE_SECONDS = 2.0
-"""Time after their start in which entries wait for targets that are unheard of."""
+"""Time after their start during which entries wait to discover targets."""
 
 
 def count_peak(times: Iterable[float], seconds: float = WINDOW_SECONDS) -> int:
-    """Most of some times that lie within any span."""
+    """Largest number of the given times that fall within any window of `seconds`."""
     window: collections.deque[float] = collections.deque()
-    most = 0
+    peak = 0
     for at in sorted(times):
         window.append(at)
         while window[0] <= at - seconds:
             window.popleft()
-        most = max(most, len(window))
-    return most
+        peak = max(peak, len(window))
+    return peak
 
 
 class LimitCase(gateway_scenes.GatewayCase):
-    """Base of tests in which targets of a plain service name limits."""
+    """Base class of tests in which targets of a plain service announce rate limits."""
 
     async def add_targets(
         self, stage: gateway_lab.GatewayLab, number: int, pool: str = "app", **more: object
     ) -> None:
-        """Start targets, which send heartbeats from then on."""
+        """Start targets and send their heartbeats from then on."""
         for position in range(1, number + 1):
             await stage.add_runner(f"{pool}-{position}", pool, pace=0.02, **more)
-        self.heartbeats = asyncio.create_task(self._beat(stage, pool))
+        self.heartbeats = asyncio.create_task(self._send_heartbeats(stage, pool))
         await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _beat(self, stage: gateway_lab.GatewayLab, pool: str) -> None:
+    async def _send_heartbeats(self, stage: gateway_lab.GatewayLab, pool: str) -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_SECONDS)
             for target_id, runner in list(stage.runners.items()):
@@ -58,13 +58,13 @@
         wait_ms: int = 1_000,
         **more: str,
     ) -> list[caller.CallerResponse]:
-        """Have callers ask so many times a second at each entry; gives their answers."""
+        """Send requests to each entry at its rate (per second) and return the responses."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         calls: list[asyncio.Task[caller.CallerResponse]] = []
 
-        async def keep_asking(name: str, rate: float) -> None:
-            # Entries begin at different moments of the interval, as callers do.
+        async def send_periodically(name: str, rate: float) -> None:
+            # Stagger the entries over the interval, since real callers are not synchronized.
             await asyncio.sleep(list(rates).index(name) / len(rates) / rate)
             number = 0
             while loop.time() < until:
@@ -74,18 +74,18 @@
                 calls.append(asyncio.create_task(call))
                 await asyncio.sleep(1 / rate)
 
-        await asyncio.gather(*(keep_asking(*item) for item in rates.items() if item[1] > 0))
+        await asyncio.gather(*(send_periodically(*item) for item in rates.items() if item[1] > 0))
         return list(await asyncio.gather(*calls))
 
     def list_sends(
         self, stage: gateway_lab.GatewayLab, target_id: str, since: float
     ) -> list[float]:
-        """Times at which a target began requests later than a moment."""
+        """Times since `since` at which a target started to process requests."""
         return [run.began for run in stage.runners[target_id].ran if run.began >= since]
 
     def assert_limit_kept(
         self, stage: gateway_lab.GatewayLab, target_id: str, limit: float, named_at: float
     ) -> None:
-        """No span has more than the limit and the slack, once all entries have to know it."""
+        """Check that no window exceeds limit plus slack once all entries must know the limit."""
         sends = self.list_sends(stage, target_id, named_at + PROPAGATION_SECONDS)
         self.assertLessEqual(count_peak(sends), limit * WINDOW_SECONDS + LIMIT_SLACK)
