--- a/tillerlane/testing/forwarder.py
+++ b/tillerlane/testing/forwarder.py
@@ -1,4 +1,4 @@
-"""A forwarder of TCP connections on this machine, which does harm on request."""
+"""A forwarder of TCP connections on the local host that injects faults on request."""
 
 import asyncio
 import contextlib
@@ -13,28 +13,29 @@
 
 CHUNK_BYTES = 64 * 1024
 DELAY_SECONDS = (0.02, 0.3)
-"""Least and most delay of a chunk on a slow connection."""
+"""Minimum and maximum delay of a chunk on a slow connection."""
 LONG_DELAY_SECONDS = (0.5, 1.5)
 CHECK_INTERVAL_SECONDS = 0.02
 BACKLOG = 100
-FILLERS = 3
-"""Own connections that fill the queue of a listener that takes one more, so that no other one
-comes about."""
+QUEUE_FILLERS = 3
+"""Number of own connections that fill the accept queue of a listener without a backlog, so that
+no further connection can be established."""
 
 
 class LinkFault(enum.StrEnum):
-    """What happens to connections."""
+    """Fault that affects connections."""
 
     NONE = "none"
     DELAY = "delay"
     LONG_DELAY = "long_delay"
     SILENCE = "silence"
-    """Nothing passes, no connection comes about, and nobody is told."""
+    """Data and new connections hang in both directions, without an error at either end."""
     CUT_IN = "cut_in"
-    """Nothing reaches the process behind, no new connection either; what it sends passes."""
+    """Data to the upstream and new connections hang; data from the upstream passes."""
     CUT_OUT = "cut_out"
+    """Data from the upstream and new connections hang; data to the upstream passes."""
     RESET = "reset"
-    """Connections are reset, those that come too."""
+    """Existing and new connections are reset."""
 
 
 _BLOCKS_IN = frozenset({LinkFault.SILENCE, LinkFault.CUT_IN})
@@ -45,81 +46,84 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class _Pair:
-    """A connection and the one behind; an orphan has lost its caller and has not been told."""
+    """A caller's connection and the one to the upstream.
+
+    An orphan has lost its caller's connection while the one to the upstream stays open.
+    """
 
     caller: asyncio.StreamWriter
-    behind: asyncio.StreamWriter | None = None
+    upstream: asyncio.StreamWriter | None = None
     is_orphan: bool = False
 
     def reset(self) -> None:
-        for writer in (self.caller, self.behind):
+        for writer in (self.caller, self.upstream):
             if writer is not None:
                 writer.transport.abort()
 
 
 class Forwarder:
-    """Passes connections on to a process.
+    """Forwards connections to a process.
 
     Parameters
     ----------
-    address, behind : str
-        Where it listens and where the process does (``IP:port``).
+    address, upstream : str
+        Addresses (``IP:port``) on which the forwarder and the process listen.
     rng : random.Random
-        Draws delays.
+        Source of random delays.
     """
 
-    def __init__(self, address: str, behind: str, rng: random.Random) -> None:
+    def __init__(self, address: str, upstream: str, rng: random.Random) -> None:
         self.address = address
-        self._behind = behind
+        self._upstream = upstream
         self._rng = rng
-        self._harm = LinkFault.NONE
+        self._fault = LinkFault.NONE
         self._pairs: set[_Pair] = set()
         self._listener: socket.socket | None = None
         self._fillers: list[socket.socket] = []
         self._serving: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._listener = socket.create_server(nodes.split_address(self.address), backlog=BACKLOG)
         self._listener.setblocking(False)
         self.inject(LinkFault.NONE)
 
     def stop(self) -> None:
-        """End all connections and stop listening."""
+        """Reset all connections and stop listening."""
         self.inject(LinkFault.RESET)
         if self._listener is not None:
             asyncio.get_running_loop().remove_reader(self._listener)
             self._listener.close()
             self._listener = None
 
-    def inject(self, harm: LinkFault) -> None:
-        """Do harm from now on; `LinkFault.NONE` ends it."""
-        self._harm = harm
+    def inject(self, fault: LinkFault) -> None:
+        """Inject a fault from now on; `LinkFault.NONE` ends it."""
+        self._fault = fault
         if self._listener is not None:
-            self._hold_connections(self._listener, harm in _BLOCKS_CONNECTIONS)
-        if harm is LinkFault.RESET:
+            self._block_connections(self._listener, fault in _BLOCKS_CONNECTIONS)
+        if fault is LinkFault.RESET:
             for pair in list(self._pairs):
                 pair.reset()
 
     def orphan(self) -> None:
-        """Reset all connections on their callers' side; the process behind is not told."""
+        """Reset the callers' side of all connections, leaving the upstream's side open."""
         for pair in list(self._pairs):
             pair.is_orphan = True
             pair.caller.transport.abort()
 
-    def _hold_connections(self, listener: socket.socket, is_held: bool) -> None:
-        """Have new connections wait, as lost packets do, or let them come about again."""
+    def _block_connections(self, listener: socket.socket, is_blocked: bool) -> None:
+        """Make new connections hang, as with lost packets, or accept them again."""
         loop = asyncio.get_running_loop()
         for filler in self._fillers:
             filler.close()
         self._fillers.clear()
-        if not is_held:
+        if not is_blocked:
             listener.listen(BACKLOG)
             loop.add_reader(listener, self._accept, listener)
             return
         loop.remove_reader(listener)
         listener.listen(0)
-        for _ in range(FILLERS):
+        for _ in range(QUEUE_FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(nodes.split_address(self.address))
@@ -133,30 +137,30 @@
             self._serving.add(task)
             task.add_done_callback(self._serving.discard)
 
-    async def _wait_out(self, harms: frozenset[LinkFault]) -> None:
-        while self._harm in harms:
+    async def _wait_while(self, faults: frozenset[LinkFault]) -> None:
+        while self._fault in faults:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def _serve(self, connection: socket.socket) -> None:
         try:
             reader, writer = await asyncio.open_connection(sock=connection)
-        except OSError:  # reset already
+        except OSError:  # already reset
             connection.close()
             return
         pair = _Pair(writer)
         self._pairs.add(pair)
         try:
-            await self._wait_out(_BLOCKS_CONNECTIONS)
-            if self._harm is LinkFault.RESET:
+            await self._wait_while(_BLOCKS_CONNECTIONS)
+            if self._fault is LinkFault.RESET:
                 return
-            host, port = nodes.split_address(self._behind)
-            answers, pair.behind = await asyncio.open_connection(host, port)
+            host, port = nodes.split_address(self._upstream)
+            upstream_reader, pair.upstream = await asyncio.open_connection(host, port)
             await asyncio.gather(
-                self._pump(pair, reader, pair.behind, _BLOCKS_IN),
-                self._pump(pair, answers, writer, _BLOCKS_OUT),
+                self._pump(pair, reader, pair.upstream, _BLOCKS_IN),
+                self._pump(pair, upstream_reader, writer, _BLOCKS_OUT),
             )
         except (OSError, RuntimeError):
-            pass  # one end is gone, so the other must be told
+            pass  # one end has failed, so the other one is reset below
         finally:
             pair.reset()
             self._pairs.discard(pair)
@@ -166,19 +170,19 @@
         pair: _Pair,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        held_by: frozenset[LinkFault],
+        blocked_by: frozenset[LinkFault],
     ) -> None:
         while True:
             data = await reader.read(CHUNK_BYTES)
-            await self._wait_out(held_by)
-            if self._harm in _DELAYS:
-                await asyncio.sleep(self._rng.uniform(*_DELAYS[self._harm]))
+            await self._wait_while(blocked_by)
+            if self._fault in _DELAYS:
+                await asyncio.sleep(self._rng.uniform(*_DELAYS[self._fault]))
             try:
                 if not data:
                     if not pair.is_orphan:
                         writer.write_eof()
                     return
-                if not pair.is_orphan or writer is pair.behind:
+                if not pair.is_orphan or writer is pair.upstream:
                     writer.write(data)
                     await writer.drain()
             except (OSError, RuntimeError):
--- a/tillerlane/testing/platform_runner.py
+++ b/tillerlane/testing/platform_runner.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's targets, in one event loop and on its clock.
+"""A simulated target of the platform, which runs in the event loop of the test and on its clock.
 
-It speaks the published protocol: incarnations, "not run", streams of numbered events, copies of
-a run's memory on order or as it grows.  Faults are switched on by its fields.
+It implements the published protocol: incarnations, "not run" responses, streams of numbered events,
+and copies of a run's memory, on order or incrementally. Faults are injected through its attributes.
 """
 
 import asyncio
@@ -15,31 +15,32 @@
 
 __all__ = ["Arrival", "MemoryCopy", "PlatformRunner", "RanRequest", "build_event"]
 
-SEAL = b"Response-Seal"
-NEW_PART_SECONDS = 0.01
-"""Time of a repeated copy, which has only what is new to carry."""
-READING_CHECK_SECONDS = 0.05
+SEAL_HEADER = b"Response-Seal"
+INCREMENTAL_COPY_SECONDS = 0.01
+"""Duration of a repeated copy, which transfers only the part that is new."""
+PREFILL_CHECK_INTERVAL_SECONDS = 0.05
 POISON_EXIT_DELAY_SECONDS = 0.08
-"""Time from the beginning of a deadly request's run to the end of its runner."""
+"""Time from the start of a poison request's run to the exit of its runner."""
 
 
 def build_event(request_id: str, number: int) -> bytes:
-    """The event that a run of a request writes at a number."""
+    """Build the event with a given number of a request's stream."""
     return f"id: {number}\ndata: {request_id}-{number}\n\n".encode()
 
 
 @dataclasses.dataclass(slots=True)
 class RanRequest:
-    """A request that a runner began to work on.
+    """A request that a runner started to process.
 
     Attributes
     ----------
     target_id : str
-        Where it ran.
+        Target that it ran on.
     events : int
-        Events written.
+        Number of the last event written.
     ended : str
-        Empty while it runs, else ``whole``, ``gone``, ``stopped`` or ``crashed``.
+        Empty while it runs; afterwards how it ended: ``whole``, ``gone`` (connection lost),
+        ``stopped``, ``crashed``, ``lost`` or ``denied``.
     """
 
     request_id: str
@@ -58,20 +59,20 @@
 
     @property
     def is_resumed(self) -> bool:
-        """Whether it is a run that goes on here: with a copy, behind an event that was sent."""
+        """Whether the run was resumed here from a copy, after an event already sent."""
         return bool(self.headers.get("kv-from") and self.headers.get("last-event-id"))
 
 
 @dataclasses.dataclass(slots=True)
 class Arrival:
-    """A request that reached a runner, run or not; times are of the event loop.
+    """A request that reached a runner, whether it was run or not; times are event-loop times.
 
     Attributes
     ----------
-    turned_away_at : float
-        When it was turned away; 0 if it was not.
+    rejected_at : float
+        Time at which it was rejected; 0 if it was not.
     backoff : float
-        Seconds of back-off that were asked for then.
+        Back-off in seconds that the rejection requested.
     """
 
     request_id: str
@@ -82,7 +83,7 @@
 
 @dataclasses.dataclass(slots=True)
 class MemoryCopy:
-    """A run's memory, as it lies at a runner."""
+    """A copy of a run's memory, held by a runner."""
 
     request_id: str
     events: int
@@ -95,65 +96,69 @@
     Parameters
     ----------
     target_id, address : str
-        Who it is, and where entries reach it.
+        Its id, and the address under which entries reach it.
     listen_address : str
-        Where it listens, if something stands between.
+        Address it listens on, if there is a proxy in front of it.
     length : int
-        Events of each stream; 0 for a plain service.
+        Number of events in each stream; 0 for a plain service.
+    pace : float
+        Seconds per event of a stream, or per plain request.
+    copy_seconds : float
+        Duration of a full copy of a run's memory.
     reading_seconds : float
-        Time from a stream's request to its head.
+        Prefill time, from a stream's request to its response head.
     slots, queue : int
-        Plain requests that it works on at a time, and that wait there; more are turned away with
-        503.  Unbounded with 0 slots.
+        Number of plain requests processed concurrently, and number of queued ones; further requests
+        are rejected with 503. Unbounded with 0 slots.
     slowdown : float
-        How much longer a plain request takes when all slots are taken, as a part of its time.
+        Relative increase of a plain request's duration when all slots are in use.
 
     Attributes
     ----------
     ran : list of RanRequest
-        What it worked on.
+        Requests that it processed.
     answer_status : int
-        Status of plain answers.
+        Status of plain responses.
     refuses : bool
-        Turns every request away as not run.
+        Rejects every request as not run.
     loses_answer : bool
-        Runs a request and closes without an answer.
+        Runs a request and closes the connection without a response.
     loses_copies : bool
-        Refuses to go on with any copy.
+        Refuses to resume from any copy.
     copied, stopped : list of str
-        Request ids of the runs that were ordered to be copied while they go on, and to be stopped.
+        Request ids of the runs that it was ordered to copy while they run, or to stop.
     answers_for : str
-        Id of another request that it answers with.
+        Request id to put into responses instead of the right one.
     is_dark : bool
-        Takes connections and never answers.
+        Accepts connections and never responds.
     is_cut_off : bool
-        It works on, and nothing passes between it and anybody else.
+        Keeps working, but exchanges nothing with any other process.
     is_mute : bool
-        It works on what it gets and sends nothing of it; a run that was mute stays so.
+        Processes requests without sending any of the results; a muted run stays muted.
     works_on : bool
-        It works on when the connection of a stream closes.
+        Continues a run when the connection of its stream closes.
     names_no_request : bool
-        Its refusals don't say which request they answer.
+        Omits the request id from rejections.
     denies_status : int
-        Status with which it says "not run" of a request that it did run; 0 for never.
-    turn_away_seconds : float
-        Time that it takes to turn a request away.
+        Status of a false "not run" response to a request that did run; 0 for none.
+    rejection_seconds : float
+        Time until a rejection is sent.
     preface, surplus : bytes
-        What it sends before and behind each whole answer.
-    deadly : frozenset of bytes
-        Bodies of requests that end it, `POISON_EXIT_DELAY_SECONDS` after it began to run them.
+        Bytes sent before and after each complete response.
+    poison_bodies : frozenset of bytes
+        Bodies of requests that end it, `POISON_EXIT_DELAY_SECONDS` after their run started.
     limit : str
-        Requests a second that it names as its limit in each answer; empty for none.
+        Rate limit in requests per second that each response announces; empty for none.
     backoff : str
-        Seconds for which it wants nothing more from whom it turns away with 503; empty for none.
+        Back-off in seconds that a rejection with 503 requests; empty for none.
     leaving : str
-        What it says of its leaving in each answer; empty for nothing.
+        Value of the leaving header in each response; empty to omit it.
     arrived : list of Arrival
-        Requests that reached it, in order; none that were meant for another incarnation.
+        Requests that reached it, in order, except those addressed to another incarnation.
     on_crash : callable
-        Called when one did.
+        Called after a crash.
     skips_event, breaks_at : int
-        Number of an event that a stream leaves out, or at which it breaks off.
+        Number of an event that a stream omits, or at which it breaks off.
     """
 
     others: dict[str, "PlatformRunner"]
@@ -206,8 +211,8 @@
         self.slots = slots
         self.queue = queue
         self.slowdown = slowdown
-        self._present = 0
-        """Plain requests that are here."""
+        self._in_progress = 0
+        """Number of plain requests that are running or queued."""
         self._free_slots = asyncio.Semaphore(slots)
         self.arrived: list[Arrival] = []
         self.on_crash: Callable[[PlatformRunner], None] = lambda runner: None
@@ -215,16 +220,16 @@
         self.skips_event = 0
         self.breaks_at = 0
         self.dropped: list[str] = []
-        self._link = asyncio.Lock()
-        """Copies are made one after another."""
+        self._transfer_lock = asyncio.Lock()
+        """Serializes the transfer of copies."""
         self._ordered: dict[tuple[str, str], str] = {}
-        """Handle by request and destination: a repeated order names the same copy."""
-        self._carrying: set[str] = set()
-        """Requests whose memory is being copied."""
+        """Handles by (request id, destination), so that a repeated order gets the same handle."""
+        self._transferring: set[str] = set()
+        """Ids of requests whose memory is being copied."""
         self._streams: dict[str, http_server.Responder] = {}
-        """Streams under way by request."""
-        self._working: set[asyncio.Task[None]] = set()
-        """Runs whose connections have closed."""
+        """Open streams by request id."""
+        self._detached: set[asyncio.Task[None]] = set()
+        """Tasks of runs that continue after their connections have closed."""
         self.copied: list[str] = []
         self.stopped: list[str] = []
         self._handles = itertools.count(1)
@@ -232,11 +237,11 @@
         self._server = http_server.Server(self._serve, limits, lambda error: None)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         await self._server.listen(self._listen_address)
 
     def crash(self) -> None:
-        """End at once: every connection is reset."""
+        """Exit immediately, resetting every connection."""
         self.has_crashed = True
         self._server.stop_accepting()
         now = asyncio.get_running_loop().time()
@@ -247,13 +252,13 @@
         self.others.pop(self.address, None)
 
     def reset_connections(self, request_id: str = "") -> None:
-        """Reset the connections of a request's stream, or of all requests; the runs may go on."""
+        """Reset the connection of a request's stream, or of all; the runs may continue."""
         for run_id, responder in list(self._streams.items()):
             if run_id == (request_id or run_id):
                 responder.abort()
 
     def go_dark(self) -> None:
-        """Fall silent: connections stay, nothing is sent, nobody gets through any more."""
+        """Stop responding: connections stay open, nothing is sent, new ones are not accepted."""
         self._server.stop_accepting()
         self.is_dark = True
 
@@ -271,7 +276,7 @@
             await self._run(request, headers, responder)
 
     def _drop_copy(self, handle: str) -> None:
-        """Free a copy; at the runner that made it, that frees both ends."""
+        """Free a copy; on the runner that made it, at both ends."""
         self.dropped.append(handle)
         is_source = handle in self._ordered.values()
         for runner in list(self.others.values()) if is_source else [self]:
@@ -290,7 +295,7 @@
         self, status: int, request_id: str, responder: http_server.Responder
     ) -> None:
         extra = [(b"Instance-Id", b"other")] if status == 421 else [(b"Not-Run", b"1")]
-        extra += self._list_advice(status)
+        extra += self._build_feedback_headers(status)
         if not self.names_no_request:
             extra.append((b"Request-Id", (self.answers_for or request_id).encode()))
         await responder.send_response(http_head.ResponseHead(status, extra), b"")
@@ -309,8 +314,8 @@
         self.arrived.append(arrival)
         first = int(headers.get("last-event-id", "0")) + 1
         copy_from = headers.get("kv-from", "")
-        is_full = self.slots > 0 and self._present >= self.slots + self.queue
-        if self.refuses or is_full or (copy_from and not self._take_copy(copy_from, request_id)):
+        is_full = self.slots > 0 and self._in_progress >= self.slots + self.queue
+        if self.refuses or is_full or (copy_from and not self._use_copy(copy_from, request_id)):
             await self._reject(503, request_id, responder)
             self._record_rejection(arrival)
             return
@@ -336,7 +341,7 @@
         if self.length:
             await self._stream(run, responder)
             return
-        await self._die_of(run)
+        await self._exit_if_poison(run)
         try:
             await self._work(run)
         except asyncio.CancelledError:
@@ -352,70 +357,70 @@
             self.answer_status,
             [
                 (b"Request-Id", (self.answers_for or request_id).encode()),
-                (SEAL, b"s.1"),
-                *self._list_advice(self.answer_status),
+                (SEAL_HEADER, b"s.1"),
+                *self._build_feedback_headers(self.answer_status),
             ],
         )
-        connection = responder._connection  # a sound server offers no way to write such bytes
+        connection = responder._connection  # the server's API cannot send invalid bytes
         await connection.write(self.preface)
         await responder.send_response(head, b"answer to " + request_id.encode())
         await connection.write(self.surplus)
 
     async def _work(self, run: RanRequest) -> None:
-        """Take the time of a plain request, in one of the slots if they are bounded."""
+        """Wait for the duration of a plain request, in one of the slots if they are bounded."""
         if not self.slots:
             await asyncio.sleep(self.pace)
             return
-        self._present += 1
+        self._in_progress += 1
         try:
             async with self._free_slots:
                 run.began = asyncio.get_running_loop().time()
-                share = min(1.0, self._present / self.slots)
+                share = min(1.0, self._in_progress / self.slots)
                 await asyncio.sleep(self.pace * (1 + self.slowdown * share))
         finally:
-            self._present -= 1
+            self._in_progress -= 1
 
-    def _list_advice(self, status: int) -> http_head.Headers:
-        """What an answer says of this runner."""
-        words = {
+    def _build_feedback_headers(self, status: int) -> http_head.Headers:
+        """Build the response headers that describe the state of this runner."""
+        values = {
             b"Server-Limit": self.limit,
             b"Server-Leaving": self.leaving,
             b"Retry-After": self.backoff if status == 503 else "",
         }
-        return [(name, text.encode()) for name, text in words.items() if text]
+        return [(name, text.encode()) for name, text in values.items() if text]
 
-    def _take_copy(self, copy_from: str, request_id: str) -> bool:
-        """Use a copy that lies here: by handle, or one that grew with the run."""
+    def _use_copy(self, copy_from: str, request_id: str) -> bool:
+        """Consume a copy that is held here, by its handle or, if incremental, by its request id."""
         handle = copy_from.rpartition("/")[2]
         copy = self.copies.pop(handle, None)
         if self.loses_copies or copy is None or copy.request_id != request_id:
             return False
         for runner in list(self.others.values()):
-            runner.copies.pop(handle, None)  # it serves once, at one of its ends
+            runner.copies.pop(handle, None)  # a copy can be used once, at one of its ends
         return True
 
     async def _stream(self, run: RanRequest, responder: http_server.Responder) -> None:
         headers = [
             (b"Request-Id", run.request_id.encode()),
-            (SEAL, b"s.2"),
-            *self._list_advice(200),
+            (SEAL_HEADER, b"s.2"),
+            *self._build_feedback_headers(200),
         ]
         head = http_head.ResponseHead(200, headers)
         self._streams[run.request_id] = responder
         try:
-            await self._read_prompt(run)
+            await self._prefill(run)
             run.is_mute = self.is_mute
             if not run.is_mute:
                 await responder.start_response(head)
-            await self._die_of(run)
+            await self._exit_if_poison(run)
             if await self._write_events(run, responder):
                 await responder.finish()
                 await responder._connection.write(self.surplus)
         except asyncio.CancelledError:
             if self.works_on or self.is_cut_off:
                 task = asyncio.get_running_loop().create_task(self._write_events(run, None))
-                self._working.add(task)
-                task.add_done_callback(self._working.discard)
+                self._detached.add(task)
+                task.add_done_callback(self._detached.discard)
             else:
                 self._record_end(run, "gone")
             raise
@@ -425,16 +430,16 @@
         finally:
             self._streams.pop(run.request_id, None)
 
-    async def _read_prompt(self, run: RanRequest) -> None:
-        """Take the time that a request needs before its first event; a stop ends it."""
+    async def _prefill(self, run: RanRequest) -> None:
+        """Wait for the prefill time of a request; ends early if the run is stopped."""
         left = self.reading_seconds
         while left > 0 and not run.is_stopped:
-            pause = min(READING_CHECK_SECONDS, left)
+            pause = min(PREFILL_CHECK_INTERVAL_SECONDS, left)
             await asyncio.sleep(pause)
             left -= pause
 
     async def _write_events(self, run: RanRequest, responder: http_server.Responder | None) -> bool:
-        """Work on a run to its end, and tell a caller of it if there is one; False if cut short."""
+        """Process a run, streaming to `responder` if given; return whether it completed."""
         for number in range(run.events + 1, self.length + 1):
             if self.pace:
                 await asyncio.sleep(self.pace)
@@ -447,8 +452,8 @@
                     responder.abort()
                 return False
             run.is_mute = run.is_mute or self.is_mute
-            is_heard = not run.is_mute and not self.is_cut_off and number != self.skips_event
-            if responder is not None and is_heard:
+            is_sent = not run.is_mute and not self.is_cut_off and number != self.skips_event
+            if responder is not None and is_sent:
                 await responder.write(build_event(run.request_id, number))
             run.events = number
             self._grow_copy(run)
@@ -459,8 +464,8 @@
         run.ended = run.ended or ended
         run.ended_at = run.ended_at or asyncio.get_running_loop().time()
 
-    async def _die_of(self, run: RanRequest) -> None:
-        """End if the request is one that ends its runners."""
+    async def _exit_if_poison(self, run: RanRequest) -> None:
+        """Crash if the request is a poison request."""
         if run.body in self.poison_bodies:
             await asyncio.sleep(POISON_EXIT_DELAY_SECONDS)
             self.crash()
@@ -473,19 +478,19 @@
             backup.copies[run.request_id] = MemoryCopy(run.request_id, run.events, self)
 
     def find_run(self, request_id: str) -> RanRequest | None:
-        """The run of a request that still goes on."""
+        """Find the run of a request that is still active."""
         for run in self.ran:
             if run.request_id == request_id and not run.ended:
                 return run
         return None
 
     def _find_memory(self, request_id: str) -> RanRequest | None:
-        """The run of a request whose memory is here: one that goes on, or was stopped."""
+        """Find the run of a request whose memory is here: active, or stopped."""
         stopped = (run for run in self.ran if run.request_id == request_id and run.is_stopped)
         return self.find_run(request_id) or next(stopped, None)
 
     def _stop(self, run: RanRequest) -> None:
-        """Stop a run at once and close its stream without its end."""
+        """Stop a run immediately and abort its stream."""
         run.is_stopped = True
         self._record_end(run, "stopped")
         self.stopped.append(run.request_id)
@@ -495,25 +500,27 @@
 
     async def _move(self, order: dict[str, object], responder: http_server.Responder) -> None:
         run = self._find_memory(str(order["id"]))
-        if run is None or run.request_id in self._carrying:
+        if run is None or run.request_id in self._transferring:
             status = 404 if run is None else 409
             await responder.send_response(http_head.ResponseHead(status, []), b"")
             return
         destination = self.others.get(str(order["target_version"]))
-        place = (run.request_id, str(order["target_version"]))
-        is_repeated = place in self._ordered
-        handle = self._ordered.setdefault(place, f"h{next(self._handles)}-{self.target_id}")
+        destination_key = (run.request_id, str(order["target_version"]))
+        is_repeated = destination_key in self._ordered
+        handle = self._ordered.setdefault(
+            destination_key, f"h{next(self._handles)}-{self.target_id}"
+        )
         if order.get("last"):
             self._stop(run)
         else:
             self.copied.append(run.request_id)
-        self._carrying.add(run.request_id)
+        self._transferring.add(run.request_id)
         try:
-            async with self._link:
-                await asyncio.sleep(NEW_PART_SECONDS if is_repeated else self.copy_seconds)
+            async with self._transfer_lock:
+                await asyncio.sleep(INCREMENTAL_COPY_SECONDS if is_repeated else self.copy_seconds)
         finally:
-            self._carrying.discard(run.request_id)
-        answer = {"handle": handle, "made": run.events}
+            self._transferring.discard(run.request_id)
+        reply = {"handle": handle, "made": run.events}
         copy = MemoryCopy(run.request_id, run.events, self)
         status = 200
         if destination is None or destination.refuses:
@@ -522,5 +529,5 @@
             destination.copies[handle] = copy
         if order.get("last"):
             self.copies[handle] = copy
-        body = msgspec.json.encode(answer if status == 200 or order.get("last") else {})
+        body = msgspec.json.encode(reply if status == 200 or order.get("last") else {})
         await responder.send_response(http_head.ResponseHead(status, []), body)
--- a/tillerlane/testing/platform_soak.py
+++ b/tillerlane/testing/platform_soak.py
@@ -34,7 +34,7 @@
 KEEPERS = 5
 ENTRIES = 4
 STREAM_TOKENS = "1500,320"
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 """How long a target or an operator waits for a keeper's answer."""
 BALANCER_SECONDS = 1.0
 BALANCER_MISSES = 2
@@ -63,8 +63,8 @@
     """One call of a daemon's own interface; status 0 without an answer."""
     exchange = None
     try:
-        async with asyncio.timeout(CALL_SECONDS):
-            exchange = await http_client.connect(address, CALL_SECONDS)
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
+            exchange = await http_client.connect(address, CALL_TIMEOUT_SECONDS)
             headers = [(b"Host", address.encode()), (b"Connection", b"close")]
             exchange.send(http_head.RequestHead(method, path.encode(), headers), body)
             head = await exchange.read_head()
--- a/tillerlane/testing/platform_target.py
+++ b/tillerlane/testing/platform_target.py
@@ -1,7 +1,7 @@
-"""A stand-in target of the platform as a process of its own: ``platform_target ORDERS``.
+"""A simulated target of the platform as a separate process: ``platform_target ORDERS``.
 
-It keeps a record that outlives it.  Its faults are switched over its standard input, a line of JSON
-each; it ends when that does.
+It keeps a record on disk that survives its process. Faults are switched by lines of JSON on its
+standard input; it exits at the end of the input.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 
 __all__ = ["Orders", "Switches"]
 
-CALL_SECONDS = 2.0
-"""Longest wait for another runner that is to take a copy."""
-GROWTH_SECONDS = 0.5
-"""Pause between two words to another runner of a copy that grows with its run."""
+CALL_TIMEOUT_SECONDS = 2.0
+"""Timeout of a call to another runner, about a copy of a run's memory."""
+COPY_REPORT_INTERVAL_SECONDS = 0.5
+"""Interval between updates to another runner of an incremental copy."""
 
 
 class Orders(msgspec.Struct):
-    """What a target is started with."""
+    """Start-up parameters of a target."""
 
     target_id: str
     address: str
@@ -36,7 +36,7 @@
 
 
 class Switches(msgspec.Struct):
-    """A line of its standard input: fields of the runner to set, or that its connections break."""
+    """A line of standard input: attributes to set, and whether to reset all connections."""
 
     fields: dict[str, Any] = {}
     resets: bool = False
@@ -49,11 +49,11 @@
 
 
 async def _call(address: str, method: bytes, path: str, body: bytes) -> None:
-    """Tell another runner something; it is lost if that can't be reached."""
+    """Call another runner, ignoring failures."""
     exchange = None
     try:
-        async with asyncio.timeout(CALL_SECONDS):
-            exchange = await http_client.connect(address, CALL_SECONDS)
+        async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
+            exchange = await http_client.connect(address, CALL_TIMEOUT_SECONDS)
             headers = [(b"Host", address.encode())]
             exchange.send(http_head.RequestHead(method, path.encode(), headers), body)
             await exchange.read_head()
@@ -65,15 +65,15 @@
 
 
 class _RemoteCopies:
-    """The copies that lie at another runner."""
+    """The copies that another runner holds."""
 
     def __init__(self, address: str, own_address: str) -> None:
         self._address = address
         self._own_address = own_address
-        self._told_at: dict[str, float] = {}
+        self._sent_at: dict[str, float] = {}
         self._calls: set[asyncio.Task[None]] = set()
 
-    def _begin(self, method: bytes, path: str, body: bytes) -> None:
+    def _send(self, method: bytes, path: str, body: bytes) -> None:
         task = asyncio.get_running_loop().create_task(_call(self._address, method, path, body))
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
@@ -81,19 +81,19 @@
     def __setitem__(self, handle: str, copy: Any) -> None:
         now = asyncio.get_running_loop().time()
         is_growing = handle == copy.request_id
-        if is_growing and now < self._told_at.get(handle, 0.0) + GROWTH_SECONDS:
+        if is_growing and now < self._sent_at.get(handle, 0.0) + COPY_REPORT_INTERVAL_SECONDS:
             return
-        self._told_at[handle] = now
-        told = _Copy(copy.request_id, copy.events, self._own_address)
-        self._begin(b"POST", f"/kv-copy/{handle}", msgspec.json.encode(told))
+        self._sent_at[handle] = now
+        copy_report = _Copy(copy.request_id, copy.events, self._own_address)
+        self._send(b"POST", f"/kv-copy/{handle}", msgspec.json.encode(copy_report))
 
     def pop(self, handle: str, default: Any = None) -> Any:
-        self._begin(b"DELETE", f"/kv-handle/{handle}", b"")
+        self._send(b"DELETE", f"/kv-handle/{handle}", b"")
         return default
 
 
 class _Remote:
-    """Another runner, as far as this one sees it."""
+    """Proxy object for a runner in another process."""
 
     refuses = False
 
@@ -102,7 +102,7 @@
 
 
 class _Remotes(dict[str, Any]):
-    """All other runners by address."""
+    """All other runners by address, created on first use."""
 
     own_address = ""
 
@@ -113,7 +113,7 @@
 
 
 class _Ran(list[platform_runner.RanRequest]):
-    """Runs, each written down before it is worked on."""
+    """List of runs, each of which is recorded before it is processed."""
 
     def __init__(self, record: platform_record.Writer) -> None:
         super().__init__()
@@ -125,7 +125,7 @@
 
 
 class RecordingRunner(platform_runner.PlatformRunner):
-    """A runner that writes down what it does, and whose copies go to other processes."""
+    """A runner that records its work on disk and whose copies go to other processes."""
 
     def __init__(self, orders: Orders) -> None:
         remotes = _Remotes()
@@ -143,7 +143,7 @@
         self.ran = _Ran(self._record)
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen, and record it."""
         await super().start()
         self._record.record_start(time.monotonic())
 
@@ -152,9 +152,9 @@
         if not path.startswith("/kv-copy/"):
             await super()._serve(request, responder)
             return
-        told = msgspec.json.decode(request.body, type=_Copy)
-        source = self.others.get(told.source)
-        copy = platform_runner.MemoryCopy(told.request_id, told.events, source)
+        copy_report = msgspec.json.decode(request.body, type=_Copy)
+        source = self.others.get(copy_report.source)
+        copy = platform_runner.MemoryCopy(copy_report.request_id, copy_report.events, source)
         self.copies[path.rpartition("/")[2]] = copy
         await responder.send_response(http_head.ResponseHead(200, []), b"")
 
@@ -172,8 +172,8 @@
         if not had_ended:
             self._record.record_end(run)
 
-    def take(self, switches: Switches) -> None:
-        """Switch faults on and off."""
+    def apply(self, switches: Switches) -> None:
+        """Switch faults on or off."""
         for name, value in switches.fields.items():
             is_bytes = isinstance(getattr(self, name), bytes)
             setattr(self, name, value.encode() if is_bytes else value)
@@ -181,19 +181,19 @@
             self.reset_connections()
 
 
-async def _serve_until_told(orders: Orders) -> None:
+async def _serve_until_closed(orders: Orders) -> None:
     runner = RecordingRunner(orders)
     await runner.start()
     reader = asyncio.StreamReader()
     protocol = asyncio.StreamReaderProtocol(reader)
     await asyncio.get_running_loop().connect_read_pipe(lambda: protocol, sys.stdin)
     while line := await reader.readline():
-        runner.take(msgspec.json.decode(line, type=Switches))
+        runner.apply(msgspec.json.decode(line, type=Switches))
 
 
 def main() -> None:
     """Run a target until its standard input ends."""
-    asyncio.run(_serve_until_told(msgspec.json.decode(sys.argv[1], type=Orders)))
+    asyncio.run(_serve_until_closed(msgspec.json.decode(sys.argv[1], type=Orders)))
 
 
 if __name__ == "__main__":
