--- a/tillerlane/testing/caller.py
+++ b/tillerlane/testing/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the gateway, as the platform's callers speak."""
+"""A caller of the gateway that uses the platform's protocol."""
 
 import asyncio
 import dataclasses
@@ -9,23 +9,23 @@
 
 KEY = "key-of-workspace-a"
 WORKSPACE = "workspace-a"
-"""The one that has the key."""
+"""Workspace that the key belongs to."""
 HOST = "shop.example"
-CONNECT_SECONDS = 5.0
+CONNECT_TIMEOUT_SECONDS = 5.0
 
 
 @dataclasses.dataclass(slots=True)
 class CallerResponse:
-    """What a caller got.
+    """The response that a caller received.
 
     Attributes
     ----------
     status : int
-        0 without an answer.
+        HTTP status; 0 without a response.
     is_whole : bool
-        Whether the answer ended as one that is.
+        Whether the response was complete.
     seconds : float
-        From before the connection to the end.
+        Time from the start of the connection to the end of the response.
     """
 
     status: int = 0
@@ -46,8 +46,11 @@
     leave_after: float | None = None,
     **headers: str,
 ) -> CallerResponse:
-    """Send a request to an entry and read its answer to the end."""
-    found = {
+    """Send a request to an entry and read the response to its end.
+
+    With `leave_after`, the caller disconnects after that many seconds.
+    """
+    fields = {
         "Host": HOST,
         "Request-Id": request_id,
         "Deadline-Ms": str(wait_ms),
@@ -56,19 +59,21 @@
     }
     head = http_head.RequestHead(
         method,
-        _write_target(route),
-        [(name.encode(), value.encode()) for name, value in found.items()],
+        _format_path(route),
+        [(name.encode(), value.encode()) for name, value in fields.items()],
     )
     loop = asyncio.get_running_loop()
     began = loop.time()
     answer = CallerResponse()
-    exchange = await http_client.connect(address, CONNECT_SECONDS)
+    exchange = await http_client.connect(address, CONNECT_TIMEOUT_SECONDS)
     exchange.send(head, body)
     try:
         async with asyncio.timeout(leave_after):
-            got = await exchange.read_head()
-            answer.status = got.status
-            answer.headers = {name.decode().lower(): value.decode() for name, value in got.headers}
+            received = await exchange.read_head()
+            answer.status = received.status
+            answer.headers = {
+                name.decode().lower(): value.decode() for name, value in received.headers
+            }
             while (chunk := await exchange.read_chunk()) is not None:
                 answer.body += chunk
             answer.is_whole = True
@@ -80,11 +85,11 @@
     return answer
 
 
-def _write_target(route: str) -> bytes:
+def _format_path(route: str) -> bytes:
     return f"/{route}/x?q=1".encode()
 
 
 def compute_fingerprint(route: str, body: bytes) -> str:
-    """The fingerprint that entries give a request of `call`."""
-    head = http_head.RequestHead(b"POST", _write_target(route), [(b"Host", HOST.encode())])
+    """Compute the fingerprint that entries assign to a request sent by `call`."""
+    head = http_head.RequestHead(b"POST", _format_path(route), [(b"Host", HOST.encode())])
     return fingerprints.compute(head, body, WORKSPACE)
--- a/tillerlane/testing/platform_checker.py
+++ b/tillerlane/testing/platform_checker.py
@@ -1,6 +1,6 @@
-"""Decides on a run of the platform's programs by what callers, targets and operators saw.
+"""Checks a run of the platform's programs against what callers, targets and operators observed.
 
-The daemons' own logs have no say.
+The daemons' own logs are not used.
 """
 
 import dataclasses
@@ -9,42 +9,43 @@
 
 from tillerlane.testing import caller, limit_scenes, platform_runner
 
-__all__ = ["Call", "Leaving", "NamedLimit", "Observations", "PlannedStop", "check"]
+__all__ = ["AnnouncedLimit", "Call", "Leaving", "Observations", "PlannedStop", "check"]
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that say that a request has not run and never will."""
-OVERLAP_SECONDS = 0.4
-"""How long a run's former runner may work on after another one has gone on with it, while the
-entry's machine reaches it."""
-LAST_SEND_SECONDS = 3.0
-"""Until so long after an entry was told to stop it takes requests that may outlast it."""
-CONTACT_SECONDS = 3.0
-"""Time after which a limit binds that a target has begun to name, and for which an entry that was
-paused or has started is excused."""
-UNDER_WAY_SECONDS = 0.5
-"""Time after a refusal in which requests that were under way may reach a target."""
+"""Statuses that guarantee that a request has not run and never will."""
+MAX_OVERLAP_SECONDS = 0.4
+"""How long the former runner may continue a run after another runner has resumed it, while the
+entry's host can reach the former one."""
+ACCEPT_AFTER_STOP_SECONDS = 3.0
+"""How long after its order to stop an entry may accept requests that then outlast it."""
+LIMIT_EFFECT_SECONDS = 3.0
+"""Time until a newly announced limit takes effect, and for which an entry is excused after it was
+paused or has restarted."""
+IN_FLIGHT_SECONDS = 0.5
+"""Time after a rejection during which requests already in flight may reach the target."""
 MAX_REQUESTS_IN_BACKOFF = 2
-"""Requests of one entry that may reach a target in a back-off that it asked for."""
+"""Number of requests of one entry that may reach a target during a back-off that it requested."""
 LIMIT_TOLERANCE_FACTOR = 1.5
-"""How far above its limit the users let a target get, beside the slack."""
+"""Factor by which a target's limit may be exceeded, in addition to the slack."""
 Span = tuple[float, float]
-"""Times of the event loop, in seconds."""
+"""Start and end in event-loop time, in seconds."""
 MAX_LATE_REQUESTS = 3
-"""Requests that may reach a leaving runner late, as each may cross its word on the way."""
+"""Number of requests that may reach a leaving runner late, since they may have been in flight when
+it announced that it leaves."""
 
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """A request as its caller saw it.
+    """A request as observed by its caller.
 
     Attributes
     ----------
     sent_at, ended_at : float
-        Times of the event loop.
+        Event-loop times.
     key : str
-        Key that it carried.
+        API key that it carried.
     entry : str
-        Where it was sent.
+        Entry that it was sent to.
     """
 
     request_id: str
@@ -58,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leaving:
-    """A target's word that it drains, and when it was acknowledged."""
+    """A target's announcement that it drains, with the time of its acknowledgement."""
 
     target_id: str
     acknowledged_at: float
@@ -66,16 +67,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """An entry that was told to stop, and the time from which a run may outlast it."""
+    """An entry that was ordered to stop, and the time from which a run may outlast it."""
 
     entry: str
-    told_at: float
+    stopped_at: float
     outlasted_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NamedLimit:
-    """A limit that a target named from one time of the event loop to another."""
+class AnnouncedLimit:
+    """A limit that a target announced between two event-loop times."""
 
     target_id: str
     limit: float
@@ -85,40 +86,40 @@
 
 @dataclasses.dataclass(slots=True)
 class Observations:
-    """Everything that was seen.
+    """All observations of a run.
 
     Attributes
     ----------
     stream_length : int
-        Events of each stream.
+        Number of events in each stream.
     ran : dict
-        Target id to what it ran.
+        Target id to its runs.
     revoked : dict
-        Key to the time at which a configuration without it was acknowledged.
+        API key to the time at which a configuration without it was acknowledged.
     acknowledged, sent : list of int
         Versions of the configuration.
     in_force : dict
-        (daemon, start) to the versions that it said were in force, in order.
+        (daemon, start) to the versions that it reported to be in force, in order.
     read_back : dict
-        Keeper to the version read there at the end; None if it gave none.
-    harmed : list of (float, float)
+        Keeper to the version read there at the end; None if it returned none.
+    fault_spans : list of (float, float)
         Spans with a fault that is not planned work.
-    ways_harmed : dict
-        Target id to the spans in which the way to it was harmed, or its process was paused.
+    link_fault_spans : dict
+        Target id to the spans in which its link had a fault, or its process was paused.
     entries_paused : dict
         Entry to the spans in which its process was paused.
     entries_ended : dict
-        Entry to the times at which a process of it ended; what it held is known to nobody then.
-    limits : list of NamedLimit
-        Limits that targets named.
-    turned_away : dict
-        Target id to the requests that it turned away.
+        Entry to the times at which its process exited and the state of its requests was lost.
+    limits : list of AnnouncedLimit
+        Limits that targets announced.
+    rejected : dict
+        Target id to the requests that it rejected.
     backoffs : int
-        Spans in which targets asked for back-off.
-    told_in_answers : list of Leaving
-        Targets that say in their answers that they leave, and since when.
+        Number of spans in which targets requested back-off.
+    announced_in_responses : list of Leaving
+        Targets that announced in their responses that they leave, with the time.
     planned_only : bool
-        Whether nothing else was done: then nothing may fail.
+        Whether there was planned work only, under which nothing may fail.
     """
 
     stream_length: int
@@ -135,25 +136,25 @@
     link_fault_spans: dict[str, list[Span]] = dataclasses.field(default_factory=dict)
     entries_paused: dict[str, list[Span]] = dataclasses.field(default_factory=dict)
     entries_ended: dict[str, list[float]] = dataclasses.field(default_factory=dict)
-    limits: list[NamedLimit] = dataclasses.field(default_factory=list)
+    limits: list[AnnouncedLimit] = dataclasses.field(default_factory=list)
     rejected: dict[str, list[platform_runner.Arrival]] = dataclasses.field(default_factory=dict)
     backoffs: int = 0
     announced_in_responses: list[Leaving] = dataclasses.field(default_factory=list)
     planned_only: bool = False
 
     def had_fault(self, since: float, until: float) -> bool:
-        """Whether a fault fell into a span."""
+        """Whether a fault overlaps a span."""
         return any(begin < until and end > since for begin, end in self.fault_spans)
 
     def list_unreachable_spans(self, target_id: str, call: Call) -> list[Span]:
-        """Spans in which the entry of a call could not reach a target, in order."""
+        """List the spans in which the entry of a call could not reach a target, in order."""
         spans = self.link_fault_spans.get(target_id, []) + self.entries_paused.get(call.entry, [])
         ends = [at for at in self.entries_ended.get(call.entry, []) if at >= call.sent_at]
         return sorted(spans + [(at, float("inf")) for at in ends])
 
 
 def check(seen: Observations, drain_seconds: float, revoke_seconds: float) -> list[str]:
-    """Every promise that was broken; empty if none."""
+    """Return a description of every broken guarantee; empty if there is none."""
     runs: dict[str, list[platform_runner.RanRequest]] = {}
     for ran in seen.ran.values():
         for run in ran:
@@ -165,7 +166,7 @@
         problems += _check_answer(seen, call, runs.get(call.request_id, []))
         problems += _check_runs(seen, call, runs.get(call.request_id, []), revoke_seconds)
     known = {call.request_id for call in seen.calls}
-    problems += [f"{item}: run, but nobody asked" for item in runs if item not in known]
+    problems += [f"{item}: run without having been requested" for item in runs if item not in known]
     problems += _check_leaving(seen, drain_seconds)
     problems += _check_limits(seen)
     problems += _check_backoffs(seen)
@@ -185,9 +186,9 @@
         if not expected.startswith(answer.body):
             return [f"{name}: events are missing, repeated or another request's"]
     if answer.status in NOT_RUN_STATUSES and runs and call.route != "price":
-        return [f"{name}: got {answer.status}, which says that it has not run, but it ran"]
+        return [f"{name}: got {answer.status}, which guarantees that it has not run, but it ran"]
     if answer.status in NOT_RUN_STATUSES and "retry-after" not in answer.headers:
-        return [f"{name}: got {answer.status} without a time to come back"]
+        return [f"{name}: got {answer.status} without retry-after"]
     is_revoked = call.key in seen.revoked
     if seen.planned_only and not is_revoked:
         is_refused = answer.status in NOT_RUN_STATUSES
@@ -197,18 +198,18 @@
             text = f"{call.route} was cut by planned work, status {answer.status}"
             return [f"{name}: {text}, {at}"]
     if answer.status in (401, 404) and not is_revoked:
-        return [f"{name}: got {answer.status} though route and key are there"]
+        return [f"{name}: got {answer.status} though route and key are valid"]
     return []
 
 
 def _outlasted_stop(seen: Observations, call: Call, runs: list[platform_runner.RanRequest]) -> bool:
-    """Whether a target still worked on a request shortly before its entry had to end.
+    """Whether a target was still processing a request shortly before its entry had to exit.
 
-    No entry can finish what takes longer than the time that it is given.
+    An entry cannot finish requests that take longer than its grace period.
     """
     return any(
         stop.entry == call.entry
-        and call.sent_at <= stop.told_at + LAST_SEND_SECONDS
+        and call.sent_at <= stop.stopped_at + ACCEPT_AFTER_STOP_SECONDS
         and any(run.ended_at >= stop.outlasted_at > run.began for run in runs)
         for stop in seen.stops
     )
@@ -230,28 +231,29 @@
     revoke_seconds: float,
 ) -> list[str]:
     problems = []
-    begun = [run for run in runs if not run.is_resumed]
-    if call.route in ("order", "record") and len(begun) > 1:
-        problems.append(f"{call.request_id}: ran {len(begun)} times, may run once")
+    starts = [run for run in runs if not run.is_resumed]
+    if call.route in ("order", "record") and len(starts) > 1:
+        problems.append(f"{call.request_id}: ran {len(starts)} times, may run once")
     if call.route == "record":
         problems += [
             f"{call.request_id}: two runners worked on it for {seconds:.2f} s, "
             f"{former.target_id} ({former.ended}) beside {later.target_id}, from {later.began:.2f}"
             for former, later, seconds in _list_overlaps(seen, call, runs)
-            if seconds > OVERLAP_SECONDS
+            if seconds > MAX_OVERLAP_SECONDS
         ]
     revoked_at = seen.revoked.get(call.key)
     if revoked_at is not None and runs and call.sent_at > revoked_at + revoke_seconds:
-        problems.append(f"{call.request_id}: ran with a key taken away long before")
+        problems.append(f"{call.request_id}: ran with a key revoked long before")
     return problems
 
 
 def _list_overlaps(
     seen: Observations, call: Call, runs: list[platform_runner.RanRequest]
 ) -> Iterator[tuple[platform_runner.RanRequest, platform_runner.RanRequest, float]]:
-    """Each former runner of a request, the next one, and how long the former one worked on.
+    """Yield each former runner of a request, the next one, and how long both were running it.
 
-    That is the longest unbroken time in seconds in which the call's entry could reach it.
+    The duration is the longest uninterrupted span, in seconds, in which the call's entry could have
+    reached the former runner.
     """
     for former, later in itertools.pairwise(runs):
         longest, since = 0.0, later.began
@@ -279,50 +281,50 @@
 def _check_limits(seen: Observations) -> list[str]:
     entries = {call.request_id: call.entry for call in seen.calls}
     problems = []
-    for named in seen.limits:
+    for announced in seen.limits:
         times = [
             run.began
-            for run in seen.ran.get(named.target_id, [])
-            if named.began + CONTACT_SECONDS <= run.began <= named.ended
+            for run in seen.ran.get(announced.target_id, [])
+            if announced.began + LIMIT_EFFECT_SECONDS <= run.began <= announced.ended
             and not _is_excused(seen, entries.get(run.request_id, ""), run.began)
-            and not _was_delayed(seen, named.target_id, run.began)
+            and not _was_delayed(seen, announced.target_id, run.began)
         ]
-        most = limit_scenes.count_peak(times)
-        allowed = LIMIT_TOLERANCE_FACTOR * named.limit * limit_scenes.WINDOW_SECONDS
-        if most > allowed + limit_scenes.LIMIT_SLACK:
-            span = f"from {named.began:.2f} to {named.ended:.2f}"
-            text = f"got {most} requests in 4 s with a limit of {named.limit} a second"
-            problems.append(f"{named.target_id}: {text}, {span}")
+        peak = limit_scenes.count_peak(times)
+        allowed = LIMIT_TOLERANCE_FACTOR * announced.limit * limit_scenes.WINDOW_SECONDS
+        if peak > allowed + limit_scenes.LIMIT_SLACK:
+            span = f"from {announced.began:.2f} to {announced.ended:.2f}"
+            text = f"got {peak} requests in 4 s with a limit of {announced.limit} a second"
+            problems.append(f"{announced.target_id}: {text}, {span}")
     return problems
 
 
 def _check_backoffs(seen: Observations) -> list[str]:
-    """In each back-off, what reached the target from the entry that it had turned away."""
+    """Check what reached a target during each back-off from the entry that it had rejected."""
     entries = {call.request_id: call.entry for call in seen.calls}
     problems = []
     for target_id, rejected in seen.rejected.items():
         ran = [(run.began, run.request_id) for run in seen.ran.get(target_id, [])]
         arrivals = ran + [(item.at, item.request_id) for item in rejected]
-        for refused in rejected:
-            entry = entries.get(refused.request_id, "")
-            since = refused.rejected_at + UNDER_WAY_SECONDS
+        for rejection in rejected:
+            entry = entries.get(rejection.request_id, "")
+            since = rejection.rejected_at + IN_FLIGHT_SECONDS
             found = [
                 at
                 for at, request_id in arrivals
-                if since < at < refused.rejected_at + refused.backoff
+                if since < at < rejection.rejected_at + rejection.backoff
                 and entries.get(request_id) == entry
                 and not _is_excused(seen, entry, at)
                 and not _was_delayed(seen, target_id, at)
             ]
             if len(found) > MAX_REQUESTS_IN_BACKOFF:
-                text = f"asked {entry} for {refused.backoff} s of back-off"
-                at = f"at {refused.rejected_at:.2f}"
+                text = f"asked {entry} for {rejection.backoff} s of back-off"
+                at = f"at {rejection.rejected_at:.2f}"
                 problems.append(f"{target_id}: {text} {at}, got {len(found)} requests")
     return problems
 
 
 def _check_announced_leaving(seen: Observations, drain_seconds: float) -> list[str]:
-    """Requests sent long after their entry had an answer that says that the target leaves."""
+    """Check for requests sent after a response had told the entry that the target leaves."""
     calls = {call.request_id: call for call in seen.calls}
     problems = []
     for leaving in seen.announced_in_responses:
@@ -331,26 +333,26 @@
             call = calls.get(run.request_id)
             if call is None or run.began < leaving.acknowledged_at:
                 continue
-            told_at = answered.get(call.entry)
-            is_late = told_at is not None and call.sent_at > told_at + drain_seconds
+            announced_at = answered.get(call.entry)
+            is_late = announced_at is not None and call.sent_at > announced_at + drain_seconds
             if is_late and not _is_excused(seen, call.entry, run.began):
                 text = f"got a request of {call.entry} sent at {call.sent_at:.2f}"
-                problems.append(f"{leaving.target_id}: {text}, told to leave at {told_at:.2f}")
+                problems.append(f"{leaving.target_id}: {text}, leaving since {announced_at:.2f}")
             if run.ended == "whole" and call.answer.status == 200 and call.answer.is_whole:
                 answered.setdefault(call.entry, call.ended_at)
     return problems
 
 
 def _is_excused(seen: Observations, entry: str, at: float) -> bool:
-    """Whether an entry was paused or has ended shortly before."""
-    since = at - CONTACT_SECONDS
+    """Whether an entry was paused or has exited shortly before."""
+    since = at - LIMIT_EFFECT_SECONDS
     paused = any(begin < at and end > since for begin, end in seen.entries_paused.get(entry, []))
     return paused or any(since < ended < at for ended in seen.entries_ended.get(entry, []))
 
 
 def _was_delayed(seen: Observations, target_id: str, at: float) -> bool:
-    """Whether requests may have waited on the way to a target, and come together."""
-    since = at - CONTACT_SECONDS
+    """Whether a link fault may have delayed requests to a target so that they arrive together."""
+    since = at - LIMIT_EFFECT_SECONDS
     return any(
         begin < at and end > since for begin, end in seen.link_fault_spans.get(target_id, [])
     )
@@ -365,10 +367,10 @@
     newest = max(seen.acknowledged, default=0)
     found = [version for version in seen.read_back.values() if version is not None]
     if not found:
-        problems.append("no keeper gives a configuration at the end")
+        problems.append("no keeper returned a configuration at the end")
     for keeper, version in seen.read_back.items():
         if version is not None and version < newest:
-            problems.append(f"{keeper}: gives version {version}, {newest} was acknowledged")
+            problems.append(f"{keeper}: returned version {version}, {newest} was acknowledged")
         if version is not None and version not in seen.sent:
-            problems.append(f"{keeper}: gives version {version}, which nobody sent")
+            problems.append(f"{keeper}: returned version {version}, which was never sent")
     return problems
--- a/tillerlane/testing/platform_fleet.py
+++ b/tillerlane/testing/platform_fleet.py
@@ -1,7 +1,7 @@
-"""The programs of the platform as processes of this machine, each behind a forwarder.
+"""The programs of the platform as local processes, each behind a forwarder.
 
-Every daemon has an address of its own on the loopback network, where its forwarder listens; the
-process listens on another one.  Only processes that were started here are ever signalled.
+Every daemon has its own loopback address, on which its forwarder listens; the process listens on
+another one. Only processes that were started here are ever signalled.
 """
 
 import contextlib
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """Times within which the fleet has to act, in seconds; the platform's usual ones."""
+    """Time bounds of the fleet in seconds, with the platform's usual values."""
 
     drain: float = 2.0
     grace: float = 8.0
@@ -46,8 +46,10 @@
 
     Attributes
     ----------
+    proxy : forwarder.Forwarder
+        Forwarder in front of its peer port.
     starts : int
-        How often it was started.
+        Number of times it was started.
     """
 
     name: str
@@ -61,22 +63,22 @@
 
     @property
     def front(self) -> str:
-        """Where callers reach an entry."""
+        """Address for callers of an entry."""
         return f"{self.address}:{FRONT_PORT}"
 
     @property
     def control(self) -> str:
-        """Where targets and operators reach a keeper."""
+        """Address of a keeper for targets and operators."""
         return f"{self.address}:{CONTROL_PORT}"
 
     @property
     def ready(self) -> str:
-        """Where the balancer asks whether an entry takes callers."""
+        """Address of the readiness check that the load balancer polls."""
         return f"{self.address}:{READY_PORT}"
 
     @property
     def metrics(self) -> str:
-        """Where its figures are."""
+        """Address of its metrics."""
         return f"{self.address}:{METRICS_PORT}"
 
     @property
@@ -91,13 +93,13 @@
     Parameters
     ----------
     folder : pathlib.Path
-        For settings, data and logs; what it held is deleted.
+        Folder for settings, data and logs; its previous contents are deleted.
     net : int
-        Second byte of the addresses, so that fleets do not meet.
+        Second byte of the addresses, which keeps fleets apart.
     keepers, entries : int
-        How many of each.
+        Number of daemons of each role.
     rng : random.Random
-        For the forwarders' delays.
+        Source of the forwarders' delays.
     """
 
     def __init__(
@@ -108,7 +110,7 @@
         self.folder = folder
         self.net = net
         self.program = "tillerlane.platform.main"
-        """Module that daemons run."""
+        """Module that the daemons run."""
         self.daemons: dict[str, Daemon] = {}
         self._seeds = [f"127.{net}.1.{number}" for number in range(1, min(keepers, 3) + 1)]
         for role, kind, number in (("keeper", 1, keepers), ("entry", 2, entries)):
@@ -124,15 +126,15 @@
         number: int,
         rng: random.Random,
     ) -> None:
-        own = folder / name
-        own.mkdir()
-        listens = address.replace(f"127.{self.net}.", f"127.{self.net + 1}.", 1)
-        settings = _write_settings(name, role, address, listens, HALLS[number % 4], own)
-        proxy = forwarder.Forwarder(f"{address}:{PEER_PORT}", f"{listens}:{PEER_PORT}", rng)
-        self.daemons[name] = Daemon(name, role, address, own, settings, proxy)
+        daemon_folder = folder / name
+        daemon_folder.mkdir()
+        listen_ip = address.replace(f"127.{self.net}.", f"127.{self.net + 1}.", 1)
+        settings = _write_settings(name, role, address, listen_ip, HALLS[number % 4], daemon_folder)
+        proxy = forwarder.Forwarder(f"{address}:{PEER_PORT}", f"{listen_ip}:{PEER_PORT}", rng)
+        self.daemons[name] = Daemon(name, role, address, daemon_folder, settings, proxy)
 
     def list_role(self, role: str) -> list[Daemon]:
-        """Daemons of a role."""
+        """List the daemons of a role."""
         return [item for item in self.daemons.values() if item.role == role]
 
     async def start_all(self) -> None:
@@ -142,9 +144,9 @@
             self.start(daemon)
 
     def start(self, daemon: Daemon) -> None:
-        """Start a daemon's process, if it has none; only its first start may found the log.
+        """Start a daemon's process if it is stopped; only its first start may bootstrap the log.
 
-        Two faults of one daemon may overlap, and each would start it again.
+        Two faults of one daemon may overlap, and each of them would restart it.
         """
         if daemon.is_running:
             return
@@ -161,10 +163,10 @@
             )
 
     def write_seeds(self, daemon: Daemon, seeds: list[str]) -> None:
-        """Write a daemon's settings file with these seeds."""
-        listed = ", ".join(f'"{seed}:{CONTROL_PORT}"' for seed in seeds)
+        """Write a daemon's settings file with the given seeds."""
+        seed_list = ", ".join(f'"{seed}:{CONTROL_PORT}"' for seed in seeds)
         first = str(daemon.starts == 0).lower()
-        text = daemon.settings.replace("SEEDS", listed).replace("FIRST", first)
+        text = daemon.settings.replace("SEEDS", seed_list).replace("FIRST", first)
         path = daemon.folder / "settings.new"
         path.write_text(text)
         path.replace(daemon.folder / "settings.toml")
@@ -175,12 +177,12 @@
             daemon.process.send_signal(number)
 
     def wipe(self, daemon: Daemon) -> None:
-        """Empty the disk of a keeper that does not run."""
+        """Delete the data of a keeper that is not running."""
         shutil.rmtree(daemon.folder / "data", ignore_errors=True)
         (daemon.folder / "data").mkdir()
 
-    def tear(self, daemon: Daemon, rng: random.Random) -> None:
-        """Leave half of a write behind the end of what a keeper that does not run has synced."""
+    def append_torn_write(self, daemon: Daemon, rng: random.Random) -> None:
+        """Append a torn write to the newest log file of a keeper that is not running."""
         files = [item for item in (daemon.folder / "data").iterdir() if item.name.startswith("log")]
         if files:
             newest = max(files, key=lambda item: item.stat().st_mtime_ns)
@@ -188,7 +190,7 @@
                 output.write(rng.randbytes(rng.randrange(1, 40)))
 
     def kill_all(self) -> None:
-        """End every process and forwarder."""
+        """Kill every process and stop every forwarder."""
         for daemon in self.daemons.values():
             daemon.proxy.stop()
             if daemon.process is not None:
@@ -198,9 +200,9 @@
 
 
 def _write_settings(
-    name: str, role: str, address: str, listens: str, hall: str, folder: pathlib.Path
+    name: str, role: str, address: str, listen_ip: str, hall: str, folder: pathlib.Path
 ) -> str:
-    """Settings in the platform's form; the seeds and the first start are filled in later."""
+    """Format the settings, with placeholders for the seeds and the first start."""
     (folder / "data").mkdir()
     serves = "front" if role == "entry" else "control"
     return f"""node = "{name}"
@@ -217,7 +219,7 @@
 front = "{address}:{FRONT_PORT}"
 ready = "{address}:{READY_PORT}"
 control = "{address}:{CONTROL_PORT}"
-peer = "{listens}:{PEER_PORT}"
+peer = "{listen_ip}:{PEER_PORT}"
 [tolerate]
 machines = 2
 [bounds]
--- a/tillerlane/testing/platform_record.py
+++ b/tillerlane/testing/platform_record.py
@@ -1,6 +1,6 @@
-"""The record that a stand-in target keeps of its work; it outlives the target's process.
+"""The record that a simulated target keeps of its work, which survives the target's process.
 
-A line of JSON for each beginning, event and end, written before the work goes on.
+Each start, event and end is written as a line of JSON before the work proceeds.
 """
 
 import os
@@ -15,13 +15,13 @@
 
 
 class _Line(msgspec.Struct, omit_defaults=True):
-    """One thing that a target did; `at` is in seconds on the machine's steady clock."""
+    """One action of a target; `at` is in seconds on the host's monotonic clock."""
 
     at: float
     what: Literal["start", "begin", "event", "end", "refuse"]
     request_id: str = ""
     run: str = ""
-    """Names the run among all of the target's."""
+    """Identifies the run among all runs of the target."""
     headers: dict[str, str] = {}
     event: int = 0
     ended: str = ""
@@ -37,7 +37,7 @@
     Parameters
     ----------
     path : pathlib.Path
-        Where former starts have written too.
+        File of the record, shared with earlier starts of the target.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
@@ -48,32 +48,32 @@
         os.write(self._file, msgspec.json.encode(line) + b"\n")
 
     def close(self) -> None:
-        """Write no more."""
+        """Close the record."""
         os.close(self._file)
 
     def record_start(self, now: float) -> None:
-        """The target listens."""
+        """Record that the target listens."""
         self._write(_Line(now, "start"))
 
     def record_begin(self, run: platform_runner.RanRequest) -> None:
-        """A run begins."""
+        """Record the start of a run."""
         name = f"{os.getpid()}.{len(self._runs)}"
-        self._runs[id(run)] = name  # runs are kept, so that no other one has its number
+        self._runs[id(run)] = name  # unique, since runs are never freed
         headers = {key: run.headers[key] for key in _HEADERS if key in run.headers}
         self._write(_Line(run.began, "begin", run.request_id, name, headers))
 
     def record_event(self, run: platform_runner.RanRequest, now: float) -> None:
-        """A run has come to an event."""
+        """Record an event of a run."""
         name = self._runs[id(run)]
         self._write(_Line(now, "event", run.request_id, name, event=run.events))
 
     def record_rejection(self, arrival: platform_runner.Arrival) -> None:
-        """A request was turned away."""
+        """Record the rejection of a request."""
         at, seconds = arrival.rejected_at, arrival.backoff
         self._write(_Line(at, "refuse", arrival.request_id, backoff=seconds))
 
     def record_end(self, run: platform_runner.RanRequest) -> None:
-        """A run has ended."""
+        """Record the end of a run."""
         name = self._runs[id(run)]
         self._write(_Line(run.ended_at, "end", run.request_id, name, ended=run.ended))
 
@@ -84,51 +84,51 @@
     Parameters
     ----------
     path : pathlib.Path
-        Where it lies; it need not be there yet.
+        File of the record, which need not exist yet.
     target_id : str
-        Whose it is.
+        Target that writes it.
 
     Attributes
     ----------
     ran : list of platform_runner.RanRequest
-        All runs; one without an end has `ended_at` at the last line that tells of it.
-    turned_away : list of platform_runner.Arrival
-        Requests that were turned away.
+        All runs; one without an end has `ended_at` at its last line so far.
+    rejected : list of platform_runner.Arrival
+        Requests that were rejected.
     starts : int
-        How often the target has begun to listen.
+        Number of times that the target has started to listen.
     """
 
     def __init__(self, path: pathlib.Path, target_id: str) -> None:
         self._path = path
         self._target_id = target_id
-        self._place = 0
-        self._under_way: dict[str, platform_runner.RanRequest] = {}
+        self._offset = 0
+        self._active: dict[str, platform_runner.RanRequest] = {}
         self.ran: list[platform_runner.RanRequest] = []
         self.rejected: list[platform_runner.Arrival] = []
         self.starts = 0
 
     @property
     def is_busy(self) -> bool:
-        """Whether a run of the present start has not ended."""
-        return bool(self._under_way)
+        """Whether a run of the current process has not ended."""
+        return bool(self._active)
 
     def read(self) -> None:
-        """Take the whole lines that are new."""
+        """Process the new complete lines; a partial line is left for the next call."""
         if not self._path.exists():
             return
         with open(self._path, "rb") as file:
-            file.seek(self._place)
+            file.seek(self._offset)
             data = file.read()
-        whole = data[: data.rfind(b"\n") + 1]
-        self._place += len(whole)
-        for line in whole.splitlines():
+        complete = data[: data.rfind(b"\n") + 1]
+        self._offset += len(complete)
+        for line in complete.splitlines():
             self._handle_line(msgspec.json.decode(line, type=_Line))
 
     def record_crash(self) -> None:
-        """The target's process has ended, and what it worked on with it."""
-        for run in self._under_way.values():
+        """Record that the target's process has ended, and its active runs with it."""
+        for run in self._active.values():
             run.ended = "crashed"
-        self._under_way.clear()
+        self._active.clear()
 
     def _handle_line(self, line: _Line) -> None:
         if line.what == "start":
@@ -145,7 +145,7 @@
                 target_id=self._target_id,
             )
             self.ran.append(run)
-            self._under_way[line.run] = run
+            self._active[line.run] = run
         elif line.what == "refuse":
             arrival = platform_runner.Arrival(line.request_id, line.at, line.at, line.backoff)
             self.rejected.append(arrival)
@@ -153,9 +153,9 @@
             self._handle_progress(line)
 
     def _handle_progress(self, line: _Line) -> None:
-        run = self._under_way[line.run]
+        run = self._active[line.run]
         run.ended_at = line.at
         run.events = max(run.events, line.event)
         if line.what == "end":
             run.ended = line.ended
-            del self._under_way[line.run]
+            del self._active[line.run]
--- a/tillerlane/testing/platform_targets.py
+++ b/tillerlane/testing/platform_targets.py
@@ -1,7 +1,7 @@
-"""The soak's stand-in targets: processes behind forwarders, and the harm done to them.
+"""The soak's simulated targets: processes behind forwarders, and the faults injected into them.
 
-Harm of the way to a target is noted for the checker, with its times; what a target does wrong by
-itself excuses nothing.
+Spans of link faults are recorded for the checker, which allows for them. Faults of a target itself
+excuse nothing.
 """
 
 import asyncio
@@ -32,27 +32,28 @@
 RUNNERS = 4
 SERVICES = 3
 STREAM_LENGTH = 80
-STREAM_PACE = 0.03
+STREAM_EVENT_SECONDS = 0.03
 COPY_SECONDS = 0.1
 HEARTBEAT_INTERVAL_SECONDS = 1.2
-"""The platform's usual pause between heartbeats."""
-NOTICE_SECONDS = 2.0
-"""Time from a runner's word that it drains to its end."""
-WORKS_ON_SHARE = 0.5
-"""Share of the targets that work on when a connection closes."""
-HARM_SECONDS = (0.2, 4.0)
-NAMED_LIMITS = ("1.5", "3", "6")
-"""Limits that targets name, in requests a second."""
+"""The platform's usual interval between heartbeats."""
+DRAIN_NOTICE_SECONDS = 2.0
+"""Time from a runner's announcement that it drains to its exit."""
+DETACHED_RUN_SHARE = 0.5
+"""Share of the runners that continue a run when its connection closes."""
+FAULT_SECONDS = (0.2, 4.0)
+ANNOUNCED_LIMITS = ("1.5", "3", "6")
+"""Limits that targets announce, in requests per second."""
 LIMIT_SECONDS = (6.0, 12.0)
-"""How long a target names one: longer than the time until it binds and the span that is checked."""
+"""How long a target announces one: longer than the time until it takes effect plus the window that
+is checked."""
 BACKOFFS = ("1", "2.5", "4")
-"""Seconds of back-off that targets ask for."""
+"""Back-off that targets request, in seconds."""
 BACKOFF_SECONDS = (1.0, 8.0)
-"""How long a target turns requests away."""
-BREAK_SECONDS = (0.0, 0.6)
-"""Time from a runner's word that it drains to the break of its connections."""
+"""How long a target rejects requests."""
+CONNECTION_BREAK_DELAY_SECONDS = (0.0, 0.6)
+"""Time from a runner's announcement that it drains to the break of its connections."""
 SECOND_ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond"
-MISDEEDS: tuple[dict[str, Any], ...] = (
+TARGET_FAULTS: tuple[dict[str, Any], ...] = (
     {"is_mute": True},
     {"loses_answer": True},
     {"loses_copies": True},
@@ -66,24 +67,24 @@
     {"reading_seconds": 0.5},
     {"reading_seconds": 2.0},
 )
-"""What a target does wrong for a while, as fields of `platform_runner.PlatformRunner`."""
+"""Temporary faults of a target, as attributes of `platform_runner.PlatformRunner`."""
 START_SECONDS = 20.0
 START_CHECK_SECONDS = 0.02
 
-Tell = Callable[[str, Callable[[], bytes]], Awaitable[bool]]
+Notify = Callable[[str, Callable[[], bytes]], Awaitable[bool]]
 
 
 class Target:
-    """A stand-in target: a process with its record, behind a forwarder.
+    """A simulated target: a process with its record, behind a forwarder.
 
     Parameters
     ----------
     orders : platform_target.Orders
-        What its process is started with.
+        Start-up parameters of its process.
     pool, hall : str
-        What it serves, and its data hall.
-    way_in : forwarder.Forwarder
-        Where entries and other targets reach it.
+        Its pool and its data hall.
+    proxy : forwarder.Forwarder
+        Forwarder through which entries and other targets reach it.
     """
 
     def __init__(
@@ -95,21 +96,21 @@
         self.proxy = proxy
         self.state = "ready"
         self.is_running = False
-        """Whether its process has begun to listen and has not ended."""
+        """Whether its process is listening."""
         self.is_paused = False
-        self.beating: asyncio.Task[None] | None = None
+        self.heartbeats: asyncio.Task[None] | None = None
         self.record = platform_record.Reader(pathlib.Path(orders.record), orders.target_id)
         self._orders = orders
         self._sequence = 0
-        self._born = 0
+        self._started_ms = 0
         self._process: subprocess.Popen[bytes] | None = None
 
     async def start(self) -> None:
-        """Start its process and wait until it listens, or has been ended."""
-        self._born = int(time.time() * 1000)
+        """Start its process and wait until it listens or has been killed."""
+        self._started_ms = int(time.time() * 1000)
         self._sequence = 0
         starts = self.record.starts
-        self._begin_process()
+        self._start_process()
         async with asyncio.timeout(START_SECONDS):
             while self._process is not None and self.record.starts == starts:
                 await asyncio.sleep(START_CHECK_SECONDS)
@@ -118,7 +119,7 @@
             await self.proxy.start()
             self.is_running = True
 
-    def _begin_process(self) -> None:
+    def _start_process(self) -> None:
         orders = msgspec.json.encode(self._orders).decode()
         with open(pathlib.Path(self._orders.record).with_suffix(".log"), "ab") as output:
             self._process = subprocess.Popen(
@@ -131,12 +132,12 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether it works on a request."""
+        """Whether it is processing a request."""
         self.record.read()
         return self.record.is_busy
 
-    def write_heartbeat(self) -> bytes:
-        """The next word of its load."""
+    def encode_heartbeat(self) -> bytes:
+        """Build the next heartbeat."""
         self._sequence += 1
         values = {
             "service": self.pool,
@@ -146,13 +147,13 @@
             "state": "draining" if self.state == "draining" else "ready",
             "cold_left_ms": 0,
             "seq": self._sequence,
-            "born": self._born,
+            "born": self._started_ms,
         }
         return json.dumps(values).encode()
 
-    def write_leave(self) -> bytes:
-        """Its word that it goes now."""
-        return json.dumps({"born": self._born}).encode()
+    def encode_leave(self) -> bytes:
+        """Build the message that it leaves now."""
+        return json.dumps({"born": self._started_ms}).encode()
 
     def switch(self, switches: platform_target.Switches) -> None:
         """Switch faults of its process on or off."""
@@ -167,7 +168,7 @@
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End its process at once, with its connections, and take what it wrote down."""
+        """Kill its process and connections, and read the rest of its record."""
         self.proxy.stop()
         self.is_running = False
         if self._process is None:
@@ -188,15 +189,15 @@
     Parameters
     ----------
     folder : pathlib.Path
-        For records and logs.
+        Folder for records and logs.
     net : int
-        Second byte of the fleet's addresses; targets use the two behind it.
+        Second byte of the fleet's addresses; targets use the two following values.
     seen : platform_checker.Observations
-        Takes what they run and the harm done to the ways to them.
+        Receives their runs and the spans of link faults.
     tell : callable
-        Coroutine function that tells keepers something.
+        Coroutine function that sends a message to the keepers.
     rng : random.Random
-        Decides on harm.
+        Chooses the faults.
     """
 
     def __init__(
@@ -204,20 +205,20 @@
         folder: pathlib.Path,
         net: int,
         seen: platform_checker.Observations,
-        tell: Tell,
+        notify: Notify,
         rng: random.Random,
     ) -> None:
         self._folder = folder
         self._net = net
         self._seen = seen
-        self._tell = tell
+        self._notify = notify
         self._rng = rng
         self._targets: dict[str, Target] = {}
         self._number = 0
         self._loop = asyncio.get_running_loop()
 
     async def start(self) -> None:
-        """Start as many as each pool has."""
+        """Start the initial targets of each pool."""
         pools = ["llm"] * RUNNERS + ["app"] * SERVICES
         await asyncio.gather(*(self.add(pool) for pool in pools))
 
@@ -226,52 +227,55 @@
         self._number += 1
         number = self._number
         place = f"{number // 200}.{1 + number % 200}:9000"
-        told, listens = f"127.{self._net + 2}.{place}", f"127.{self._net + 3}.{place}"
+        public_address, listen_address = (
+            f"127.{self._net + 2}.{place}",
+            f"127.{self._net + 3}.{place}",
+        )
         is_runner = pool == "llm"
         orders = platform_target.Orders(
             f"i-{number}",
-            told,
-            listens,
+            public_address,
+            listen_address,
             str(self._folder / f"i-{number}.record"),
             length=STREAM_LENGTH if is_runner else 0,
-            pace=STREAM_PACE,
+            pace=STREAM_EVENT_SECONDS,
             copy_seconds=COPY_SECONDS,
         )
         hall = platform_fleet.HALLS[number % 4]
-        proxy = forwarder.Forwarder(told, listens, self._rng)
+        proxy = forwarder.Forwarder(public_address, listen_address, self._rng)
         target = Target(orders, pool, hall, proxy)
-        works_on = is_runner and self._rng.random() < WORKS_ON_SHARE
+        works_on = is_runner and self._rng.random() < DETACHED_RUN_SHARE
         self._targets[target.target_id] = target
         self._seen.ran[target.target_id] = target.record.ran
         self._seen.rejected[target.target_id] = target.record.rejected
         await target.start()
         target.switch(platform_target.Switches({"works_on": works_on}))
-        target.beating = self._loop.create_task(self._beat(target))
+        target.heartbeats = self._loop.create_task(self._send_heartbeats(target))
 
-    async def _beat(self, target: Target) -> None:
+    async def _send_heartbeats(self, target: Target) -> None:
         while target.target_id in self._targets:
             if target.is_running and not target.is_paused:
                 path = f"/Instances.Heartbeat/{target.target_id}"
-                await self._tell(path, target.write_heartbeat)
+                await self._notify(path, target.encode_heartbeat)
             await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS * self._rng.uniform(0.9, 1.1))
 
     def end(self, target: Target) -> None:
-        """End a target at once, if it has not ended."""
+        """Kill a target, if it has not been ended before."""
         if self._targets.pop(target.target_id, None) is not None:
             target.kill()
 
     def list_running(self) -> list[str]:
-        """Ids of the targets that have not ended."""
+        """Ids of the targets that have not been ended."""
         return list(self._targets)
 
     def end_all(self) -> None:
-        """End all targets."""
+        """Kill all targets."""
         for target in list(self._targets.values()):
             self.end(target)
-            if target.beating is not None:
-                target.beating.cancel()
+            if target.heartbeats is not None:
+                target.heartbeats.cancel()
 
-    def _draw(self, pool: str = "") -> Target:
+    def _pick_target(self, pool: str = "") -> Target:
         running = [item for item in self._targets.values() if item.is_running]
         found = [item for item in running if pool in ("", item.pool)]
         return self._rng.choice(found)
@@ -279,12 +283,12 @@
     # Planned work
 
     async def drain(self) -> None:
-        """A new target comes, then one of its pool drains, serves on for a while and ends."""
-        await self._drain(self._draw())
+        """Start a new target, then drain and end another one of the same pool."""
+        await self._drain(self._pick_target())
 
     async def drain_runner(self) -> None:
-        """The same with a runner, so that runs move."""
-        await self._drain(self._draw("llm"))
+        """Drain a runner, so that its runs are handed over."""
+        await self._drain(self._pick_target("llm"))
 
     async def _drain(self, target: Target) -> None:
         await self.add(target.pool)
@@ -294,37 +298,37 @@
     async def _leave(self, target: Target) -> None:
         target.state = "draining"
         path = f"/Instances.Heartbeat/{target.target_id}"
-        if await self._tell(path, target.write_heartbeat):
+        if await self._notify(path, target.encode_heartbeat):
             leaving = platform_checker.Leaving(target.target_id, self._loop.time())
             self._seen.leavings.append(leaving)
-        until = self._loop.time() + NOTICE_SECONDS
+        until = self._loop.time() + DRAIN_NOTICE_SECONDS
         while self._loop.time() < until or (self._seen.planned_only and target.is_busy):
             await asyncio.sleep(0.05)
-        await self._tell(f"/Instances.Leave/{target.target_id}", target.write_leave)
+        await self._notify(f"/Instances.Leave/{target.target_id}", target.encode_leave)
         self.end(target)
 
     # Limits
 
     async def name_limit(self, rng: random.Random) -> None:
-        """A target of the plain service names a limit for a while."""
+        """Have a target of the plain service announce a limit for a while."""
         found = [item for item in self._targets.values() if item.is_running and item.pool == "app"]
-        target, limit = rng.choice(found), rng.choice(NAMED_LIMITS)
+        target, limit = rng.choice(found), rng.choice(ANNOUNCED_LIMITS)
         starts = target.record.starts
         target.switch(platform_target.Switches({"limit": limit}))
         began = self._loop.time()
         until = began + rng.uniform(*LIMIT_SECONDS)
         while self._loop.time() < until and target.is_running and target.record.starts == starts:
             await asyncio.sleep(0.05)
-        named = platform_checker.NamedLimit(
+        announced = platform_checker.AnnouncedLimit(
             target.target_id, float(limit), began, self._loop.time()
         )
-        self._seen.limits.append(named)
+        self._seen.limits.append(announced)
         target.switch(platform_target.Switches({"limit": ""}))
 
-    # Back-off and leaving, told in answers
+    # Back-off and leaving, announced in responses
 
     async def ask_backoff(self, rng: random.Random) -> None:
-        """A target turns all requests away for a while, and asks for back-off."""
+        """Have a target reject all requests for a while, and request back-off."""
         target = rng.choice([item for item in self._targets.values() if item.is_running])
         backoff = rng.choice(BACKOFFS)
         target.switch(platform_target.Switches({"refuses": True, "backoff": backoff}))
@@ -333,34 +337,33 @@
         self._seen.backoffs += 1
 
     async def leave_by_answers(self, rng: random.Random) -> None:
-        """A new target comes; another one says in answers only that it leaves, and ends."""
+        """Start a new target; another one announces in responses only that it leaves, and ends."""
         ready = [
             item for item in self._targets.values() if item.is_running and item.state == "ready"
         ]
         target = rng.choice(ready)
         target.state = "leaving by answers"
         await self.add(target.pool)
-        told = platform_checker.Leaving(target.target_id, self._loop.time())
-        self._seen.announced_in_responses.append(told)
+        leaving = platform_checker.Leaving(target.target_id, self._loop.time())
+        self._seen.announced_in_responses.append(leaving)
         target.switch(platform_target.Switches({"leaving": "1"}))
-        until = self._loop.time() + 2 * NOTICE_SECONDS
+        until = self._loop.time() + 2 * DRAIN_NOTICE_SECONDS
         while self._loop.time() < until or (self._seen.planned_only and target.is_busy):
             await asyncio.sleep(0.05)
-        await self._tell(f"/Instances.Leave/{target.target_id}", target.write_leave)
+        await self._notify(f"/Instances.Leave/{target.target_id}", target.encode_leave)
         self.end(target)
 
-    # Harm
-
+    # Faults
     async def crash(self) -> None:
-        """A target ends, and another one comes."""
-        target = self._draw()
+        """Crash a target and start a replacement."""
+        target = self._pick_target()
         self.end(target)
         await asyncio.sleep(self._rng.uniform(0.1, 2.0))
         await self.add(target.pool)
 
     async def start_again(self) -> None:
-        """A target ends, and starts again under its id."""
-        target = self._draw()
+        """Crash a target and restart it under the same id."""
+        target = self._pick_target()
         if target.state != "ready":
             return
         target.kill()
@@ -369,28 +372,28 @@
             await target.start()
 
     async def pause(self) -> None:
-        """A target's process stands still for a while."""
-        target = self._draw()
+        """Suspend a target's process for a while."""
+        target = self._pick_target()
         with self._record_link_fault(target):
             target.is_paused = True
             target.send(signal.SIGSTOP)
-            await asyncio.sleep(self._rng.uniform(*HARM_SECONDS))
+            await asyncio.sleep(self._rng.uniform(*FAULT_SECONDS))
             target.send(signal.SIGCONT)
             target.is_paused = False
 
     async def harm_way(self) -> None:
-        """The way to a target is harmed."""
-        await self._harm_way(self._draw())
+        """Inject a link fault in front of a target."""
+        await self._harm_way(self._pick_target())
 
     async def _harm_way(self, target: Target) -> None:
         with self._record_link_fault(target):
             target.proxy.inject(self._rng.choice(list(forwarder.LinkFault)[1:]))
-            await asyncio.sleep(self._rng.uniform(*HARM_SECONDS))
+            await asyncio.sleep(self._rng.uniform(*FAULT_SECONDS))
             target.proxy.inject(forwarder.LinkFault.NONE)
 
     @contextlib.contextmanager
     def _record_link_fault(self, target: Target) -> Iterator[None]:
-        """Note a span in which entries do not reach a target."""
+        """Record the span in which entries may not reach a target."""
         spans = self._seen.link_fault_spans.setdefault(target.target_id, [])
         began, place = self._loop.time(), len(spans)
         spans.append((began, float("inf")))
@@ -400,8 +403,8 @@
             spans[place] = (began, self._loop.time())
 
     async def break_connections(self) -> None:
-        """The connections to a runner break, and new ones come about."""
-        self._break_connections(self._draw("llm"))
+        """Break the connections to a runner; new ones can be established."""
+        self._break_connections(self._pick_target("llm"))
 
     def _break_connections(self, target: Target) -> None:
         if self._rng.random() < 0.5:
@@ -410,39 +413,39 @@
             target.switch(platform_target.Switches(resets=True))
 
     async def misbehave(self) -> None:
-        """A target answers wrongly, late or not at all for a while."""
-        await self._misbehave(self._draw(), self._rng.choice(MISDEEDS))
+        """Have a target respond wrongly, late or not at all for a while."""
+        await self._misbehave(self._pick_target(), self._rng.choice(TARGET_FAULTS))
 
     async def _misbehave(self, target: Target, fields: dict[str, Any]) -> None:
-        """Set fields of a target for a while, then set them back to nothing."""
+        """Set attributes of a target for a while, then reset them to empty values."""
         target.switch(platform_target.Switches(fields))
-        await asyncio.sleep(self._rng.uniform(*HARM_SECONDS))
+        await asyncio.sleep(self._rng.uniform(*FAULT_SECONDS))
         back = {name: type(value)() for name, value in fields.items()}
         target.switch(platform_target.Switches(back))
 
     async def leave_badly(self) -> None:
-        """A runner leaves while it, the way to it or the runners that stay are harmed."""
-        leaves = self._draw("llm")
+        """Drain a runner while it, the link to it or the remaining runners have faults."""
+        leaving = self._pick_target("llm")
         await self.add("llm")
-        if leaves.state != "ready":
+        if leaving.state != "ready":
             return
         harm = self._rng.choice((self._harm_others, self._harm_leaving, self._break_leaving))
-        tasks = [self._loop.create_task(item) for item in harm(leaves)]
-        await self._leave(leaves)
+        tasks = [self._loop.create_task(item) for item in harm(leaving)]
+        await self._leave(leaving)
         await asyncio.gather(*tasks)
 
-    def _harm_others(self, leaves: Target) -> Iterator[Awaitable[None]]:
+    def _harm_others(self, leaving: Target) -> Iterator[Awaitable[None]]:
         fields = self._rng.choice(({"is_mute": True}, {"reading_seconds": 1.5}))
         for target in list(self._targets.values()):
-            if target is not leaves and target.pool == leaves.pool:
+            if target is not leaving and target.pool == leaving.pool:
                 yield self._misbehave(target, fields)
 
-    def _harm_leaving(self, leaves: Target) -> Iterator[Awaitable[None]]:
-        yield self._harm_way(leaves)
+    def _harm_leaving(self, leaving: Target) -> Iterator[Awaitable[None]]:
+        yield self._harm_way(leaving)
 
-    def _break_leaving(self, leaves: Target) -> Iterator[Awaitable[None]]:
+    def _break_leaving(self, leaving: Target) -> Iterator[Awaitable[None]]:
         async def break_off() -> None:
-            await asyncio.sleep(self._rng.uniform(*BREAK_SECONDS))
-            self._break_connections(leaves)
+            await asyncio.sleep(self._rng.uniform(*CONNECTION_BREAK_DELAY_SECONDS))
+            self._break_connections(leaving)
 
         yield break_off()
--- a/tillerlane/testing/tests/test_platform_soak.py
+++ b/tillerlane/testing/tests/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""The soak of the platform's programs: its checker finds planted faults; a short seeded run."""
+"""Tests of the soak of the platform's programs: checker, forwarder and short seeded runs."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 def build_run(request_id: str, began: float, ended: float, **headers: str):
-    """A run as a target wrote it down."""
+    """Build a run as recorded by a target."""
     run = platform_runner.RanRequest(
         request_id,
         {name.replace("_", "-"): value for name, value in headers.items()},
@@ -37,21 +37,21 @@
 
 
 def build_stream(request_id: str, length: int = LENGTH) -> bytes:
-    """Events of a stream."""
+    """Build the body of a stream."""
     return b"".join(
         platform_runner.build_event(request_id, number) for number in range(1, length + 1)
     )
 
 
 def build_call(request_id: str, route: str, status: int, body: bytes, *, whole: bool = True):
-    """A call as its caller saw it."""
+    """Build a call as observed by its caller."""
     headers = {"retry-after": "1"} if status == 503 else {}
     answer = caller.CallerResponse(status, headers, body, whole)
     return platform_checker.Call(request_id, route, caller.KEY, 10.0, 12.0, answer)
 
 
 def build_sound() -> platform_checker.Observations:
-    """A run in which every promise was kept."""
+    """Build observations without a broken guarantee."""
     seen = platform_checker.Observations(
         stream_length=LENGTH,
         ran={
@@ -81,7 +81,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """One planted fault of each kind."""
+    """The checker reports each kind of broken guarantee."""
 
     def setUp(self) -> None:
         self.seen = build_sound()
@@ -123,20 +123,20 @@
 
     def test_refused_without_a_time_to_come_back(self) -> None:
         self.seen.calls[3].answer.headers = {}
-        self.assert_found("without a time")
+        self.assert_found("without retry-after")
 
     def test_run_that_nobody_asked_for(self) -> None:
         self.seen.ran["t2"].append(build_run("x", 11.0, 11.1))
-        self.assert_found("nobody asked")
+        self.assert_found("run without having been requested")
 
     def test_denied(self) -> None:
         self.seen.calls[3].answer.status = 404
-        self.assert_found("though route and key are there")
+        self.assert_found("though route and key are valid")
 
     def test_key_taken_away(self) -> None:
         self.seen.calls[2].key = "old"
         self.seen.revoked["old"] = 4.0
-        self.assert_found("taken away long before")
+        self.assert_found("revoked long before")
 
     def test_requests_after_draining(self) -> None:
         for number in range(4):
@@ -148,8 +148,8 @@
         self.assert_found("after it had drained")
 
     def send_limited(self, seconds: float) -> None:
-        """Have a target that names 1 request a second get 12 within a span, from 20.0 on."""
-        self.seen.limits.append(platform_checker.NamedLimit("t2", 1.0, 16.0, 30.0))
+        """Send 12 requests from 20.0 on, to a target that announces 1 request per second."""
+        self.seen.limits.append(platform_checker.AnnouncedLimit("t2", 1.0, 16.0, 30.0))
         for number in range(12):
             request_id, at = f"limited-{number}", 20.0 + seconds * number / 12
             self.seen.ran["t2"].append(build_run(request_id, at, at + 0.1))
@@ -171,7 +171,7 @@
         self.assertEqual(self.check(), [])
 
     def send_in_backoff(self, requests: int) -> None:
-        """Have a target ask an entry for 3 s of back-off at 20.0, and get more in that time."""
+        """Send further requests after a target requested 3 s of back-off at 20.0."""
         away = self.seen.rejected.setdefault("t2", [])
         for number in range(requests + 1):
             request_id, at = f"away-{number}", 20.0 + 0.7 * number
@@ -194,7 +194,7 @@
         self.assertEqual(self.check(), [])
 
     def send_to_leaving(self, sent_at: float) -> None:
-        """Have a target that told an entry at 20.1 that it leaves get one more of its requests."""
+        """Send one more request to a target that announced to the entry at 20.1 that it leaves."""
         self.seen.announced_in_responses.append(platform_checker.Leaving("t2", 19.0))
         for request_id, at in (("told", 20.0), ("late", sent_at)):
             self.seen.ran["t2"].append(build_run(request_id, at, at + 0.1))
@@ -205,7 +205,7 @@
 
     def test_request_after_an_answer_that_says_the_target_leaves(self) -> None:
         self.send_to_leaving(22.5)
-        self.assert_found("got a request of entry-1 sent at 22.50, told to leave at 20.10")
+        self.assert_found("got a request of entry-1 sent at 22.50, leaving since 20.10")
 
     def test_request_soon_after_an_answer_that_says_the_target_leaves(self) -> None:
         self.send_to_leaving(22.0)
@@ -221,11 +221,11 @@
 
     def test_version_that_nobody_sent(self) -> None:
         self.seen.read_back["keeper-1"] = 9
-        self.assert_found("which nobody sent")
+        self.assert_found("which was never sent")
 
     def test_no_configuration_at_the_end(self) -> None:
         self.seen.read_back = {"keeper-1": None}
-        self.assert_found("no keeper gives")
+        self.assert_found("no keeper returned")
 
     def test_planned_work_that_cuts(self) -> None:
         self.seen.planned_only = True
@@ -275,7 +275,7 @@
 
 
 class ForwarderTest(unittest.IsolatedAsyncioTestCase):
-    """What a forwarder does to connections."""
+    """Faults that a forwarder injects into connections."""
 
     async def asyncSetUp(self) -> None:
         self.left = 0
@@ -301,10 +301,10 @@
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", own)
 
     async def end(self) -> None:
-        """End all connections, and let their tasks come to their end."""
+        """Close all connections and let their tasks finish."""
         self.writer.close()
         self.way.stop()
-        await asyncio.sleep(platform_soak.END_SECONDS)
+        await asyncio.sleep(platform_soak.TASK_SHUTDOWN_SECONDS)
 
     async def test_silence_holds_and_then_lets_pass(self) -> None:
         self.way.inject(forwarder.LinkFault.SILENCE)
@@ -355,10 +355,10 @@
 
 
 class SeededRunTest(unittest.TestCase):
-    """A few seconds of the real programs, under faults."""
+    """Short runs of the real programs under faults."""
 
     def check_run(self, seed: int, seconds: float) -> platform_soak.PlatformSoak:
-        """Run a seed; it must break nothing and leave no process."""
+        """Run a seed; it must break no guarantee and leave no process behind."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "run"
             run = platform_soak.run_seed(path, seed, seconds, rest_seconds=6.0)
--- a/tillerlane/testing/tests/test_platform_target.py
+++ b/tillerlane/testing/tests/test_platform_target.py
@@ -1,4 +1,4 @@
-"""Stand-in targets as processes, and the record that outlives them."""
+"""Tests of simulated targets in processes, and of the record that survives them."""
 
 import asyncio
 import json
@@ -21,13 +21,13 @@
 
 
 def build_run(request_id: str, **headers: str) -> platform_runner.RanRequest:
-    """A run that begins at second 1."""
+    """Build a run that starts at second 1."""
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     return platform_runner.RanRequest(request_id, named, "", b"", 1.0)
 
 
 class RecordTest(unittest.TestCase):
-    """What a reader makes of a record."""
+    """Reading of a record while it is written."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -82,7 +82,7 @@
 
 
 class TargetTest(unittest.IsolatedAsyncioTestCase):
-    """Two runners that are processes."""
+    """Two runners in processes of their own."""
 
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -105,13 +105,13 @@
         await asyncio.gather(*(target.start() for target in self.targets))
 
     async def end(self) -> None:
-        """End the processes, and let the connections' tasks come to their end."""
+        """Kill the processes and let the connections' tasks finish."""
         for target in self.targets:
             target.kill()
         await asyncio.sleep(0.1)
 
     async def send(self, number: int, method: bytes, path: bytes, body: bytes, **headers: str):
-        """Begin an exchange with a target."""
+        """Send a request to a target and return the exchange."""
         target = self.targets[number]
         exchange = await http_client.connect(target.proxy.address, 1.0)
         named = [(name.replace("_", "-").encode(), text.encode()) for name, text in headers.items()]
