--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -101,10 +101,10 @@
 
 async def watch(fleet: deployment.Fleet, names: list[str], seconds: float) -> dict[str, Span]:
     """Watch processes for some seconds."""
-    before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+    before = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
     links_before = await asyncio.to_thread(read_links, fleet, names)
     await asyncio.sleep(seconds)
-    after = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+    after = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
     links_after = await asyncio.to_thread(read_links, fleet, names)
     spans = {}
     for name in names:
@@ -138,7 +138,7 @@
             standing += await standins.start_many(len(standing), size - len(standing), keepers)
             await asyncio.sleep(SETTLE_SECONDS + size / 100)
             idle = await watch(fleet, names, SECONDS)
-            before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+            before = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
             delays = []
             for _ in range(CHANGES):
                 changed = write_document(350, weight=1.0 + random.random())
@@ -151,7 +151,7 @@
                 await wait_in_force(standing, version)
                 times = [item.in_force_at[version] for item in standing]
                 delays.append((accepted_at - sent_at, max(times) - sent_at))
-            after = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+            after = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
             each = [after[name].cpu - before[name].cpu for name in names]
             passed = after[names[0]].at - before[names[0]].at
             change_cpu = (sum(each) - sum(idle[name].cpu for name in names) * passed) / CHANGES
@@ -191,7 +191,7 @@
     rows = []
     fleet = start_fleet("entry")
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
-    ports = deployment.free_ports(max(ENTRY_SIZES))
+    ports = deployment.find_free_ports(max(ENTRY_SIZES))
     standing: list[standins.StandIn] = []
     try:
         for size in ENTRY_SIZES:
@@ -244,7 +244,7 @@
     fleet: deployment.Fleet, standing: list[standins.StandIn], keepers: list[str], workers: int
 ) -> Figures:
     """Open and settle claims from some workers at once."""
-    before = {name: processes.read_usage(fleet.read_pid(name)) for name in keepers}
+    before = {name: processes.read_usage(fleet.get_pid(name)) for name in keepers}
     times: list[float] = []
     until = time.monotonic() + SECONDS / 2
 
@@ -262,7 +262,7 @@
     began = time.monotonic()
     await asyncio.gather(*(work(number) for number in range(workers)))
     passed = time.monotonic() - began
-    after = {name: processes.read_usage(fleet.read_pid(name)) for name in keepers}
+    after = {name: processes.read_usage(fleet.get_pid(name)) for name in keepers}
     cpu = [after[name].cpu - before[name].cpu for name in keepers]
     return {
         "workers": workers,
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -67,7 +67,7 @@
     url = fleet.plan.get_http("entry-1") + "/v1/completions"
     own = fleet.plan.daemons["entry-1"]
     calm = await call_often(url)
-    before = processes.read_usage(fleet.read_pid("entry-1")).memory
+    before = processes.read_usage(fleet.get_pid("entry-1")).memory
     stop = asyncio.Event()
     hostile = [
         asyncio.create_task(
@@ -77,7 +77,7 @@
     ]
     await asyncio.sleep(4)
     flooded = await call_often(url)
-    after = processes.read_usage(fleet.read_pid("entry-1")).memory
+    after = processes.read_usage(fleet.get_pid("entry-1")).memory
     stop.set()
     for task in hostile:
         task.cancel()
--- a/benchmarks/mixes.py
+++ b/benchmarks/mixes.py
@@ -78,7 +78,7 @@
 def _memory_time(kind: Kind, spec: engine.EngineSpec, stretch: float) -> float:
     """Mean of memory times time that a request of a kind holds, in token seconds."""
     rng = random.Random(7)
-    step = spec.step_seconds + spec.step_seconds_a_sequence * spec.batch_limit / 2
+    step = spec.step_seconds + spec.step_seconds_per_sequence * spec.batch_limit / 2
     total = 0.0
     for _ in range(4_000):
         drawn = rng.lognormvariate(math.log(kind.median * stretch), kind.spread)
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -30,8 +30,8 @@
     memory_tokens=6_000,
     batch_limit=32,
     step_seconds=0.06,
-    step_seconds_a_sequence=0.0008,
-    prefill_seconds_a_token=0.00005,
+    step_seconds_per_sequence=0.0008,
+    prefill_seconds_per_token=0.00005,
     prefix_cache_tokens=0,
 )
 WARM_SECONDS = 40.0
@@ -248,7 +248,7 @@
         "refused": len(refused),
         "refused_not_run": sum(answer.fault.ran == "no" for answer in refused),
         "unfinished": sum(not answer.ended and answer.fault is None for _, answer in counted),
-        "wrong": sum(not answer.is_right for _, answer in counted if answer.texts),
+        "wrong": sum(not answer.is_correct for _, answer in counted if answer.texts),
         "memory_share": memory,
     }
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -101,7 +101,7 @@
     async with httpx.AsyncClient(timeout=120, limits=limits, trust_env=False) as client:
         found = [loop.create_future() for _ in range(streams)]
         names = ["entry-1", "agent-hall-a"]
-        before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+        before = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
         callers = [
             asyncio.create_task(read_caller(client, url, number, found[number]))
             for number in range(streams)
@@ -112,7 +112,7 @@
         ]
         through = await asyncio.gather(*callers)
         beside = await asyncio.gather(*readers)
-        after = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+        after = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
     tokens = sum(len(arrivals) for arrivals in through)
     delays = sorted(
         one[offset] - other[offset]
--- a/tillerlane/daemon/tests/test_trust.py
+++ b/tillerlane/daemon/tests/test_trust.py
@@ -32,7 +32,7 @@
         path = pathlib.Path(self.folder.name)
         self.authority = certificates.Authority(path, "fleet-authority")
         self.other = certificates.Authority(path, "other-authority")
-        port, http_port = deployment.free_ports(2)
+        port, http_port = deployment.find_free_ports(2)
         self.address = f"127.0.0.1:{port}"
         values: dict[str, Any] = {
             "daemon": "keeper-1",
--- a/tillerlane/entry/tests/test_failures.py
+++ b/tillerlane/entry/tests/test_failures.py
@@ -87,7 +87,7 @@
             await task
             self.assertEqual(answer.fault.kind, kinds.ErrorKind.GENERATION_LOST)
             self.assertEqual(answer.fault.ran, kinds.Ran.YES)
-            self.assertTrue(answer.is_right)
+            self.assertTrue(answer.is_correct)
             self.check_whole(await stage.call("katalog", "record", "another one"))
 
         self.play(scene)
@@ -185,7 +185,7 @@
             await task
             self.assertEqual(answer.fault.kind, kinds.ErrorKind.GENERATION_LOST)
             self.assertEqual(answer.fault.ran, kinds.Ran.YES)
-            self.assertTrue(answer.is_right)
+            self.assertTrue(answer.is_correct)
 
         self.play(scene)
 
@@ -207,7 +207,7 @@
             await stage.restart(agent)
             await task
             self.assertEqual(answer.fault.kind, kinds.ErrorKind.GENERATION_LOST)
-            self.assertTrue(answer.is_right)
+            self.assertTrue(answer.is_correct)
 
         self.play(scene)
 
--- a/tillerlane/keeper/tests/test_storage.py
+++ b/tillerlane/keeper/tests/test_storage.py
@@ -63,27 +63,27 @@
         name = "log-1"
         last = len(self.disk.files[name]) - len(b"command 3") - 8 - 17
         for position in range(8, last):
-            self.disk.flip(name, position)
+            self.disk.corrupt_byte(name, position)
             self.assertIn("bad record", self.check_refused())
-            self.disk.flip(name, position)
+            self.disk.corrupt_byte(name, position)
 
     def test_damaged_vote_and_snapshot_stop_the_keeper(self) -> None:
         self.storage.append([entry(1)])
         self.storage.save_vote(3, "keeper-1")
         self.storage.save_snapshot(storages.Snapshot(1, 1, b"{}"))
         for name in ("vote", "snapshot", "identity"):
-            self.disk.flip(name, len(self.disk.files[name]) - 1)
+            self.disk.corrupt_byte(name, len(self.disk.files[name]) - 1)
             self.check_refused()
-            self.disk.flip(name, len(self.disk.files[name]) - 1)
+            self.disk.corrupt_byte(name, len(self.disk.files[name]) - 1)
         self.open()
 
     def test_full_disk_stands_down_and_stays_down(self) -> None:
         self.storage.append([entry(1)])
-        self.disk.fails_with = errno.ENOSPC
+        self.disk.errno_on_write = errno.ENOSPC
         for _ in range(2):
             with self.assertRaises(faults.FaultError):
                 self.storage.append([entry(2)])
-            self.disk.fails_with = None
+            self.disk.errno_on_write = None
         self.assertEqual(self.storage.last_index, 1)
         self.assertEqual(self.open().last_index, 1)
 
--- a/tillerlane/testing/certificates.py
+++ b/tillerlane/testing/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests: an authority, and daemons' certificates that it signs."""
+"""Certificates for tests: a certificate authority, and certificates of daemons signed by it."""
 
 import datetime
 import pathlib
@@ -16,12 +16,12 @@
 
 
 class Authority:
-    """An authority that signs certificates.
+    """A certificate authority.
 
     Parameters
     ----------
     folder : pathlib.Path
-        Where files are written.
+        Folder for certificates and keys.
     name : str
         Name of the authority.
     """
@@ -51,7 +51,7 @@
         return builder.sign(self._key, hashes.SHA256())
 
     def issue(self, daemon: str) -> settings.Tls:
-        """A daemon's certificate, as settings name it."""
+        """Issue a daemon's certificate and return the settings that refer to it."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, daemon)])
         certificate = self._sign(subject, key, is_authority=False)
--- a/tillerlane/testing/check.py
+++ b/tillerlane/testing/check.py
@@ -1,10 +1,11 @@
-"""What CI checks: format, lint, unit tests and the examples in docstrings.
+"""Runs the checks of CI: format, lint, unit tests and the examples in docstrings.
 
-Tests run in several processes, one module each, so that a crash or a leak of one does not reach
-another.  The last line is ``N passed, N failed``, as is the exit status.
+Each test module runs in a process of its own, so that a crash or leak does not affect the others.
+The last line of the output is ``N passed, N failed``; the exit status tells whether any failed.
 
-A test that fails for a known fault stands in ``KNOWN-RED.txt``, a line each: its full name, a
-colon, cause and issue.  Its failure is passed over and printed; it counts neither way.
+Tests that fail because of a known fault are listed in ``KNOWN-RED.txt``, one per line: the full
+name, a colon, cause and issue. Their failures are printed, and counted as neither passed nor
+failed.
 """
 
 import argparse
@@ -19,23 +20,23 @@
 import sys
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-TOPS = ("benchmarks", "tillerlane")
-"""Folders with tests; the longest first."""
-MODULE_SECONDS = 240
-LONGEST = ("soak", "_scale")
-"""Parts of the names of modules that are begun first, as the others would wait for them."""
-INTERRUPT_SECONDS = 10
-"""How long a module that took too long may clean up."""
+TEST_ROOTS = ("benchmarks", "tillerlane")
+"""Folders with tests, slowest first."""
+MODULE_TIMEOUT_SECONDS = 240
+SLOW_MODULES = ("soak", "_scale")
+"""Parts of the names of slow modules, which are started first to shorten the total time."""
+INTERRUPT_TIMEOUT_SECONDS = 10
+"""Time for a module to clean up after it was interrupted at its time limit."""
 WORKERS = max(4, os.cpu_count() or 1)
 _RAN = re.compile(r"^Ran (\d+) tests? in", re.MULTILINE)
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 _FAILURE = re.compile(r"^(?:FAIL|ERROR): \w+ \(([\w.]+)\)", re.MULTILINE)
-_BAD = re.compile(r"^FAILED \((.*)\)", re.MULTILINE)
+_SUMMARY = re.compile(r"^FAILED \((.*)\)", re.MULTILINE)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """How one check went; `known` are the failures that were passed over."""
+    """Result of one check; `known` lists the known failures that were skipped."""
 
     name: str
     passed: int
@@ -45,21 +46,21 @@
 
 
 def read_known_red(text: str) -> frozenset[str]:
-    """Full names of the tests that may fail for a known fault."""
+    """Parse the full names of the tests that may fail because of a known fault."""
     lines = [line for line in text.splitlines() if line.strip() and not line.startswith("#")]
     return frozenset(line.partition(":")[0].strip() for line in lines)
 
 
 def judge_module(name: str, code: int, output: str, known_red: frozenset[str]) -> Outcome:
-    """What a module's run says; one that ran no test, or crashed, counts as one failure."""
+    """Evaluate a module's run; one that ran no test, or crashed, counts as one failure."""
     ran = _RAN.search(output)
     count = int(ran.group(1)) if ran else 0
     if code == 0 and count > 0:
         return Outcome(name, count, 0, output)
-    bad = _BAD.search(output)
-    failed = sum(int(number) for number in re.findall(r"=(\d+)", bad.group(1))) if bad else 0
+    match = _SUMMARY.search(output)
+    failed = sum(int(number) for number in re.findall(r"=(\d+)", match.group(1))) if match else 0
     failed = max(1, failed)
-    # A test with several failures, as of its subtests, is passed over as a whole.
+    # A test with several failures, such as those of subtests, is skipped entirely.
     failures = _FAILURE.findall(output)
     known = tuple(sorted(set(failures) & known_red))
     passed_over = sum(item in known_red for item in failures)
@@ -79,21 +80,21 @@
         start_new_session=True,
     )
     try:
-        output, errors = process.communicate(timeout=MODULE_SECONDS)
+        output, errors = process.communicate(timeout=MODULE_TIMEOUT_SECONDS)
         return subprocess.CompletedProcess(command, process.returncode, output, errors)
     except subprocess.TimeoutExpired:
-        output = _end_group(process)
+        output = _terminate_group(process)
         return subprocess.CompletedProcess(command, 1, output, f"{name}: no end in sight")
 
 
-def _end_group(process: subprocess.Popen[str]) -> str:
-    """End a process and all that it started, and give what it printed.
+def _terminate_group(process: subprocess.Popen[str]) -> str:
+    """Kill a process with its whole process group, and return its output.
 
-    It is interrupted first, so that it tells where it was.
+    It is interrupted first, so that it prints a traceback.
     """
     os.killpg(process.pid, signal.SIGINT)
     try:
-        output, errors = process.communicate(timeout=INTERRUPT_SECONDS)
+        output, errors = process.communicate(timeout=INTERRUPT_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
         output = errors = ""
     with contextlib.suppress(ProcessLookupError):
@@ -103,7 +104,7 @@
 
 
 def run_lint(arguments: list[str]) -> Outcome:
-    """One run of ruff."""
+    """Run ruff with the given arguments."""
     name = "ruff " + " ".join(arguments)
     done = _run([sys.executable, "-m", "ruff", *arguments], name)
     ok = done.returncode == 0
@@ -111,21 +112,21 @@
 
 
 def run_module(module: str, known_red: frozenset[str]) -> Outcome:
-    """All tests of one module."""
+    """Run all tests of one module."""
     done = _run([sys.executable, "-W", "ignore", "-m", "unittest", module], module)
     return judge_module(module, done.returncode, done.stdout + done.stderr, known_red)
 
 
 def find_modules(names: list[str]) -> list[str]:
-    """Test modules, all of them or those whose name contains one of `names`."""
-    paths = sorted(path for top in TOPS for path in ROOT.glob(f"{top}/**/tests/test_*.py"))
+    """Find the test modules whose name contains one of `names`; all modules without names."""
+    paths = sorted(path for top in TEST_ROOTS for path in ROOT.glob(f"{top}/**/tests/test_*.py"))
     modules = [".".join(path.relative_to(ROOT).with_suffix("").parts) for path in paths]
     found = [item for item in modules if not names or any(name in item for name in names)]
-    return sorted(found, key=lambda item: not any(part in item for part in LONGEST))
+    return sorted(found, key=lambda item: not any(part in item for part in SLOW_MODULES))
 
 
 def main() -> None:
-    """Run everything and print what failed."""
+    """Run all checks and print the failures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*", help="only modules whose name contains one of these")
     arguments = parser.parse_args()
--- a/tillerlane/testing/checker.py
+++ b/tillerlane/testing/checker.py
@@ -1,4 +1,4 @@
-"""Decides on a run by what callers, operators and the fakes wrote down; daemons have no say."""
+"""Checks a run against what callers, operators and fake targets recorded, not the daemons."""
 
 import dataclasses
 import itertools
@@ -10,21 +10,21 @@
 
 @dataclasses.dataclass(slots=True)
 class StreamRecord:
-    """A stream as its caller got it, over all its connections.
+    """A stream as received by its caller, over all its connections.
 
-    ``pieces`` are (generation, first offset, texts), in the order of their arrival.
+    ``pieces`` holds (generation, first offset, texts) in the order of arrival.
     """
 
     pieces: list[tuple[str, int, list[str]]] = dataclasses.field(default_factory=list)
     finished_tokens: int | None = None
-    """Tokens that the end event named; None without an end."""
+    """Number of tokens that the end event reported; None without an end event."""
     fault_kind: str = ""
     fault_ran: str = ""
 
 
 @dataclasses.dataclass(slots=True)
 class CallRecord:
-    """A call that must not be repeated; ``answers`` are (status, ``ran`` or empty)."""
+    """A call that must run at most once; ``answers`` holds (status, ``ran`` or empty)."""
 
     reference: str
     answers: list[tuple[int, str]] = dataclasses.field(default_factory=list)
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ChangeRecord:
-    """An accepted change and the version it was accepted as."""
+    """An accepted change and the version that it was assigned."""
 
     change_id: str
     version: int
@@ -40,22 +40,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Observations:
-    """Everything that was seen."""
+    """All observations of a run."""
 
     streams: list[StreamRecord] = dataclasses.field(default_factory=list)
     calls: list[CallRecord] = dataclasses.field(default_factory=list)
     changes: list[ChangeRecord] = dataclasses.field(default_factory=list)
     times_run: dict[str, int] = dataclasses.field(default_factory=dict)
-    """Reference to the times that the fake service ran it."""
+    """Reference to the number of times that the fake service ran it."""
     histories: dict[str, dict[int, str]] = dataclasses.field(default_factory=dict)
-    """Keeper to version to change id, at the end."""
+    """Keeper to its final history, as version to change id."""
     versions: dict[str, list[int]] = dataclasses.field(default_factory=dict)
-    """Daemon to the versions it said were in force, in order."""
+    """Daemon to the versions that it reported to be in force, in order."""
     final_versions: dict[str, int] = dataclasses.field(default_factory=dict)
 
 
 def check(seen: Observations) -> list[str]:
-    """Every promise that was broken; empty if none."""
+    """Return a description of every broken guarantee; empty if there is none."""
     problems: list[str] = []
     for number, stream in enumerate(seen.streams):
         problems += [f"stream {number}: {item}" for item in _check_stream(stream)]
@@ -63,8 +63,8 @@
         problems += [f"call {call.reference}: {item}" for item in _check_call(call, seen)]
     problems += _check_changes(seen)
     for daemon, versions in seen.versions.items():
-        falls = [pair for pair in itertools.pairwise(versions) if pair[1] < pair[0]]
-        problems += [f"{daemon}: version fell from {old} to {new}" for old, new in falls]
+        decreases = [pair for pair in itertools.pairwise(versions) if pair[1] < pair[0]]
+        problems += [f"{daemon}: version fell from {old} to {new}" for old, new in decreases]
     return problems
 
 
@@ -76,16 +76,16 @@
         problems.append(f"tokens of {len(generations)} generations")
     for generation, offset, pieces in stream.pieces:
         if offset != expected:
-            word = "doubled" if offset < expected else "lost"
-            problems.append(f"{word} tokens: offset {offset}, expected {expected}")
-        right = [texts.make_token(generation, offset + index) for index in range(len(pieces))]
-        if pieces != right:
+            kind = "doubled" if offset < expected else "lost"
+            problems.append(f"{kind} tokens: offset {offset}, expected {expected}")
+        wanted = [texts.make_token(generation, offset + index) for index in range(len(pieces))]
+        if pieces != wanted:
             problems.append(f"wrong token at or after offset {offset}")
         expected = offset + len(pieces)
     if stream.finished_tokens is not None and stream.finished_tokens != expected:
-        problems.append(f"ended as whole with {expected} of {stream.finished_tokens} tokens")
+        problems.append(f"ended as complete with {expected} of {stream.finished_tokens} tokens")
     if stream.fault_ran == "no" and expected > 0:
-        problems.append("said not to have run after tokens had come")
+        problems.append("reported as not run after tokens had arrived")
     return problems
 
 
@@ -95,10 +95,10 @@
     if times > 1:
         problems.append(f"ran {times} times")
     if times == 0 and any(status == 201 for status, _ in call.answers):
-        problems.append("answered as run and never ran")
-    said_not_run = call.answers and all(ran == "no" for _, ran in call.answers)
-    if times > 0 and said_not_run:
-        problems.append("said not to have run and ran")
+        problems.append("reported as run but never ran")
+    reported_not_run = call.answers and all(ran == "no" for _, ran in call.answers)
+    if times > 0 and reported_not_run:
+        problems.append("reported as not run but ran")
     return problems
 
 
@@ -108,7 +108,7 @@
     for change in seen.changes:
         other = by_version.setdefault(change.version, change.change_id)
         if other != change.change_id:
-            problems.append(f"version {change.version} was given to two changes")
+            problems.append(f"version {change.version} was assigned to two changes")
     for keeper, history in seen.histories.items():
         for change in seen.changes:
             found = history.get(change.version)
--- a/tillerlane/testing/demo.py
+++ b/tillerlane/testing/demo.py
@@ -1,7 +1,8 @@
-"""The main job, from nothing: a fleet of processes, a change, a record, its time line, a stop.
+"""Demonstration of the main workflow.
 
-Everything goes through the programs and interfaces that users have; only the runners and the
-service are stand-ins.
+It starts a fleet, changes its configuration, streams a record, shows its time line, and stops.
+
+Everything uses the public programs and interfaces; only the runners and the service are fakes.
 """
 
 import json
@@ -23,13 +24,13 @@
 RECORD_TOKENS = 60
 
 
-def say(text: str) -> None:
-    """Print a step."""
+def print_step(text: str) -> None:
+    """Print the heading of a step."""
     print(f"\n== {text}", flush=True)
 
 
 def run_cli(fleet: deployment.Fleet, *words: str) -> str:
-    """Run the command-line tool, show what it prints, and give it."""
+    """Run the command-line tool, then print and return its output."""
     environment = {
         **os.environ,
         "TILLERLANE_SERVER": fleet.plan.get_http("entry-1"),
@@ -41,12 +42,12 @@
     print(done.stdout, end="", flush=True)
     if done.returncode != 0:
         print(done.stderr, file=sys.stderr)
-        raise SystemExit(f"the command ended with {done.returncode}")
+        raise SystemExit(f"the command failed with exit status {done.returncode}")
     return done.stdout
 
 
 def stream_record(fleet: deployment.Fleet) -> str:
-    """Stream one record as a caller does; give its request id."""
+    """Stream one record as a caller does and return its request id."""
     body = {
         "model": "record",
         "stream": True,
@@ -71,16 +72,16 @@
             finish = choice["finish_reason"] or finish
     print(f"\n(ended with {finish!r} after {time.monotonic() - began:.2f} s)")
     if finish != "stop":
-        raise SystemExit("the record did not come whole")
+        raise SystemExit(f"the stream of the record is incomplete: it ended with {finish!r}")
     return request_id
 
 
 def change_policy(folder: pathlib.Path) -> str:
-    """A configuration file with another policy."""
+    """Write a configuration file with a modified policy and return its path."""
     text = CONFIG.read_text()
     changed = text.replace('"headroom": "0.05"', '"headroom": "0.08"')
     if changed == text:
-        raise SystemExit("the example no longer has the line that the demo changes")
+        raise SystemExit("the example configuration lacks the policy line that the demo changes")
     path = folder / "changed.json"
     path.write_text(changed)
     return str(path.relative_to(ROOT))
@@ -95,23 +96,25 @@
     plan = deployment.plan(document, folder, runner_options=["--median-tokens", "300"])
     fleet = deployment.Fleet(plan, FOLDER)
     try:
-        say(f"start {len(plan.daemons)} daemons, {len(plan.programs)} fake runners and services")
+        print_step(
+            f"start {len(plan.daemons)} daemons, {len(plan.programs)} fake runners and services"
+        )
         fleet.start()
         fleet.wait_answering()
-        say("apply the configuration of Brattvik Antikvariat")
+        print_step("apply the configuration of Brattvik Antikvariat")
         run_cli(fleet, "config", "check", str(CONFIG.relative_to(ROOT)))
         run_cli(fleet, "config", "apply", str(CONFIG.relative_to(ROOT)), "--wait")
         fleet.wait_ready()
-        say("stream a bibliographic record")
+        print_step("stream a bibliographic record")
         request_id = stream_record(fleet)
-        say("change the policy while the fleet runs")
+        print_step("change the policy while the fleet runs")
         run_cli(fleet, "config", "apply", change_policy(FOLDER), "--wait", "--note", "headroom")
         run_cli(fleet, "config", "status")
-        say("what happened to the record, over all daemons")
+        print_step("what happened to the record, over all daemons")
         run_cli(fleet, "timeline", "--request", request_id)
-        say("the fleet at a glance")
+        print_step("the fleet at a glance")
         run_cli(fleet, "status")
-        say("stop")
+        print_step("stop")
         statuses = fleet.stop_all()
         bad = {name: status for name, status in statuses.items() if status not in (0, -15)}
         print(f"{len(statuses)} processes ended" + (f", badly: {bad}" if bad else " cleanly"))
--- a/tillerlane/testing/deployment.py
+++ b/tillerlane/testing/deployment.py
@@ -1,8 +1,8 @@
-"""Real processes on loopback: daemons, fake runners and services of an example configuration.
+"""Real processes on loopback: the daemons, fake runners and services of a configuration.
 
-`plan` derives from a configuration which processes there are and their settings; `Fleet` starts,
-kills, freezes and restarts them.  ``python -m tillerlane.testing.deployment CONFIG FOLDER`` writes
-the settings files as examples.
+`plan` derives the processes and their settings from a configuration; `Fleet` starts, kills, pauses
+and restarts them. ``python -m tillerlane.testing.deployment CONFIG FOLDER`` writes the settings
+files as examples.
 """
 
 import argparse
@@ -21,19 +21,19 @@
 
 from tillerlane.config import documents, reader, settings
 
-__all__ = ["Fleet", "Plan", "free_ports", "plan"]
+__all__ = ["Fleet", "Plan", "find_free_ports", "plan"]
 
 OPERATOR_KEY = "example-operator"
 START_SECONDS = 120.0
-"""Longest wait for a process that has not ended: each needs 1.6 s of a core before it answers, and
-several fleets may start at once beside other work."""
+"""Timeout for the start of a process: each needs 1.6 s of CPU time before it responds, and several
+fleets may start at once on a busy host."""
 STOP_SECONDS = 20.0
 LAST_LINES = 8
-"""Lines that are shown of a process that ended badly."""
+"""Number of lines to show from the output of a process that failed."""
 
 
-def free_ports(count: int) -> list[int]:
-    """Ports that are free at the moment."""
+def find_free_ports(count: int) -> list[int]:
+    """Find ports that are currently free."""
     sockets = [socket.socket() for _ in range(count)]
     try:
         for item in sockets:
@@ -53,7 +53,7 @@
     daemons : dict
         Daemon id to its settings.
     programs : dict
-        Fake runner or service to its command line, without the interpreter.
+        Fake runner or service to its command line, without the Python interpreter.
     urls : dict
         Fake runner or service to its URL.
     """
@@ -67,21 +67,21 @@
         return f"http://{self.daemons[daemon]['http_address']}"
 
     def list_role(self, role: str) -> list[str]:
-        """Daemons with a role."""
+        """List the daemons with a role."""
         return [name for name, item in self.daemons.items() if role in item["roles"]]
 
 
 def _find_targets(document: documents.Document) -> dict[str, tuple[str, str, list[str]]]:
-    """Target to (data hall, kind, models)."""
-    found = {}
+    """Map each target to (data hall, kind, models)."""
+    targets = {}
     for pool in document.pools.values():
         for name, runner in pool.runners.items():
             models = runner.models if runner.models is not None else pool.models
-            found[name] = (runner.data_hall, settings.TargetKind.RUNNER.value, models)
+            targets[name] = (runner.data_hall, settings.TargetKind.RUNNER.value, models)
     for service in document.services.values():
         for name, target in service.targets.items():
-            found[name] = (target.data_hall, settings.TargetKind.SERVICE.value, [])
-    return found
+            targets[name] = (target.data_hall, settings.TargetKind.SERVICE.value, [])
+    return targets
 
 
 def _command(kind: str, port: int, models: list[str], options: list[str]) -> list[str]:
@@ -101,28 +101,28 @@
     runner_options: list[str] | None = None,
     extra: dict[str, Any] | None = None,
 ) -> Plan:
-    """Plan one agent for each data hall, with the hall's targets, and the keepers and entries.
+    """Plan the keepers, the entries, and one agent per data hall with the hall's targets.
 
     Parameters
     ----------
     document : documents.Document
-        The configuration; it is not applied here.
+        The configuration, which is not applied here.
     folder : str
-        Where keepers and logs lie.
+        Folder for logs and the keepers' data.
     ports : list of int, optional
         Ports to use; free ones by default.
     keepers, entries : int
-        How many of each.
+        Number of daemons of each role.
     runner_options : list of str, optional
-        Further arguments of the fake runners.
+        Additional arguments of the fake runners.
     extra : dict, optional
-        Further settings of every daemon.
+        Additional settings of every daemon.
     """
     targets = _find_targets(document)
     halls = sorted({hall for hall, _, _ in targets.values()})
-    homes = halls or ["hall-a"]
+    daemon_halls = halls or ["hall-a"]
     needed = 2 * (keepers + entries + len(halls)) + len(targets)
-    free = iter(ports or free_ports(needed))
+    free = iter(ports or find_free_ports(needed))
     keeper_addresses = {
         f"keeper-{number}": f"127.0.0.1:{next(free)}" for number in range(1, keepers + 1)
     }
@@ -147,11 +147,11 @@
 
     result = Plan({}, {}, {})
     for number, (name, address) in enumerate(keeper_addresses.items()):
-        hall = homes[number % len(homes)]
+        hall = daemon_halls[number % len(daemon_halls)]
         result.daemons[name] = build(name, hall, "keeper", address, data_folder=f"{folder}/{name}")
     for number in range(1, entries + 1):
         name = f"entry-{number}"
-        hall = homes[(number - 1) % len(homes)]
+        hall = daemon_halls[(number - 1) % len(daemon_halls)]
         result.daemons[name] = build(name, hall, "entry", f"127.0.0.1:{next(free)}")
     for hall in halls:
         own: dict[str, Any] = {}
@@ -168,14 +168,14 @@
 
 
 class Fleet:
-    """Processes of a plan.
+    """The running processes of a plan.
 
     Parameters
     ----------
     plan : Plan
-        What to run.
+        The processes to run.
     folder : pathlib.Path
-        Where settings, logs and data lie.
+        Folder for settings, logs and data.
     """
 
     def __init__(self, plan: Plan, folder: pathlib.Path) -> None:
@@ -187,7 +187,7 @@
             (folder / f"{name}.json").write_text(json.dumps(item, indent=2))
 
     def start(self, *names: str) -> None:
-        """Start processes; all of them by default."""
+        """Start the named processes, by default all."""
         for name in names or [*self.plan.programs, *self.plan.daemons]:
             command = self.plan.programs.get(name)
             if command is None:
@@ -205,13 +205,13 @@
         self._running[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once."""
+        """Kill a process immediately."""
         process = self._running.pop(name)
         process.kill()
         process.wait()
 
     def stop(self, name: str, timeout: float = STOP_SECONDS) -> int:
-        """End a process by SIGTERM and give its exit status."""
+        """Stop a process with SIGTERM and return its exit status."""
         process = self._running.pop(name)
         process.send_signal(signal.SIGCONT)
         process.terminate()
@@ -223,7 +223,7 @@
         return process is not None and process.poll() is None
 
     def stop_all(self) -> dict[str, int]:
-        """End all processes: entries first, then agents, keepers and fakes; exit statuses."""
+        """Stop all processes, entries first, and return their exit statuses."""
         order = [*self.plan.list_role("entry"), *self.plan.list_role("agent")]
         order += [*self.plan.list_role("keeper"), *self.plan.programs]
         statuses = {}
@@ -242,67 +242,67 @@
         return statuses
 
     def read_last_lines(self, name: str) -> list[str]:
-        """The end of what a process wrote: to its log, if it has one, and to its output."""
-        found = []
+        """Read the last lines of a process's log, if it has one, and of its output."""
+        lines = []
         for path in (self.folder / f"{name}.log", self.folder / f"{name}.out"):
             if path.exists():
-                found += path.read_text(errors="replace").splitlines()[-LAST_LINES:]
-        return found
+                lines += path.read_text(errors="replace").splitlines()[-LAST_LINES:]
+        return lines
 
     def kill_all(self) -> None:
-        """Kill whatever still runs."""
+        """Kill all processes that are still running."""
         for name in list(self._running):
             self.kill(name)
 
-    def read_pid(self, name: str) -> int:
+    def get_pid(self, name: str) -> int:
         """Process id."""
         return self._running[name].pid
 
-    # Waiting, for readiness only: no figure is taken from it
+    # Polling for readiness, whose duration must not be used as a measurement
 
     def wait_answering(self, *names: str) -> None:
-        """Wait until processes answer over HTTP."""
-        until = time.monotonic() + START_SECONDS
+        """Wait until the named processes, by default all, respond over HTTP."""
+        deadline = time.monotonic() + START_SECONDS
         urls = {name: self.plan.get_http(name) + "/healthz" for name in self.plan.daemons}
         urls |= {name: url + "/test/record" for name, url in self.plan.urls.items()}
         for name in names or list(urls):
-            while not _answers(urls[name]):
+            while not _is_serving(urls[name]):
                 self._check_runs(name)
-                if time.monotonic() > until:
-                    raise TimeoutError(f"{name} does not answer")
+                if time.monotonic() > deadline:
+                    raise TimeoutError(f"{name} did not respond in time")
                 time.sleep(0.05)
 
     def _check_runs(self, name: str) -> None:
-        """Give up a process that was started here and has ended."""
+        """Raise an error if a process that was started here has exited."""
         if name in self._running and not self.is_running(name):
             lines = "\n".join(self.read_last_lines(name))
-            raise ChildProcessError(f"{name} has ended:\n{lines}")
+            raise ChildProcessError(f"{name} has exited:\n{lines}")
 
     def wait_ready(self) -> None:
         """Wait until every entry is ready."""
-        until = time.monotonic() + START_SECONDS
+        deadline = time.monotonic() + START_SECONDS
         for name in self.plan.list_role("entry"):
-            while not _answers(self.plan.get_http(name) + "/readyz"):
+            while not _is_serving(self.plan.get_http(name) + "/readyz"):
                 self._check_runs(name)
-                if time.monotonic() > until:
-                    raise TimeoutError(f"{name} is not ready")
+                if time.monotonic() > deadline:
+                    raise TimeoutError(f"{name} was not ready in time")
                 time.sleep(0.05)
 
     def apply(self, document: dict[str, Any], against: int, change_id: str) -> dict[str, Any]:
-        """Apply a configuration over an entry, trying until there is a leader."""
-        until = time.monotonic() + START_SECONDS
+        """Apply a configuration through an entry, with retries until there is a leader."""
+        deadline = time.monotonic() + START_SECONDS
         body = {"against": against, "change_id": change_id, "document": document}
         headers = {"authorization": f"Bearer {OPERATOR_KEY}"}
         url = self.plan.get_http(self.plan.list_role("entry")[0]) + "/admin/config"
         while True:
             answer = httpx.post(url, json=body, headers=headers, timeout=15, trust_env=False)
-            if answer.status_code != 503 or time.monotonic() > until:
+            if answer.status_code != 503 or time.monotonic() > deadline:
                 answer.raise_for_status()
                 return answer.json()
             time.sleep(0.1)
 
 
-def _answers(url: str) -> bool:
+def _is_serving(url: str) -> bool:
     try:
         return httpx.get(url, timeout=2, trust_env=False).status_code == 200
     except httpx.HTTPError:
@@ -310,22 +310,22 @@
 
 
 def read_example(path: str | pathlib.Path) -> tuple[dict[str, Any], documents.Document]:
-    """An example configuration, as values and as a checked document."""
+    """Read an example configuration, as plain values and as a validated document."""
     data = reader.read_file(path).unwrap()
     return data, reader.validate(documents.Document, data, str(path)).unwrap()
 
 
 def main() -> None:
-    """Write settings files for an example."""
+    """Write the settings files of an example configuration."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("config")
     parser.add_argument("folder")
     arguments = parser.parse_args()
     _, document = read_example(arguments.config)
-    made = plan(document, "out/example", ports=list(range(17_000, 17_100)))
+    result = plan(document, "out/example", ports=list(range(17_000, 17_100)))
     folder = pathlib.Path(arguments.folder)
     folder.mkdir(parents=True, exist_ok=True)
-    for name, item in made.daemons.items():
+    for name, item in result.daemons.items():
         (folder / f"{name}.json").write_text(json.dumps(item, indent=2) + "\n")
 
 
--- a/tillerlane/testing/engine.py
+++ b/tillerlane/testing/engine.py
@@ -1,8 +1,8 @@
-"""A fake model engine: continuous batch, finite key-value memory, prefix cache, priorities.
+"""A simulated model engine: continuous batching, limited KV memory, prefix cache and priorities.
 
-One step gives every running sequence one token.  When memory is full the engine itself pushes
-a sequence aside: the lowest priority first, the newest among equals.  A sequence that was pushed
-aside or paused has lost its memory and pays for its whole text again when it comes back.
+Each step produces one token for every running sequence. When memory is full, the engine preempts
+sequences: the lowest priority first, and the newest among equals. A sequence that was preempted or
+paused loses its memory, and its whole text is prefilled again when it is resumed.
 """
 
 import asyncio
@@ -18,22 +18,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineSpec:
-    """Size and speed of an engine; memory in tokens, times in seconds."""
+    """Capacity and speed of an engine; memory in tokens, times in seconds."""
 
     memory_tokens: int = 16_000
     batch_limit: int = 64
     step_seconds: float = 0.020
-    step_seconds_a_sequence: float = 0.0002
-    prefill_seconds_a_token: float = 0.00004
+    step_seconds_per_sequence: float = 0.0002
+    prefill_seconds_per_token: float = 0.00004
     prefill_chunk_tokens: int = 2_048
     median_tokens: float = 120.0
     length_spread: float = 0.9
     prefix_cache_tokens: int = 4_000
-    keep_ended_seconds: float = 120.0
+    retention_seconds: float = 120.0
 
 
 class Phase(enum.Enum):
-    """Where a sequence stands."""
+    """State of a sequence."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -55,7 +55,7 @@
     prefix_tokens: int = 0
     phase: Phase = Phase.WAITING
     written: list[str] = dataclasses.field(default_factory=list)
-    to_prefill: int = 0
+    prefill_left: int = 0
     reason: str = ""
     ended_at: float = 0.0
     started: bool = False
@@ -64,25 +64,25 @@
 
     @property
     def memory(self) -> int:
-        """Tokens of memory that it holds while running."""
+        """Memory in tokens that it occupies while it is running."""
         return self.prompt_tokens + len(self.written) if self.phase is Phase.RUNNING else 0
 
     def wake(self) -> None:
-        """Wake everybody who reads the sequence."""
+        """Wake all readers of the sequence."""
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 class Engine:
-    """The fake engine.
+    """The simulated engine.
 
     Parameters
     ----------
     spec : EngineSpec
-        Size and speed.
+        Capacity and speed.
     get_length : callable or None
-        Called with (generation id, seed text, most tokens); gives the length that the generation
-        turns out to have.  The default draws from the spec's long-tailed distribution.
+        Called with (generation id, seed text, maximum tokens); returns the length of the
+        generation's output. The default samples the spec's long-tailed distribution.
     """
 
     def __init__(
@@ -104,16 +104,15 @@
 
     def _sample_length(self, generation_id: str, seed_text: str, max_tokens: int) -> int:
         spec = self.spec
-        seed = texts.seed_of(seed_text)
+        seed = texts.compute_seed(seed_text)
         return texts.sample_length(seed, spec.median_tokens, spec.length_spread, max_tokens)
 
     @property
     def memory_used(self) -> int:
-        """Tokens of memory that running sequences hold."""
+        """Memory in tokens that running sequences occupy."""
         return sum(sequence.memory for sequence in self.running)
 
-    # What a runner offers
-
+    # Interface of a runner
     def start(
         self,
         generation_id: str,
@@ -126,7 +125,7 @@
         prefix_hash: int = 0,
         prefix_tokens: int = 0,
     ) -> Sequence:
-        """Take a new generation, or give the one already known under this id."""
+        """Start a generation, or return the existing one with this id."""
         known = self.sequences.get(generation_id)
         if known is not None:
             return known
@@ -139,7 +138,7 @@
             arrived=asyncio.get_running_loop().time(),
             prefix_hash=prefix_hash,
             prefix_tokens=min(prefix_tokens, prompt_tokens),
-            to_prefill=prompt_tokens,
+            prefill_left=prompt_tokens,
         )
         self.sequences[generation_id] = sequence
         self.waiting.append(sequence)
@@ -147,7 +146,7 @@
         return sequence
 
     def pause(self, generation_id: str) -> bool:
-        """Set a generation aside and free its memory; False if it is not running or waiting."""
+        """Pause a generation and free its memory; False if it is not running or waiting."""
         sequence = self.sequences.get(generation_id)
         if sequence is None or sequence.phase not in (Phase.RUNNING, Phase.WAITING):
             return False
@@ -156,7 +155,7 @@
         return True
 
     def unpause(self, generation_id: str) -> bool:
-        """Let a paused generation go on; False if it is not paused."""
+        """Resume a paused generation; False if it is not paused."""
         sequence = self.sequences.get(generation_id)
         if sequence is None or sequence.phase is not Phase.PAUSED:
             return False
@@ -166,7 +165,7 @@
         return True
 
     def cancel(self, generation_id: str) -> bool | None:
-        """End a generation; whether it had started, None if it is not known."""
+        """Cancel a generation; return whether it had started, None if it is unknown."""
         sequence = self.sequences.get(generation_id)
         if sequence is None:
             return None
@@ -174,12 +173,11 @@
             self._end(sequence, "cancelled")
         return sequence.started
 
-    # Inside
-
+    # Scheduling
     def _evict(self, sequence: Sequence) -> None:
         if sequence in self.running:
             self.running.remove(sequence)
-            sequence.to_prefill = sequence.prompt_tokens + len(sequence.written)
+            sequence.prefill_left = sequence.prompt_tokens + len(sequence.written)
         elif sequence in self.waiting:
             self.waiting.remove(sequence)
         sequence.phase = Phase.WAITING
@@ -192,7 +190,7 @@
         sequence.wake()
 
     def _free_for(self, needed: int) -> bool:
-        """Whether `needed` more tokens fit, once cached prefixes are dropped."""
+        """Drop cached prefixes as necessary; return whether `needed` more tokens fit."""
         spare = self.spec.memory_tokens - self.memory_used
         if needed > spare:
             return False
@@ -216,7 +214,7 @@
             self.running.append(sequence)
             self._use_cache(sequence)
             if sequence.started:
-                self.tokens_recomputed += sequence.to_prefill
+                self.tokens_recomputed += sequence.prefill_left
             sequence.started = True
 
     def _use_cache(self, sequence: Sequence) -> None:
@@ -224,7 +222,7 @@
             return
         if sequence.prefix_hash in self.cache:
             self.cache.move_to_end(sequence.prefix_hash)
-            sequence.to_prefill = max(0, sequence.to_prefill - sequence.prefix_tokens)
+            sequence.prefill_left = max(0, sequence.prefill_left - sequence.prefix_tokens)
             return
         self.cache[sequence.prefix_hash] = sequence.prefix_tokens
         self._record_cache_event("stored", sequence.prefix_hash)
@@ -233,7 +231,7 @@
             self._record_cache_event("dropped", dropped)
 
     def _preempt(self) -> None:
-        """Free memory for one step by setting sequences aside."""
+        """Preempt sequences until there is memory for one step."""
         while self.running and not self._free_for(len(self.running)):
             victim = min(self.running, key=lambda item: (item.priority, -item.arrived))
             self._evict(victim)
@@ -242,19 +240,19 @@
             self.preemptions += 1
 
     def step(self) -> float:
-        """Do one step; how long it took, in seconds."""
+        """Execute one step and return its simulated duration in seconds."""
         self._admit()
         self._preempt()
         budget = self.spec.prefill_chunk_tokens
         prefilled = 0
         ended = []
         for sequence in self.running:
-            if sequence.to_prefill > 0:
-                part = min(sequence.to_prefill, budget)
-                sequence.to_prefill -= part
+            if sequence.prefill_left > 0:
+                part = min(sequence.prefill_left, budget)
+                sequence.prefill_left -= part
                 budget -= part
                 prefilled += part
-                if sequence.to_prefill > 0:
+                if sequence.prefill_left > 0:
                     continue
             sequence.written.append(texts.make_token(sequence.id, len(sequence.written)))
             if len(sequence.written) >= sequence.length:
@@ -264,15 +262,15 @@
         spec = self.spec
         self.last_step_seconds = (
             spec.step_seconds
-            + spec.step_seconds_a_sequence * len(self.running)
-            + spec.prefill_seconds_a_token * prefilled
+            + spec.step_seconds_per_sequence * len(self.running)
+            + spec.prefill_seconds_per_token * prefilled
         )
         for sequence in ended:
             self._end(sequence, "stop")
         return self.last_step_seconds
 
     def _expire_old(self) -> None:
-        horizon = asyncio.get_running_loop().time() - self.spec.keep_ended_seconds
+        horizon = asyncio.get_running_loop().time() - self.spec.retention_seconds
         old = [
             key
             for key, item in self.sequences.items()
@@ -282,7 +280,7 @@
             del self.sequences[key]
 
     async def run(self) -> None:
-        """Step for ever, while there is work."""
+        """Execute steps while there is work, until the engine is killed."""
         loop = asyncio.get_running_loop()
         next_sweep = loop.time()
         while not self.dead:
--- a/tillerlane/testing/engine_client.py
+++ b/tillerlane/testing/engine_client.py
@@ -1,4 +1,4 @@
-"""Functions of a fake engine in the same event loop, for tests and benchmarks in virtual time."""
+"""Client of a simulated engine in the same event loop, for tests in virtual time."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -17,21 +17,21 @@
     load_lag: float = LOAD_LAG_SECONDS,
     distort: Callable[[core.RunnerLoad], core.RunnerLoad] = lambda load: load,
 ) -> core.RunnerClient:
-    """Functions of whatever engine stands there at the moment; None is a dead runner.
+    """Build a client that calls the engine that `get_engine` returns at each call.
 
     Parameters
     ----------
     get_engine : callable
-        Gives the engine.
+        Returns the current engine; None if the runner is dead.
     models : list of str
-        Models that it has loaded.
+        Models that are loaded.
     load_lag : float
         Age of load reports in seconds.
     distort : callable
-        Changes reports, for runners that report wrongly.
+        Modifies load reports, to simulate runners that report wrong values.
     """
 
-    def reach() -> engines.Engine:
+    def get_live_engine() -> engines.Engine:
         engine = get_engine()
         if engine is None or engine.dead:
             raise core.TargetBroken("connection refused", reached=False)
@@ -54,7 +54,7 @@
             await changed.wait()
 
     async def start(job: core.Job) -> AsyncIterator[core.Chunk | core.Finish]:
-        engine = reach()
+        engine = get_live_engine()
         sequence = engine.start(
             job.generation_id,
             prompt_tokens=job.prompt_tokens,
@@ -75,25 +75,25 @@
         return sequence
 
     async def resume(generation_id: str, offset: int) -> AsyncIterator[core.Chunk | core.Finish]:
-        engine = reach()
+        engine = get_live_engine()
         async for item in follow(engine, find(engine, generation_id), offset):
             yield item
 
     async def read_owner(generation_id: str) -> tuple[str, int]:
-        sequence = find(reach(), generation_id)
+        sequence = find(get_live_engine(), generation_id)
         return sequence.owner, sequence.prompt_tokens
 
     async def pause(generation_id: str) -> bool:
-        return reach().pause(generation_id)
+        return get_live_engine().pause(generation_id)
 
     async def unpause(generation_id: str) -> bool:
-        return reach().unpause(generation_id)
+        return get_live_engine().unpause(generation_id)
 
     async def cancel(generation_id: str) -> bool | None:
-        return reach().cancel(generation_id)
+        return get_live_engine().cancel(generation_id)
 
     async def read_load() -> core.RunnerLoad:
-        engine = reach()
+        engine = get_live_engine()
         load = core.RunnerLoad(
             memory_total=engine.spec.memory_tokens,
             memory_used=engine.memory_used,
@@ -109,13 +109,13 @@
 
     async def read_cache_events(after: int) -> AsyncIterator[core.CacheEvent]:
         while True:
-            for number, what, prefix_hash in reach().cache_events[after:]:
+            for number, what, prefix_hash in get_live_engine().cache_events[after:]:
                 after = number
                 yield core.CacheEvent(number, what == "stored", prefix_hash)
             await asyncio.sleep(0.5)
 
     async def give_order(order: core.Order) -> list[str]:
-        reach()
+        get_live_engine()
         (models.append if order.action == "load" else models.remove)(order.model)
         return list(models)
 
--- a/tillerlane/testing/fleet_scenes.py
+++ b/tillerlane/testing/fleet_scenes.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes, as the base of test cases."""
+"""Base class for test cases on a small fleet of real processes."""
 
 import json
 import os
@@ -44,7 +44,7 @@
 
 
 class FleetCase(unittest.TestCase):
-    """One keeper, two entries, two agents, two runners and a service."""
+    """Test case with one keeper, two entries, two agents, two runners and a service."""
 
     fleet: deployment.Fleet
     folder: tempfile.TemporaryDirectory[str]
--- a/tillerlane/testing/lab.py
+++ b/tillerlane/testing/lab.py
@@ -1,7 +1,7 @@
-"""Daemons in one event loop with virtual time: the code that runs in production, unchanged.
+"""Production daemons, unchanged, in one event loop with virtual time.
 
-Only the edges are stand-ins: connections in memory that can be cut, disks that can fail, engines
-that can die.  Counts come out the same on every run.
+Only the external dependencies are simulated: in-memory connections that can be cut, disks that can
+fail, engines that can be killed. Runs are deterministic.
 """
 
 import asyncio
@@ -28,13 +28,13 @@
 
 
 def new_loop() -> asyncio.AbstractEventLoop:
-    """An event loop with virtual time; the same draws on every run."""
+    """Create an event loop with virtual time and seed the random numbers."""
     random.seed(0)
     return async_solipsism.EventLoop()
 
 
 def close_loop(loop: asyncio.AbstractEventLoop) -> None:
-    """End what still runs in a loop, without a word."""
+    """Cancel the remaining tasks of a loop silently, and close it."""
     loop.set_exception_handler(lambda loop, context: None)
     for task in asyncio.all_tasks(loop):
         task.cancel()
@@ -55,13 +55,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """What a caller got; times of the event loop in seconds."""
+    """What a caller received; times are event-loop times in seconds."""
 
     request: requests.Request
     sent_at: float
     texts: list[str] = dataclasses.field(default_factory=list)
     times: list[float] = dataclasses.field(default_factory=list)
-    """Arrival of each token."""
+    """Arrival time of each token."""
     generation_ids: list[str] = dataclasses.field(default_factory=list)
     offsets_in_order: bool = True
     fault: faults.Fault | None = None
@@ -69,7 +69,7 @@
     ended_at: float = 0.0
 
     def take(self, item: relay.Piece | relay.Ending, now: float) -> None:
-        """Take what the entry gives, and check it as a caller can."""
+        """Handle an item from the entry, with the checks that a caller can do."""
         if item.generation_id not in self.generation_ids:
             self.generation_ids.append(item.generation_id)
         if isinstance(item, relay.Ending):
@@ -80,8 +80,8 @@
         self.times.extend([now] * len(item.texts))
 
     @property
-    def is_right(self) -> bool:
-        """Whether every token is the one that its generation must have at its offset."""
+    def is_correct(self) -> bool:
+        """Whether every token is the one expected for its generation and offset."""
         if len(self.generation_ids) > 1 or not self.offsets_in_order:
             return False
         expected = [
@@ -91,13 +91,13 @@
 
 
 async def run_directly(work: Any, *arguments: Any) -> Any:
-    """Run a blocking function at once; a sync of the disk takes two milliseconds."""
+    """Run a blocking function in the event loop, with a simulated disk latency of two ms."""
     await asyncio.sleep(0.002)
     return work(*arguments)
 
 
 async def _read_answer(answer: Answer, items: Any) -> Answer:
-    """Read an answer to its end or fault."""
+    """Read a response until it ends or fails."""
     loop = asyncio.get_running_loop()
     try:
         async for item in items:
@@ -118,11 +118,11 @@
     document : dict
         The configuration to apply.
     keepers, entries : int
-        How many of each.
+        Number of daemons of each role.
     spec : engines.EngineSpec, optional
-        All fake engines.
+        Parameters of all simulated engines.
     seed : int
-        For all that is drawn.
+        Seed of all random numbers.
     """
 
     def __init__(
@@ -200,24 +200,23 @@
         self.plans[name] = settings.Settings.model_validate(values)
         self.network.names[address] = name
 
-    # Life
-
+    # Lifecycle
     async def start(self, *names: str) -> None:
-        """Start engines and daemons, all of them by default."""
+        """Start the named daemons; by default all engines and daemons."""
         for target in [] if names else self._models:
             self.start_engine(target)
         for name in names or self.plans:
             await self.start_daemon(name)
 
     def start_engine(self, target: str) -> engines.Engine:
-        """Start a fresh engine in a target's place."""
+        """Start a new engine for a target, replacing the previous one."""
         engine = engines.Engine(self._spec, self._get_length)
         self.engines[target] = engine
         self._engine_tasks[target] = asyncio.create_task(engine.run())
         return engine
 
     def kill_engine(self, target: str) -> None:
-        """Kill a runner: its generations are gone and its readers learn of it."""
+        """Kill a runner, losing its generations and waking their readers."""
         engine = self.engines[target]
         assert engine is not None
         engine.dead = True
@@ -238,19 +237,19 @@
         return client
 
     async def start_daemon(self, name: str) -> daemons.Daemon:
-        """Start one daemon, on the disk that it had before if any."""
+        """Start a daemon, on its previous disk if it had one."""
         loop = asyncio.get_running_loop()
         disk = self.disks.setdefault(name, memory_disk.MemoryDisk(random.Random(self._seed)))
-        around = daemons.Surroundings(
+        surroundings = daemons.Surroundings(
             connect=self._connect,
             open_disk=lambda folder: disk.as_disk(),
             run_blocking=run_directly,
             open_connection=self.network.connect_as(name),
             now=lambda: WALL_BEGIN + loop.time(),
-            rng=random.Random(texts.seed_of(f"{self._seed} {name}")),
+            rng=random.Random(texts.compute_seed(f"{self._seed} {name}")),
             **self._rules,
         )
-        daemon = daemons.Daemon(self.plans[name], around)
+        daemon = daemons.Daemon(self.plans[name], surroundings)
         queries.register_queries(daemon)
         self.daemons[name] = daemon
         if daemon.agent is not None and self._get_length_model is not None:
@@ -259,7 +258,7 @@
         return daemon
 
     async def kill(self, name: str, *, torn: bool = False) -> None:
-        """Kill a daemon: nothing more is sent, what was not synced is lost."""
+        """Kill a daemon; nothing more is sent, and unsynced data is lost."""
         daemon = self.daemons.pop(name)
         await daemon.stop()
         await asyncio.sleep(0)
@@ -271,11 +270,11 @@
         await self.start_daemon(name)
 
     async def settle(self, seconds: float = 3.0) -> None:
-        """Let time pass."""
+        """Wait for the fleet to settle."""
         await asyncio.sleep(seconds)
 
     async def begin(self) -> None:
-        """Start everything and have the configuration in force everywhere."""
+        """Start everything and wait until the configuration is in force everywhere."""
         await self.start()
         await self.settle(3.0)
         await self.apply(self.document, 0, "c-lab-first")
@@ -284,13 +283,13 @@
     async def apply(
         self, document: dict[str, Any], against: int, change_id: str, name: str = ""
     ) -> dict[str, Any]:
-        """Submit a change at a daemon, the first entry by default."""
+        """Submit a change to a daemon, by default the first entry."""
         body = changes.ChangeBody(against=against, change_id=change_id, document=document)
         daemon = self.daemons[name or next(iter(self.list_role("entry")))]
         return await changes.submit_change(daemon, body, "lab")
 
     def list_role(self, role: str) -> list[str]:
-        """Running daemons of a role."""
+        """List the running daemons of a role."""
         return [name for name, item in self.daemons.items() if role in item.settings.roles]
 
     # Callers
@@ -298,7 +297,7 @@
     def build_request(
         self, workspace: str, class_name: str, prompt: str, *, entry: str = "", key: str = ""
     ) -> requests.Request:
-        """A request as an entry would build it."""
+        """Build a request as an entry does."""
         daemon = self.daemons[entry or self.list_role("entry")[0]]
         body = requests.CompletionBody(model=class_name, prompt=prompt, stream=True)
         return requests.build_request(
@@ -321,9 +320,9 @@
         key: str = "",
         answer: Answer | None = None,
     ) -> Answer:
-        """Send a request at an entry and read its answer to the end.
+        """Send a request to an entry and read the response to its end.
 
-        Giving an `answer` that has begun resumes it, as a caller does with ``Last-Event-ID``.
+        With a partial `answer`, the stream is resumed, as a caller does with ``Last-Event-ID``.
         """
         loop = asyncio.get_running_loop()
         name = entry or self.list_role("entry")[0]
@@ -337,7 +336,7 @@
         return await _read_answer(answer, items)
 
     def begin_call(self, *words: str, **more: Any) -> tuple[Answer, "asyncio.Task[Answer]"]:
-        """Send a request in the background; its answer grows as tokens come."""
+        """Send a request in the background; its answer is updated as tokens arrive."""
         name = more.pop("entry", "") or self.list_role("entry")[0]
         workspace, class_name, prompt = words
         key = more.get("key", "")
@@ -348,7 +347,7 @@
         return answer, asyncio.create_task(_read_answer(answer, items))
 
     def find_agent(self, generation_id: str) -> str:
-        """Daemon id of the agent that has a generation."""
+        """Return the daemon id of the agent responsible for a generation."""
         target, _ = requests.split_generation_id(generation_id)
         for name, plan in self.plans.items():
             if target in plan.targets:
--- a/tillerlane/testing/memory_disk.py
+++ b/tillerlane/testing/memory_disk.py
@@ -1,6 +1,6 @@
-"""A keeper's disk in memory, with everything that a real one may do wrong.
+"""An in-memory disk for a keeper, which simulates the failures of a real one.
 
-Bytes that were appended and not synced are lost at a crash, or torn: a part of them stays.
+In a crash, bytes that were appended but not synced are lost, completely or in part (a torn write).
 """
 
 import errno
@@ -17,20 +17,20 @@
     Parameters
     ----------
     rng : random.Random
-        Decides where a torn write ends.
+        Determines where a torn write ends.
     """
 
     def __init__(self, rng: random.Random | None = None) -> None:
         self.files: dict[str, bytearray] = {}
         self.synced: dict[str, int] = {}
-        """Bytes of each file that last."""
+        """Number of bytes of each file that are synced."""
         self.syncs = 0
-        self.fails_with: int | None = None
-        """An errno, such as ``errno.ENOSPC``, that every write raises."""
+        self.errno_on_write: int | None = None
+        """Error number, such as ``errno.ENOSPC``, with which every write fails."""
         self._rng = rng or random.Random(0)
 
     def as_disk(self) -> disks.Disk:
-        """The functions that a keeper's storage needs."""
+        """Return the functions that a keeper's storage needs."""
         return disks.Disk(
             self._list_names,
             self._read,
@@ -42,27 +42,27 @@
         )
 
     def crash(self, *, torn: bool = False) -> None:
-        """Lose what was not synced; with `torn`, keep a random part of it."""
+        """Discard unsynced bytes; with `torn`, keep a random part of them."""
         for name in list(self.files):
-            safe = self.synced.get(name, 0)
-            loose = len(self.files[name]) - safe
-            kept = self._rng.randint(0, loose) if torn and loose > 0 else 0
-            del self.files[name][safe + kept :]
-            if not self.files[name] and not safe:
+            synced_bytes = self.synced.get(name, 0)
+            unsynced = len(self.files[name]) - synced_bytes
+            kept = self._rng.randint(0, unsynced) if torn and unsynced > 0 else 0
+            del self.files[name][synced_bytes + kept :]
+            if not self.files[name] and not synced_bytes:
                 del self.files[name]
 
-    def flip(self, name: str, position: int) -> None:
-        """Damage one byte."""
+    def corrupt_byte(self, name: str, position: int) -> None:
+        """Flip all bits of one byte."""
         self.files[name][position] ^= 0xFF
 
     def wipe(self) -> None:
-        """Lose everything: a new disk."""
+        """Delete all files, as if the disk had been replaced."""
         self.files.clear()
         self.synced.clear()
 
     def _check(self) -> None:
-        if self.fails_with is not None:
-            raise OSError(self.fails_with, errno.errorcode[self.fails_with])
+        if self.errno_on_write is not None:
+            raise OSError(self.errno_on_write, errno.errorcode[self.errno_on_write])
 
     def _list_names(self) -> list[str]:
         return sorted(self.files)
--- a/tillerlane/testing/network.py
+++ b/tillerlane/testing/network.py
@@ -1,7 +1,7 @@
-"""Connections in memory that can be cut silently, one way or both, and healed.
+"""In-memory connections that can be partitioned silently, in one direction or both, and healed.
 
-What is sent into a cut waits, as it would in a kernel's buffers, and arrives after the cut heals
-if the connection still lives.
+Data sent into a cut is buffered, as in a kernel's socket buffers, and is delivered after the cut
+has healed if the connection is still open.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 
 class Network:
-    """Decides which pairs of daemons hear each other."""
+    """Determines which pairs of daemons can communicate."""
 
     def __init__(self) -> None:
         self._cuts: set[tuple[str, str]] = set()
@@ -21,33 +21,33 @@
         """Peer address to daemon id."""
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Let nothing more arrive from one daemon at another."""
+        """Block all data from one daemon to another."""
         self._cuts.add((sender, receiver))
 
     def isolate(self, name: str) -> None:
-        """Cut a daemon off from all others, both ways and without a word."""
+        """Partition a daemon from all others in both directions, without closing connections."""
         for other in self.names.values():
             if other != name:
                 self.cut(name, other)
                 self.cut(other, name)
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Remove all cuts."""
         self._cuts.clear()
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Whether nothing gets through."""
+        """Whether data from `sender` to `receiver` is blocked."""
         return (sender, receiver) in self._cuts
 
     async def wait_open(self, sender: str, receiver: str) -> None:
-        """Wait until something gets through."""
+        """Wait until data can pass from `sender` to `receiver`."""
         while self.is_cut(sender, receiver):
             await self._changed.wait()
 
     def connect_as(self, name: str) -> Callable[..., Any]:
-        """``open_connection`` of one daemon."""
+        """Return a replacement of ``asyncio.open_connection`` for one daemon."""
 
         async def open_connection(
             host: str, port: int, **extra: Any
@@ -62,7 +62,7 @@
 
 
 class _Reader:
-    """A stream reader that waits while its direction is cut."""
+    """A stream reader that blocks while its direction is cut."""
 
     def __init__(
         self, network: Network, reader: asyncio.StreamReader, sender: str, receiver: str
@@ -79,7 +79,7 @@
 
 
 class _Writer:
-    """A stream writer that keeps what is written while its direction is cut."""
+    """A stream writer that buffers data while its direction is cut."""
 
     def __init__(
         self, network: Network, writer: asyncio.StreamWriter, sender: str, receiver: str
@@ -110,7 +110,7 @@
         return self._writer.get_extra_info(name)
 
     def close(self) -> None:
-        """Close; through a cut the other side does not hear of it."""
+        """Close; during a cut, the other side is only notified after it has healed."""
         if self._flushing is not None:
             self._flushing.cancel()
         if not self._network.is_cut(*self._pair):
--- a/tillerlane/testing/profiles.py
+++ b/tillerlane/testing/profiles.py
@@ -1,4 +1,4 @@
-"""Settings of the randomized tests: fixed examples in CI, random and many with ``make fuzz``."""
+"""Settings of the randomized tests: fixed examples in CI, more and random ones in ``make fuzz``."""
 
 import os
 
@@ -11,23 +11,23 @@
 
 
 def choose(examples: int, steps: int = 50) -> hypothesis.settings:
-    """Settings for a test.
+    """Build the settings of a test.
 
     Parameters
     ----------
     examples : int
-        Examples in CI; `FUZZ_FACTOR` times as many with random seeds under ``make fuzz``.
+        Number of examples in CI; ``make fuzz`` runs `FUZZ_FACTOR` times as many, with random seeds.
     steps : int
-        Steps of a stateful test.
+        Number of steps of a stateful test.
     """
-    fuzzing = bool(os.environ.get(FUZZ_VARIABLE))
+    is_fuzzing = bool(os.environ.get(FUZZ_VARIABLE))
     phases = [hypothesis.Phase.explicit, hypothesis.Phase.generate]
     return hypothesis.settings(
-        derandomize=not fuzzing,
-        max_examples=examples * (FUZZ_FACTOR if fuzzing else 1),
+        derandomize=not is_fuzzing,
+        max_examples=examples * (FUZZ_FACTOR if is_fuzzing else 1),
         stateful_step_count=steps,
         deadline=None,
-        phases=[*phases, hypothesis.Phase.shrink] if fuzzing else phases,
+        phases=[*phases, hypothesis.Phase.shrink] if is_fuzzing else phases,
         database=None,
         print_blob=True,
         suppress_health_check=list(hypothesis.HealthCheck),
--- a/tillerlane/testing/reference.py
+++ b/tillerlane/testing/reference.py
@@ -1,4 +1,4 @@
-"""Writes ``docs/reference.md`` from the code, so that the two cannot drift apart."""
+"""Generates ``docs/reference.md`` from the code; a test checks that it is up to date."""
 
 import pathlib
 import types
@@ -17,32 +17,32 @@
 PATH = ROOT / "docs" / "reference.md"
 
 
-def _write_row(*cells: Any) -> str:
+def _format_row(*cells: Any) -> str:
     return "| " + " | ".join(str(cell).replace("|", "\\|") for cell in cells) + " |"
 
 
-def _write_table(titles: list[str], rows: list[list[Any]]) -> list[str]:
-    head = [_write_row(*titles), _write_row(*["---"] * len(titles))]
-    return [*head, *(_write_row(*row) for row in rows), ""]
+def _format_table(titles: list[str], rows: list[list[Any]]) -> list[str]:
+    head = [_format_row(*titles), _format_row(*["---"] * len(titles))]
+    return [*head, *(_format_row(*row) for row in rows), ""]
 
 
-def _name_type(annotation: Any) -> str:
+def _format_type(annotation: Any) -> str:
     if annotation is type(None):
         return "null"
     origin = typing.get_origin(annotation)
     if origin is typing.Annotated:
-        return _name_type(typing.get_args(annotation)[0])
+        return _format_type(typing.get_args(annotation)[0])
     arguments = typing.get_args(annotation)
     if origin is list:
-        return f"list of {_name_type(arguments[0])}"
+        return f"list of {_format_type(arguments[0])}"
     if origin is dict:
-        return f"map of {_name_type(arguments[1])}"
+        return f"map of {_format_type(arguments[1])}"
     if origin in (typing.Union, types.UnionType):
-        return " or ".join(_name_type(argument) for argument in arguments)
+        return " or ".join(_format_type(argument) for argument in arguments)
     return getattr(annotation, "__name__", str(annotation))
 
 
-def _write_default(field: Any) -> str:
+def _format_default(field: Any) -> str:
     if field.is_required():
         return "required"
     if isinstance(field.default, pydantic.BaseModel):
@@ -51,9 +51,9 @@
     return f"`{value.value if hasattr(value, 'value') else value!r}`"
 
 
-def _write_model(model: type[pydantic.BaseModel]) -> list[str]:
+def _format_model(model: type[pydantic.BaseModel]) -> list[str]:
     rows = [
-        [f"`{name}`", _name_type(field.annotation), _write_default(field)]
+        [f"`{name}`", _format_type(field.annotation), _format_default(field)]
         for name, field in model.model_fields.items()
     ]
     summary = (model.__doc__ or "").strip().splitlines()[0]
@@ -62,12 +62,12 @@
         "",
         summary,
         "",
-        *_write_table(["key", "type", "default"], rows),
+        *_format_table(["key", "type", "default"], rows),
     ]
 
 
 def build_reference() -> str:
-    """The whole page."""
+    """Build the text of the page."""
     lines = [
         "# Reference",
         "",
@@ -83,7 +83,7 @@
         [f"`{kind}`", row.status, row.ran.value, row.retry.value, row.exit_code, row.meaning]
         for kind, row in kinds.ANSWERS.items()
     ]
-    lines += _write_table(["kind", "status", "ran", "retry", "exit code", "meaning"], rows)
+    lines += _format_table(["kind", "status", "ran", "retry", "exit code", "meaning"], rows)
     lines += ["## Policy expressions", ""]
     rows = [
         [
@@ -94,19 +94,19 @@
         ]
         for name, item in facts.EXPRESSIONS.items()
     ]
-    lines += _write_table(["expression", "gives", "meaning", "facts"], rows)
+    lines += _format_table(["expression", "gives", "meaning", "facts"], rows)
     lines += ["## Policy facts", "", "Numbers are CEL doubles: write `2.0`, not `2`.", ""]
     names = {float: "number", bool: "true or false", str: "text"}
     rows = [[f"`{name}`", names[fact.type], fact.meaning] for name, fact in facts.FACTS.items()]
-    lines += _write_table(["fact", "type", "meaning"], rows)
+    lines += _format_table(["fact", "type", "meaning"], rows)
     lines += ["## Settings of a daemon", ""]
     for model in (settings.Settings, settings.Target, settings.Tls):
-        lines += _write_model(model)
+        lines += _format_model(model)
     lines += ["## Configuration of the fleet", ""]
     models = [documents.Document, *documents.KINDS.values()]
     models += [documents.Limits, documents.Runner, documents.PolicyExample]
     for model in models:
-        lines += _write_model(model)
+        lines += _format_model(model)
     return "\n".join(lines).rstrip() + "\n"
 
 
--- a/tillerlane/testing/runner_program.py
+++ b/tillerlane/testing/runner_program.py
@@ -1,6 +1,6 @@
-"""Fake runner as a program: the engine of `tillerlane.testing.engine` behind HTTP and SSE.
+"""Program of a fake runner: the engine of `tillerlane.testing.engine` behind HTTP and SSE.
 
-Its forms are those that `tillerlane.runners.sse_runner` speaks.
+It implements the protocol of `tillerlane.runners.sse_runner`.
 """
 
 import argparse
@@ -22,11 +22,11 @@
 LOAD_LAG_SECONDS = 0.25
 CACHE_EVENT_LAG_SECONDS = 0.5
 CACHE_EVENT_LOSS = 0.05
-"""Share of cache events that are never published: a gap in the numbers."""
+"""Share of cache events that are never published, which leaves gaps in their numbers."""
 
 
 class RunnerState:
-    """The engine, its lagging reports and the orders it has obeyed."""
+    """The engine, its delayed load report and the orders that it has executed."""
 
     def __init__(self, engine: engines.Engine, models: list[str], checks_fence: bool) -> None:
         self.engine = engine
@@ -38,7 +38,7 @@
         self.load: dict[str, Any] = self.read_load()
 
     def read_load(self) -> dict[str, Any]:
-        """Load as it is now."""
+        """Return the current load."""
         engine = self.engine
         return {
             "memory_total": engine.spec.memory_tokens,
@@ -52,7 +52,7 @@
         }
 
     async def publish_load(self) -> None:
-        """Refresh the report, late."""
+        """Update the load report with a delay of `LOAD_LAG_SECONDS`."""
         while True:
             seen = self.read_load()
             await asyncio.sleep(LOAD_LAG_SECONDS)
@@ -87,7 +87,7 @@
 
 
 def build_app(state: RunnerState) -> litestar.Litestar:
-    """The runner's HTTP interface."""
+    """Build the runner's HTTP interface."""
 
     @litestar.post("/v1/generations", status_code=200)
     async def start(data: dict[str, Any]) -> response.Stream | litestar.Response[dict[str, Any]]:
@@ -180,7 +180,7 @@
 
 
 async def _publish_cache(state: RunnerState, after: int) -> AsyncIterator[bytes]:
-    losses = random.Random(texts.seed_of("cache events"))
+    losses = random.Random(texts.compute_seed("cache events"))
     while True:
         await asyncio.sleep(CACHE_EVENT_LAG_SECONDS)
         for number, what, prefix_hash in state.engine.cache_events[after:]:
@@ -191,7 +191,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Arguments of the program."""
+    """Build the parser of the program's arguments."""
     parser = argparse.ArgumentParser(description="Fake runner for tests and the demo.")
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--models", default="skrivestue-1")
@@ -205,7 +205,7 @@
 
 
 def main() -> None:
-    """Run the fake runner until it is ended."""
+    """Run the fake runner until it is terminated."""
     arguments = build_parser().parse_args()
     spec = engines.EngineSpec(
         memory_tokens=arguments.memory_tokens,
--- a/tillerlane/testing/scenes.py
+++ b/tillerlane/testing/scenes.py
@@ -1,4 +1,4 @@
-"""A small configuration, and checks that many tests in virtual time share."""
+"""A small configuration and shared checks for tests in virtual time."""
 
 import asyncio
 import logging
@@ -14,7 +14,10 @@
 
 
 def build_document(**classes: Any) -> dict[str, Any]:
-    """Two runners in two halls, two workspaces; `classes` change or add classes of work."""
+    """Build a configuration with two runners in two data halls and two workspaces.
+
+    `classes` changes or adds request classes.
+    """
     base = {"pool": "pool", "model": "m", "max_tokens": 400, "deadline_seconds": 120}
     named = {
         "record": base,
@@ -40,11 +43,11 @@
 
 
 class SceneCase(unittest.TestCase):
-    """Test case whose scenes run in virtual time."""
+    """Base class of tests that run scenarios in virtual time."""
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Keep logs out of the test's output."""
+        """Keep logs out of the test output."""
         structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
 
     def play(
@@ -53,7 +56,7 @@
         document: dict[str, Any] | None = None,
         **options: Any,
     ) -> None:
-        """Run a scene in a fleet of one keeper and two entries, or as the options say."""
+        """Run a scenario on a fleet, by default of one keeper and two entries."""
 
         async def run() -> None:
             given = {"keepers": 1, "entries": 2, **options}
@@ -64,15 +67,15 @@
         lab.run_virtual(run())
 
     def check_whole(self, answer: lab.Answer) -> None:
-        """The answer is whole, in order, and from a single generation."""
+        """Check that the response is complete, in order, and from a single generation."""
         self.assertIsNone(answer.fault)
         self.assertTrue(answer.ended, f"ended after {len(answer.texts)} tokens")
-        self.assertTrue(answer.is_right, answer.texts[:20])
+        self.assertTrue(answer.is_correct, answer.texts[:20])
 
     async def begin_record(
         self, stage: lab.Lab, prompt: str = "a long record", class_name: str = "record"
     ) -> tuple[lab.Answer, "asyncio.Task[lab.Answer]"]:
-        """A call of which some tokens have come."""
+        """Start a call and wait until some of its tokens have arrived."""
         answer, task = stage.begin_call("katalog", class_name, prompt)
         while not answer.texts and not task.done():
             await asyncio.sleep(0.02)
--- a/tillerlane/testing/selectors.py
+++ b/tillerlane/testing/selectors.py
@@ -1,4 +1,4 @@
-"""Selectors of targets without an entry around them."""
+"""Target selectors for tests, without an entry."""
 
 import random
 
@@ -11,9 +11,9 @@
 def build_selector(
     directory: directories.Directory, used: usage.Usage, data_hall: str, now: float
 ) -> selection.Selector:
-    """The selector of an entry at one moment, on its directory and its counts of usage."""
+    """Build a selector at a fixed time, from a directory of targets and usage counts."""
 
-    def read_time() -> float:
+    def get_time() -> float:
         return now
 
     entry = "entry-1"
@@ -21,8 +21,8 @@
         directory,
         used,
         cold.ColdLimiter(entry, cold.ColdBounds(1.5, 5.0)),
-        permits.Permits(entry, limits.Limits(), read_time),
-        backoff.Backoffs(read_time),
-        read_time,
+        permits.Permits(entry, limits.Limits(), get_time),
+        backoff.Backoffs(get_time),
+        get_time,
     )
-    return selection.Selector(directory, used, available, data_hall, random.Random(1), read_time)
+    return selection.Selector(directory, used, available, data_hall, random.Random(1), get_time)
--- a/tillerlane/testing/service_program.py
+++ b/tillerlane/testing/service_program.py
@@ -1,4 +1,4 @@
-"""Fake plain service as a program: it counts what it ran, by the caller's own reference."""
+"""Program of a fake plain service, which counts its runs by the caller's reference."""
 
 import argparse
 import asyncio
@@ -10,7 +10,7 @@
 
 
 def build_app() -> litestar.Litestar:
-    """The service's HTTP interface; ``delay`` in the body (seconds) makes a call slow."""
+    """Build the service's HTTP interface; ``delay`` in a body (seconds) delays the response."""
     ran: collections.Counter[str] = collections.Counter()
 
     @litestar.post("/orders", status_code=201)
@@ -33,7 +33,7 @@
 
 
 def main() -> None:
-    """Run the fake service until it is ended."""
+    """Run the fake service until it is terminated."""
     parser = argparse.ArgumentParser(description="Fake plain service for tests and the demo.")
     parser.add_argument("--port", type=int, required=True)
     arguments = parser.parse_args()
--- a/tillerlane/testing/soak.py
+++ b/tillerlane/testing/soak.py
@@ -1,7 +1,8 @@
-"""One bounded run of real processes under load, changes and kill -9, decided by the checker.
+"""A bounded soak test of real processes under load, configuration changes and SIGKILL.
 
-Three keepers, two entries, four agents; singly and in pairs, without a word.  Takes about
-``--seconds`` and a little more; ends with 0 if no promise was broken.
+The fleet has three keepers, two entries and four agents; one or two daemons at a time are killed
+without warning. The run takes slightly more than ``--seconds``; the exit status is 0 if the checker
+found no broken guarantee.
 """
 
 import argparse
@@ -27,11 +28,11 @@
 HALLS = ("hall-a", "hall-b", "hall-c", "hall-d")
 STREAM_WORKERS = 10
 CALL_WORKERS = 4
-CHANGE_SECONDS = 0.2
-KILL_SECONDS = 2.5
-DOWN_SECONDS = 0.8
-RESENDS = 4
-MOST_RESUMES = 12
+CHANGE_INTERVAL_SECONDS = 0.2
+KILL_INTERVAL_SECONDS = 2.5
+DOWNTIME_SECONDS = 0.8
+MAX_ATTEMPTS = 4
+MAX_RESUMES = 12
 DOCUMENT: dict[str, Any] = {
     "fleet": {"detached_seconds": 20},
     "workspaces": {"w": {"keys": [documents.hash_key(KEY)]}, "marked": {}},
@@ -49,14 +50,14 @@
 
 
 class Soak:
-    """One run.
+    """One run of the soak.
 
     Parameters
     ----------
     fleet : deployment.Fleet
         The processes.
     seed : int
-        For who is killed and where callers go.
+        Determines which daemons are killed and which entries callers use.
     """
 
     def __init__(self, fleet: deployment.Fleet, seed: int) -> None:
@@ -67,7 +68,7 @@
         self._entries = [fleet.plan.get_http(name) for name in fleet.plan.list_role("entry")]
         self._number = 0
         self._version = 1
-        self._done = asyncio.Event()
+        self._stopping = asyncio.Event()
         self._client = httpx.AsyncClient(timeout=30, trust_env=False)
 
     def _next(self) -> int:
@@ -77,15 +78,15 @@
     # Callers
 
     async def run_streams(self) -> None:
-        """Streams one after the other, resumed at any entry when a connection breaks."""
-        while not self._done.is_set():
+        """Run streams one after another, resuming at any entry when a connection breaks."""
+        while not self._stopping.is_set():
             stream = checker.StreamRecord()
             self.seen.streams.append(stream)
             await self._run_stream(stream, f"page {self._next()}")
 
     async def _run_stream(self, stream: checker.StreamRecord, prompt: str) -> None:
         last_event = ""
-        for _ in range(MOST_RESUMES):
+        for _ in range(MAX_RESUMES):
             entry = self._rng.choice(self._entries)
             try:
                 await self._read_stream(stream, entry, prompt, last_event)
@@ -108,25 +109,30 @@
         async with self._client.stream("POST", url, json=body, headers=headers) as answer:
             if answer.status_code != 200:
                 await answer.aread()
-                self._take_refusal(stream, answer.json()["error"], bool(last_event))
+                self._handle_refusal(stream, answer.json()["error"], bool(last_event))
                 return
             event_id = ""
             async for line in answer.aiter_lines():
                 if line.startswith("id: "):
                     event_id = line[4:]
                 elif line.startswith("data: {"):
-                    self._take_event(stream, event_id, json.loads(line[6:]))
+                    self._handle_event(stream, event_id, json.loads(line[6:]))
 
-    def _take_refusal(
+    def _handle_refusal(
         self, stream: checker.StreamRecord, error: dict[str, Any], resumed: bool
     ) -> None:
-        """A refusal ends the stream, but for one that a later try may lift."""
-        may_pass = error["type"] in ("no_capacity", "unreachable", "not_found", "unauthenticated")
-        if not may_pass:
+        """Record a refusal as the end of the stream, unless a retry may succeed."""
+        can_retry = error["type"] in (
+            "no_capacity",
+            "unreachable",
+            "not_found",
+            "unauthenticated",
+        )
+        if not can_retry:
             stream.fault_kind = error["type"]
             stream.fault_ran = "" if resumed else error["ran"]
 
-    def _take_event(
+    def _handle_event(
         self, stream: checker.StreamRecord, event_id: str, event: dict[str, Any]
     ) -> None:
         if "error" in event:
@@ -142,17 +148,17 @@
         stream.pieces.append((generation, int(offset) - len(pieces), pieces))
 
     async def run_calls(self) -> None:
-        """Calls that must not be repeated, resent with their key when no answer came."""
-        while not self._done.is_set():
+        """Send non-idempotent calls, retried with their idempotency key without a response."""
+        while not self._stopping.is_set():
             call = checker.CallRecord(f"order-{self._next()}")
             self.seen.calls.append(call)
-            for _ in range(RESENDS):
+            for _ in range(MAX_ATTEMPTS):
                 if await self._send_call(call):
                     break
                 await asyncio.sleep(0.3)
 
     async def _send_call(self, call: checker.CallRecord) -> bool:
-        """Send a call; whether its fate is settled."""
+        """Send a call; return whether it is known to have run."""
         headers = {"authorization": f"Bearer {KEY}", "idempotency-key": call.reference}
         url = self._rng.choice(self._entries) + "/services/orders/orders"
         body = {"reference": call.reference, "delay": 0.05}
@@ -168,16 +174,16 @@
     # Operators
 
     async def run_changes(self) -> None:
-        """A change every fifth of a second, resent under its id until it has an answer."""
-        while not self._done.is_set():
+        """Submit changes periodically, retried under their id until there is a response."""
+        while not self._stopping.is_set():
             change_id = f"soak-change-{self._next()}"
             document = copy.deepcopy(DOCUMENT)
             document["workspaces"]["marked"]["weight"] = 1.0 + self._number / 1e6
             body = {"against": self._version, "change_id": change_id, "document": document}
-            for _ in range(RESENDS):
+            for _ in range(MAX_ATTEMPTS):
                 if await self._send_change(body):
                     break
-            await asyncio.sleep(CHANGE_SECONDS)
+            await asyncio.sleep(CHANGE_INTERVAL_SECONDS)
 
     async def _send_change(self, body: dict[str, Any]) -> bool:
         headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
@@ -198,8 +204,8 @@
         return False
 
     async def watch_versions(self) -> None:
-        """Note the versions that daemons say are in force."""
-        while not self._done.is_set():
+        """Record the versions that daemons report to be in force."""
+        while not self._stopping.is_set():
             for name in self.fleet.plan.daemons:
                 version = await self._read_version(name)
                 if version is not None:
@@ -207,7 +213,7 @@
             await asyncio.sleep(0.2)
 
     async def _read_version(self, name: str) -> int | None:
-        """Version in force; a daemon that has just started has none yet."""
+        """Read the version in force; None if a daemon has just started or does not respond."""
         headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
         url = self.fleet.plan.get_http(name) + "/admin/self"
         try:
@@ -216,43 +222,42 @@
         except (httpx.HTTPError, OSError, ValueError, KeyError):
             return None
 
-    # Trouble
-
-    async def kill_in_a_loop(self) -> None:
-        """Kill one or two daemons, start them again, and so on."""
-        while not self._done.is_set():
-            await asyncio.sleep(KILL_SECONDS)
+    # Faults
+    async def kill_periodically(self) -> None:
+        """Periodically kill and restart one or two daemons."""
+        while not self._stopping.is_set():
+            await asyncio.sleep(KILL_INTERVAL_SECONDS)
             names = self._rng.sample(sorted(self.fleet.plan.daemons), self._rng.choice((1, 2)))
             for name in names:
                 self.fleet.kill(name)
                 self.kills += 1
-            await asyncio.sleep(DOWN_SECONDS)
+            await asyncio.sleep(DOWNTIME_SECONDS)
             for name in names:
                 self.fleet.start(name)
 
     # The run
 
     async def run(self, seconds: float) -> list[str]:
-        """Run everything, let it come to rest, and give what was broken."""
+        """Run the soak, let the fleet settle, and return the broken guarantees."""
         work = [self.run_changes(), self.watch_versions()]
         work += [self.run_streams() for _ in range(STREAM_WORKERS)]
         work += [self.run_calls() for _ in range(CALL_WORKERS)]
         tasks = [asyncio.create_task(item) for item in work]
-        killer = asyncio.create_task(self.kill_in_a_loop())
+        killer = asyncio.create_task(self.kill_periodically())
         await asyncio.sleep(seconds)
-        self._done.set()
+        self._stopping.set()
         await killer
         await asyncio.wait(tasks, timeout=60)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await asyncio.sleep(5)
-        await self._read_end()
+        await self._read_final_state()
         await self._client.aclose()
         return checker.check(self.seen)
 
-    async def _read_end(self) -> None:
-        """Read what the fakes and the keepers have at the end."""
+    async def _read_final_state(self) -> None:
+        """Read the final state of the fake service and the daemons."""
         record = await self._client.get(self.fleet.plan.urls["orders-1"] + "/test/record")
         self.seen.times_run = record.json()
         headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
@@ -268,9 +273,10 @@
 
 
 def split_tokens(text: str, generation: str, next_offset: int) -> list[str]:
-    """Split a joined text into the tokens that it must consist of; else it stays one wrong token.
+    """Split a text into its expected tokens; return it as a single wrong token if that fails.
 
-    The number of tokens is not told, so it is found by taking foretold tokens from the end.
+    The number of tokens is not transmitted, so expected tokens are removed from the end until the
+    text is empty.
     """
     found: list[str] = []
     rest = text
@@ -286,7 +292,7 @@
 
 
 def start_fleet() -> deployment.Fleet:
-    """Processes of a run."""
+    """Start the processes of a run."""
     folder = ROOT / "out" / "soak"
     shutil.rmtree(folder, ignore_errors=True)
     options = ["--median-tokens", "120", "--step-ms", "20"]
@@ -302,7 +308,7 @@
 
 
 def main() -> None:
-    """Run once and print what was seen."""
+    """Run the soak once and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=1)
--- a/tillerlane/testing/suspended_program.py
+++ b/tillerlane/testing/suspended_program.py
@@ -1,27 +1,28 @@
-"""The platform's program on a host that can be suspended: ``suspended_program ROLE``.
+"""The platform's program on a simulated host that can be suspended: ``suspended_program ROLE``.
 
-A stop signal stands for the suspension.  It leaves all clocks running, so the steady one is put
-behind by the time for which the process did not run, as the kernel's is on a suspended host.
+A stop signal simulates the suspension. Since clocks continue to run during it, the time for which
+the process did not run is subtracted from the monotonic clock, which on Linux does not advance
+while the host is suspended.
 """
 
 import time
 
 from tillerlane.platform import main as programs
 
-LEAST_SECONDS = 0.8
-"""Shortest time without a reading that counts as a suspension: these processes look at the clock
-ten times a second at least."""
+MIN_SUSPENSION_SECONDS = 0.8
+"""Minimum gap between two clock readings that counts as a suspension; these processes read the
+clock at least ten times a second."""
 
 
-def stand_still() -> None:
-    """Have the steady clock not count the time of suspensions."""
+def exclude_suspensions() -> None:
+    """Patch the monotonic clock so that it excludes suspensions."""
     read = time.monotonic
     last, skipped = read(), 0.0
 
     def read_steady() -> float:
         nonlocal last, skipped
         now = read()
-        if now - last > LEAST_SECONDS:
+        if now - last > MIN_SUSPENSION_SECONDS:
             skipped += now - last
         last = now
         return now - skipped
@@ -30,5 +31,5 @@
 
 
 if __name__ == "__main__":
-    stand_still()
+    exclude_suspensions()
     programs.main()
--- a/tillerlane/testing/tests/test_check.py
+++ b/tillerlane/testing/tests/test_check.py
@@ -1,4 +1,4 @@
-"""What CI makes of the tests' output."""
+"""Tests of the evaluation of test output by CI."""
 
 import os
 import sys
@@ -22,7 +22,7 @@
 
 
 class KnownRedTest(unittest.TestCase):
-    """Failures that are listed and those that are not."""
+    """Failures that are listed as known, and others."""
 
     def judge(self, text: str, output: str = OUTPUT) -> check.Outcome:
         return check.judge_module("m", 1, output, check.read_known_red(text))
@@ -54,18 +54,18 @@
 
 
 class TimeLimitTest(unittest.TestCase):
-    """A module that does not end."""
+    """A module that exceeds its time limit."""
 
-    @mock.patch.object(check, "MODULE_SECONDS", 1.0)
+    @mock.patch.object(check, "MODULE_TIMEOUT_SECONDS", 1.0)
     def test_what_it_started_ends_with_it_and_what_it_printed_is_kept(self) -> None:
-        """Before, a fleet of eight processes stayed behind."""
+        """Guards against child processes that outlive the module, once a fleet of eight."""
         done = check._run([sys.executable, "-c", SLOW], "slow")
         self.assertEqual(done.returncode, 1)
         self.assertIn("no end in sight", done.stderr)
         first, _, rest = done.stdout.partition("\n")
         self.assertIn("KeyboardInterrupt", rest)
         with self.assertRaises(ProcessLookupError):
-            while True:  # until it is reaped
+            while True:  # until the child has been reaped
                 os.kill(int(first), 0)
                 time.sleep(0.05)
 
--- a/tillerlane/testing/tests/test_checker.py
+++ b/tillerlane/testing/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each kind of broken promise when it is planted."""
+"""Tests of the checker with one broken guarantee of each kind."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 def build_sound() -> checker.Observations:
-    """A run in which every promise was kept."""
+    """Build observations without a broken guarantee."""
     tokens = [texts.make_token("g", offset) for offset in range(6)]
     whole = checker.StreamRecord([("g", 0, tokens[:2]), ("g", 2, tokens[2:])], 6)
     broken_off = checker.StreamRecord([("g", 0, tokens[:3])], None, "generation_lost", "yes")
@@ -26,7 +26,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """One planted fault of each kind."""
+    """The checker reports each kind of broken guarantee."""
 
     def check_found(self, seen: checker.Observations, text: str) -> None:
         problems = checker.check(seen)
@@ -59,7 +59,7 @@
     def test_short_answer_called_whole(self) -> None:
         seen = build_sound()
         seen.streams[0].finished_tokens = 9
-        self.check_found(seen, "ended as whole")
+        self.check_found(seen, "ended as complete")
 
     def test_call_run_twice(self) -> None:
         seen = build_sound()
@@ -69,10 +69,10 @@
     def test_false_not_run(self) -> None:
         seen = build_sound()
         seen.times_run["b"] = 1
-        self.check_found(seen, "said not to have run and ran")
+        self.check_found(seen, "reported as not run but ran")
         seen = build_sound()
         seen.streams[1].fault_ran = "no"
-        self.check_found(seen, "said not to have run after")
+        self.check_found(seen, "reported as not run after")
 
     def test_lost_change(self) -> None:
         seen = build_sound()
@@ -82,7 +82,7 @@
     def test_version_given_twice_or_fallen(self) -> None:
         seen = build_sound()
         seen.changes.append(checker.ChangeRecord("c-3", 3))
-        self.check_found(seen, "given to two changes")
+        self.check_found(seen, "assigned to two changes")
         seen = build_sound()
         seen.versions["entry-1"].append(2)
         self.check_found(seen, "version fell")
--- a/tillerlane/testing/tests/test_docstrings.py
+++ b/tillerlane/testing/tests/test_docstrings.py
@@ -1,4 +1,4 @@
-"""Runs the examples that stand in docstrings."""
+"""Runs the examples in docstrings."""
 
 import doctest
 import importlib
@@ -11,7 +11,7 @@
 def load_tests(
     loader: unittest.TestLoader, tests: unittest.TestSuite, pattern: str | None
 ) -> unittest.TestSuite:
-    """Add the examples of every module that has some."""
+    """Add the docstring examples of every module."""
     for info in pkgutil.walk_packages(tillerlane.__path__, "tillerlane."):
         if ".tests" in info.name:
             continue
--- a/tillerlane/testing/tests/test_reference.py
+++ b/tillerlane/testing/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference page is that of the code; examples are valid; imports keep their direction."""
+"""Tests of the reference page, the example configurations and the import layers."""
 
 import ast
 import pathlib
@@ -26,11 +26,11 @@
     "gateway": {"faults", "timeline", "config", "peers", "keeper", "decisions"},
     "platform": {"faults", "gateway", "keeper", "peers", "timeline"},
 }
-"""Which of the package's folders each folder may use; the others may use all."""
+"""Folders of the package that each folder may import; folders not listed may import all."""
 
 
 class DocumentsTest(unittest.TestCase):
-    """Pages and examples."""
+    """The generated page and the examples."""
 
     def test_reference_is_written_from_the_code(self) -> None:
         self.assertEqual(reference.PATH.read_text(), reference.build_reference())
@@ -42,10 +42,10 @@
 
 
 class ImportsTest(unittest.TestCase):
-    """Domain folders do not reach outwards."""
+    """Inner layers do not import outer ones."""
 
     def read_imports(self, path: pathlib.Path) -> set[str]:
-        """Folders of the package that a module imports."""
+        """Parse the folders of the package that a module imports."""
         found = set()
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("tillerlane."):
