--- a/tillerlane/testing/caller.py
+++ b/tillerlane/testing/caller.py
@@ -64,25 +64,25 @@
     )
     loop = asyncio.get_running_loop()
     began = loop.time()
-    answer = CallerResponse()
+    response = CallerResponse()
     exchange = await http_client.connect(address, CONNECT_TIMEOUT_SECONDS)
     exchange.send(head, body)
     try:
         async with asyncio.timeout(leave_after):
             received = await exchange.read_head()
-            answer.status = received.status
-            answer.headers = {
+            response.status = received.status
+            response.headers = {
                 name.decode().lower(): value.decode() for name, value in received.headers
             }
             while (chunk := await exchange.read_chunk()) is not None:
-                answer.body += chunk
-            answer.is_whole = True
+                response.body += chunk
+            response.is_whole = True
     except (http_client.ExchangeError, TimeoutError):
         pass
     finally:
         exchange.abort()
-    answer.seconds = loop.time() - began
-    return answer
+    response.seconds = loop.time() - began
+    return response
 
 
 def _format_path(route: str) -> bytes:
--- a/tillerlane/testing/checker.py
+++ b/tillerlane/testing/checker.py
@@ -24,10 +24,10 @@
 
 @dataclasses.dataclass(slots=True)
 class CallRecord:
-    """A call that must run at most once; ``answers`` holds (status, ``ran`` or empty)."""
+    """A call that must run at most once; ``responses`` holds (status, ``ran`` or empty)."""
 
     reference: str
-    answers: list[tuple[int, str]] = dataclasses.field(default_factory=list)
+    responses: list[tuple[int, str]] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
@@ -94,9 +94,9 @@
     problems = []
     if times > 1:
         problems.append(f"ran {times} times")
-    if times == 0 and any(status == 201 for status, _ in call.answers):
+    if times == 0 and any(status == 201 for status, _ in call.responses):
         problems.append("reported as run but never ran")
-    reported_not_run = call.answers and all(ran == "no" for _, ran in call.answers)
+    reported_not_run = call.responses and all(ran == "no" for _, ran in call.responses)
     if times > 0 and reported_not_run:
         problems.append("reported as not run but ran")
     return problems
--- a/tillerlane/testing/demo.py
+++ b/tillerlane/testing/demo.py
@@ -61,10 +61,10 @@
     finish = ""
     with httpx.stream(
         "POST", url, json=body, headers=headers, timeout=30, trust_env=False
-    ) as answer:
-        answer.raise_for_status()
-        request_id = answer.headers["x-request-id"]
-        for line in answer.iter_lines():
+    ) as response:
+        response.raise_for_status()
+        request_id = response.headers["x-request-id"]
+        for line in response.iter_lines():
             if not line.startswith("data: ") or line == "data: [DONE]":
                 continue
             choice = json.loads(line[6:])["choices"][0]
--- a/tillerlane/testing/deployment.py
+++ b/tillerlane/testing/deployment.py
@@ -295,10 +295,10 @@
         headers = {"authorization": f"Bearer {OPERATOR_KEY}"}
         url = self.plan.get_http(self.plan.list_role("entry")[0]) + "/admin/config"
         while True:
-            answer = httpx.post(url, json=body, headers=headers, timeout=15, trust_env=False)
-            if answer.status_code != 503 or time.monotonic() > deadline:
-                answer.raise_for_status()
-                return answer.json()
+            response = httpx.post(url, json=body, headers=headers, timeout=15, trust_env=False)
+            if response.status_code != 503 or time.monotonic() > deadline:
+                response.raise_for_status()
+                return response.json()
             time.sleep(0.1)
 
 
--- a/tillerlane/testing/fleet_scenes.py
+++ b/tillerlane/testing/fleet_scenes.py
@@ -73,10 +73,10 @@
         url = self.fleet.plan.get_http("entry-1") + path
         return httpx.post(url, content=content, headers=sent, timeout=20, trust_env=False)
 
-    def check_fault(self, answer: httpx.Response, kind: str, ran: str = "no") -> str:
-        error = answer.json()["error"]
+    def check_fault(self, response: httpx.Response, kind: str, ran: str = "no") -> str:
+        error = response.json()["error"]
         self.assertEqual((error["type"], error["ran"]), (kind, ran), error)
-        self.assertEqual(answer.headers["x-tillerlane-ran"], ran)
+        self.assertEqual(response.headers["x-tillerlane-ran"], ran)
         return error["message"]
 
     def run_cli(self, *words: str, key: str = deployment.OPERATOR_KEY) -> tuple[int, str]:
--- a/tillerlane/testing/platform_checker.py
+++ b/tillerlane/testing/platform_checker.py
@@ -53,7 +53,7 @@
     key: str
     sent_at: float
     ended_at: float = 0.0
-    answer: caller.CallerResponse = dataclasses.field(default_factory=caller.CallerResponse)
+    response: caller.CallerResponse = dataclasses.field(default_factory=caller.CallerResponse)
     entry: str = ""
 
 
@@ -163,7 +163,7 @@
         found.sort(key=lambda run: run.began)
     problems: list[str] = []
     for call in seen.calls:
-        problems += _check_answer(seen, call, runs.get(call.request_id, []))
+        problems += _check_response(seen, call, runs.get(call.request_id, []))
         problems += _check_runs(seen, call, runs.get(call.request_id, []), revoke_seconds)
     known = {call.request_id for call in seen.calls}
     problems += [f"{item}: run without having been requested" for item in runs if item not in known]
@@ -175,30 +175,32 @@
     return problems
 
 
-def _check_answer(
+def _check_response(
     seen: Observations, call: Call, runs: list[platform_runner.RanRequest]
 ) -> list[str]:
-    answer, name = call.answer, call.request_id
-    if answer.status == 200:
+    response, name = call.response, call.request_id
+    if response.status == 200:
         expected = _build_body(seen, call)
-        if answer.is_whole and answer.body != expected:
-            return [f"{name}: whole, but {len(answer.body)} bytes are not its own answer"]
-        if not expected.startswith(answer.body):
+        if response.is_whole and response.body != expected:
+            return [
+                f"{name}: complete, but its {len(response.body)} bytes are not its own response"
+            ]
+        if not expected.startswith(response.body):
             return [f"{name}: events are missing, repeated or another request's"]
-    if answer.status in NOT_RUN_STATUSES and runs and call.route != "price":
-        return [f"{name}: got {answer.status}, which guarantees that it has not run, but it ran"]
-    if answer.status in NOT_RUN_STATUSES and "retry-after" not in answer.headers:
-        return [f"{name}: got {answer.status} without retry-after"]
+    if response.status in NOT_RUN_STATUSES and runs and call.route != "price":
+        return [f"{name}: got {response.status}, which guarantees that it has not run, but it ran"]
+    if response.status in NOT_RUN_STATUSES and "retry-after" not in response.headers:
+        return [f"{name}: got {response.status} without retry-after"]
     is_revoked = call.key in seen.revoked
     if seen.planned_only and not is_revoked:
-        is_refused = answer.status in NOT_RUN_STATUSES
-        is_whole = answer.status == 200 and answer.is_whole
+        is_refused = response.status in NOT_RUN_STATUSES
+        is_whole = response.status == 200 and response.is_whole
         if not is_refused and not is_whole and not _outlasted_stop(seen, call, runs):
             at = f"{call.entry} from {call.sent_at:.2f} to {call.ended_at:.2f}"
-            text = f"{call.route} was cut by planned work, status {answer.status}"
+            text = f"{call.route} was cut by planned work, status {response.status}"
             return [f"{name}: {text}, {at}"]
-    if answer.status in (401, 404) and not is_revoked:
-        return [f"{name}: got {answer.status} though route and key are valid"]
+    if response.status in (401, 404) and not is_revoked:
+        return [f"{name}: got {response.status} though route and key are valid"]
     return []
 
 
@@ -328,18 +330,18 @@
     calls = {call.request_id: call for call in seen.calls}
     problems = []
     for leaving in seen.announced_in_responses:
-        answered: dict[str, float] = {}
+        announced_times: dict[str, float] = {}
         for run in sorted(seen.ran.get(leaving.target_id, []), key=lambda run: run.began):
             call = calls.get(run.request_id)
             if call is None or run.began < leaving.acknowledged_at:
                 continue
-            announced_at = answered.get(call.entry)
+            announced_at = announced_times.get(call.entry)
             is_late = announced_at is not None and call.sent_at > announced_at + drain_seconds
             if is_late and not _is_excused(seen, call.entry, run.began):
                 text = f"got a request of {call.entry} sent at {call.sent_at:.2f}"
                 problems.append(f"{leaving.target_id}: {text}, leaving since {announced_at:.2f}")
-            if run.ended == "whole" and call.answer.status == 200 and call.answer.is_whole:
-                answered.setdefault(call.entry, call.ended_at)
+            if run.ended == "whole" and call.response.status == 200 and call.response.is_whole:
+                announced_times.setdefault(call.entry, call.ended_at)
     return problems
 
 
--- a/tillerlane/testing/platform_soak.py
+++ b/tillerlane/testing/platform_soak.py
@@ -172,7 +172,7 @@
             headers |= {"Model": "m", "Token_Counts": STREAM_TOKENS}
         is_read = route == "price"
         try:
-            call.answer = await caller.call(
+            call.response = await caller.call(
                 entry.front,
                 route,
                 call.request_id,
@@ -440,8 +440,8 @@
 def describe(soak: PlatformSoak) -> str:
     """Summarize a run in one line."""
     calls = soak.seen.calls
-    complete = sum(call.answer.status == 200 and call.answer.is_whole for call in calls)
-    refusals = sum(call.answer.status in platform_checker.NOT_RUN_STATUSES for call in calls)
+    complete = sum(call.response.status == 200 and call.response.is_whole for call in calls)
+    refusals = sum(call.response.status in platform_checker.NOT_RUN_STATUSES for call in calls)
     runs = [run for ran in soak.seen.ran.values() for run in ran]
     resumed = sum(run.is_resumed for run in runs)
     faults = ", ".join(f"{name} {number}" for name, number in sorted(soak.done.items()))
--- a/tillerlane/testing/platform_targets.py
+++ b/tillerlane/testing/platform_targets.py
@@ -383,9 +383,9 @@
 
     async def harm_way(self) -> None:
         """Inject a link fault in front of a target."""
-        await self._harm_way(self._pick_target())
+        await self._inject_link_fault(self._pick_target())
 
-    async def _harm_way(self, target: Target) -> None:
+    async def _inject_link_fault(self, target: Target) -> None:
         with self._record_link_fault(target):
             target.proxy.inject(self._rng.choice(list(forwarder.LinkFault)[1:]))
             await asyncio.sleep(self._rng.uniform(*FAULT_SECONDS))
@@ -429,19 +429,21 @@
         await self.add("llm")
         if leaving.state != "ready":
             return
-        harm = self._rng.choice((self._harm_others, self._harm_leaving, self._break_leaving))
-        tasks = [self._loop.create_task(item) for item in harm(leaving)]
+        inject = self._rng.choice(
+            (self._inject_into_others, self._inject_into_link, self._break_leaving)
+        )
+        tasks = [self._loop.create_task(item) for item in inject(leaving)]
         await self._leave(leaving)
         await asyncio.gather(*tasks)
 
-    def _harm_others(self, leaving: Target) -> Iterator[Awaitable[None]]:
+    def _inject_into_others(self, leaving: Target) -> Iterator[Awaitable[None]]:
         fields = self._rng.choice(({"is_mute": True}, {"reading_seconds": 1.5}))
         for target in list(self._targets.values()):
             if target is not leaving and target.pool == leaving.pool:
                 yield self._misbehave(target, fields)
 
-    def _harm_leaving(self, leaving: Target) -> Iterator[Awaitable[None]]:
-        yield self._harm_way(leaving)
+    def _inject_into_link(self, leaving: Target) -> Iterator[Awaitable[None]]:
+        yield self._inject_link_fault(leaving)
 
     def _break_leaving(self, leaving: Target) -> Iterator[Awaitable[None]]:
         async def break_off() -> None:
--- a/tillerlane/testing/soak.py
+++ b/tillerlane/testing/soak.py
@@ -106,13 +106,13 @@
             headers["last-event-id"] = last_event
         body = {"model": "record", "stream": True, "prompt": prompt}
         url = entry + "/v1/completions"
-        async with self._client.stream("POST", url, json=body, headers=headers) as answer:
-            if answer.status_code != 200:
-                await answer.aread()
-                self._handle_refusal(stream, answer.json()["error"], bool(last_event))
+        async with self._client.stream("POST", url, json=body, headers=headers) as response:
+            if response.status_code != 200:
+                await response.aread()
+                self._handle_refusal(stream, response.json()["error"], bool(last_event))
                 return
             event_id = ""
-            async for line in answer.aiter_lines():
+            async for line in response.aiter_lines():
                 if line.startswith("id: "):
                     event_id = line[4:]
                 elif line.startswith("data: {"):
@@ -163,13 +163,13 @@
         url = self._rng.choice(self._entries) + "/services/orders/orders"
         body = {"reference": call.reference, "delay": 0.05}
         try:
-            answer = await self._client.post(url, json=body, headers=headers)
+            response = await self._client.post(url, json=body, headers=headers)
         except (httpx.HTTPError, OSError):
-            call.answers.append((0, "unknown"))
+            call.responses.append((0, "unknown"))
             return False
-        ran = answer.headers.get("x-tillerlane-ran", "")
-        call.answers.append((answer.status_code, ran))
-        return answer.status_code == 201
+        ran = response.headers.get("x-tillerlane-ran", "")
+        call.responses.append((response.status_code, ran))
+        return response.status_code == 201
 
     # Operators
 
@@ -189,17 +189,17 @@
         headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
         url = self._rng.choice(self._entries) + "/admin/config"
         try:
-            answer = await self._client.post(url, json=body, headers=headers)
+            response = await self._client.post(url, json=body, headers=headers)
         except (httpx.HTTPError, OSError):
             await asyncio.sleep(0.2)
             return False
-        if answer.status_code == 200:
-            version = answer.json()["version"]
+        if response.status_code == 200:
+            version = response.json()["version"]
             self.seen.changes.append(checker.ChangeRecord(body["change_id"], version))
             self._version = max(self._version, version)
             return True
-        if answer.status_code == 409:
-            self._version = max(self._version, answer.json()["error"]["detail"]["version"])
+        if response.status_code == 409:
+            self._version = max(self._version, response.json()["error"]["detail"]["version"])
             return True
         return False
 
@@ -217,8 +217,8 @@
         headers = {"authorization": f"Bearer {deployment.OPERATOR_KEY}"}
         url = self.fleet.plan.get_http(name) + "/admin/self"
         try:
-            answer = await self._client.get(url, headers=headers, timeout=2)
-            return answer.json()["version"] or None
+            response = await self._client.get(url, headers=headers, timeout=2)
+            return response.json()["version"] or None
         except (httpx.HTTPError, OSError, ValueError, KeyError):
             return None
 
@@ -329,7 +329,7 @@
     for stream in seen.streams:
         if stream.fault_kind:
             faults[stream.fault_kind] = faults.get(stream.fault_kind, 0) + 1
-    settled = sum(any(status == 201 for status, _ in call.answers) for call in seen.calls)
+    settled = sum(any(status == 201 for status, _ in call.responses) for call in seen.calls)
     print(f"kills {soak.kills}; streams {len(seen.streams)}, whole {finished}, faults {faults}")
     print(f"calls {len(seen.calls)}, answered {settled}; changes accepted {len(seen.changes)}")
     for problem in problems[:40]:
--- a/tillerlane/testing/tests/test_check.py
+++ b/tillerlane/testing/tests/test_check.py
@@ -31,16 +31,16 @@
         found = self.judge("")
         self.assertEqual((found.passed, found.failed, found.known), (3, 2, ()))
 
-    def test_only_the_listed_test_is_passed_over(self) -> None:
+    def test_only_the_listed_failure_is_skipped(self) -> None:
         found = self.judge("tillerlane.a.tests.test_a.A.test_one: cause; issue 1\n")
         self.assertEqual((found.passed, found.failed), (3, 1))
         self.assertEqual(found.known, ("tillerlane.a.tests.test_a.A.test_one",))
 
-    def test_a_part_of_a_name_passes_nothing_over(self) -> None:
+    def test_partial_name_matches_no_failure(self) -> None:
         found = self.judge("tillerlane.a.tests.test_a: cause; issue 1\ntest_one: cause\n")
         self.assertEqual((found.failed, found.known), (2, ()))
 
-    def test_crash_of_a_module_is_never_passed_over(self) -> None:
+    def test_crash_of_a_module_is_never_skipped(self) -> None:
         found = self.judge("tillerlane.a.tests.test_a.A.test_one: cause", "Segmentation fault")
         self.assertEqual((found.passed, found.failed, found.known), (0, 1, ()))
 
@@ -57,7 +57,7 @@
     """A module that exceeds its time limit."""
 
     @mock.patch.object(check, "MODULE_TIMEOUT_SECONDS", 1.0)
-    def test_what_it_started_ends_with_it_and_what_it_printed_is_kept(self) -> None:
+    def test_child_processes_are_killed_and_output_is_kept(self) -> None:
         """Guards against child processes that outlive the module, once a fleet of eight."""
         done = check._run([sys.executable, "-c", SLOW], "slow")
         self.assertEqual(done.returncode, 1)
--- a/tillerlane/testing/tests/test_checker.py
+++ b/tillerlane/testing/tests/test_checker.py
@@ -41,12 +41,12 @@
         seen.streams[0].pieces[1] = (generation, offset + 1, pieces[1:])
         self.check_found(seen, "lost tokens")
 
-    def test_doubled_token(self) -> None:
+    def test_duplicated_token(self) -> None:
         seen = build_sound()
         seen.streams[0].pieces.insert(1, seen.streams[0].pieces[0])
         self.check_found(seen, "doubled tokens")
 
-    def test_crossed_token(self) -> None:
+    def test_token_of_another_generation(self) -> None:
         seen = build_sound()
         seen.streams[0].pieces[1] = ("g", 2, [texts.make_token("h", n) for n in range(2, 6)])
         self.check_found(seen, "wrong token")
@@ -56,7 +56,7 @@
         seen.streams[0].pieces[1] = ("h", 2, [texts.make_token("h", n) for n in range(2, 6)])
         self.check_found(seen, "2 generations")
 
-    def test_short_answer_called_whole(self) -> None:
+    def test_truncated_stream_reported_as_complete(self) -> None:
         seen = build_sound()
         seen.streams[0].finished_tokens = 9
         self.check_found(seen, "ended as complete")
@@ -79,7 +79,7 @@
         del seen.histories["keeper-1"][2]
         self.check_found(seen, "is lost")
 
-    def test_version_given_twice_or_fallen(self) -> None:
+    def test_version_assigned_twice_or_decreasing(self) -> None:
         seen = build_sound()
         seen.changes.append(checker.ChangeRecord("c-3", 3))
         self.check_found(seen, "assigned to two changes")
--- a/tillerlane/testing/tests/test_platform_soak.py
+++ b/tillerlane/testing/tests/test_platform_soak.py
@@ -46,8 +46,8 @@
 def build_call(request_id: str, route: str, status: int, body: bytes, *, whole: bool = True):
     """Build a call as observed by its caller."""
     headers = {"retry-after": "1"} if status == 503 else {}
-    answer = caller.CallerResponse(status, headers, body, whole)
-    return platform_checker.Call(request_id, route, caller.KEY, 10.0, 12.0, answer)
+    response = caller.CallerResponse(status, headers, body, whole)
+    return platform_checker.Call(request_id, route, caller.KEY, 10.0, 12.0, response)
 
 
 def build_sound() -> platform_checker.Observations:
@@ -98,22 +98,22 @@
         self.assertEqual(self.check(), [])
 
     def test_missing_event(self) -> None:
-        self.seen.calls[1].answer.body = build_stream("b")[30:]
+        self.seen.calls[1].response.body = build_stream("b")[30:]
         self.assert_found("missing, repeated")
 
-    def test_short_stream_that_looks_whole(self) -> None:
-        self.seen.calls[1].answer.is_whole = True
-        self.assert_found("not its own answer")
+    def test_truncated_stream_reported_as_complete(self) -> None:
+        self.seen.calls[1].response.is_whole = True
+        self.assert_found("not its own response")
 
-    def test_another_requests_answer(self) -> None:
-        self.seen.calls[2].answer.body = b"answer to d"
-        self.assert_found("not its own answer")
+    def test_response_of_another_request(self) -> None:
+        self.seen.calls[2].response.body = b"answer to d"
+        self.assert_found("not its own response")
 
     def test_two_runs(self) -> None:
         self.seen.ran["t2"].append(build_run("c", 11.0, 11.1))
         self.assert_found("may run once")
 
-    def test_two_runners_at_once(self) -> None:
+    def test_two_runners_overlap(self) -> None:
         self.seen.ran["t1"][0].ended_at = 11.5
         self.assert_found("two runners worked on it")
 
@@ -121,19 +121,19 @@
         self.seen.ran["t2"].append(build_run("d", 11.0, 11.1))
         self.assert_found("but it ran")
 
-    def test_refused_without_a_time_to_come_back(self) -> None:
-        self.seen.calls[3].answer.headers = {}
+    def test_refused_without_retry_after(self) -> None:
+        self.seen.calls[3].response.headers = {}
         self.assert_found("without retry-after")
 
-    def test_run_that_nobody_asked_for(self) -> None:
+    def test_run_that_was_not_requested(self) -> None:
         self.seen.ran["t2"].append(build_run("x", 11.0, 11.1))
         self.assert_found("run without having been requested")
 
     def test_denied(self) -> None:
-        self.seen.calls[3].answer.status = 404
+        self.seen.calls[3].response.status = 404
         self.assert_found("though route and key are valid")
 
-    def test_key_taken_away(self) -> None:
+    def test_revoked_key(self) -> None:
         self.seen.calls[2].key = "old"
         self.seen.revoked["old"] = 4.0
         self.assert_found("revoked long before")
@@ -153,15 +153,15 @@
         for number in range(12):
             request_id, at = f"limited-{number}", 20.0 + seconds * number / 12
             self.seen.ran["t2"].append(build_run(request_id, at, at + 0.1))
-            answer = b"answer to " + request_id.encode()
-            self.seen.calls.append(build_call(request_id, "order", 200, answer))
+            response = b"answer to " + request_id.encode()
+            self.seen.calls.append(build_call(request_id, "order", 200, response))
             self.seen.calls[-1].entry = "entry-1"
 
-    def test_more_than_the_limit_that_a_target_names(self) -> None:
+    def test_requests_above_the_announced_limit(self) -> None:
         self.send_limited(4.0)
         self.assert_found("got 12 requests in 4 s with a limit of 1.0")
 
-    def test_limit_that_is_kept(self) -> None:
+    def test_requests_within_the_announced_limit(self) -> None:
         self.send_limited(6.0)
         self.assertEqual(self.check(), [])
 
@@ -184,11 +184,11 @@
         self.send_in_backoff(3)
         self.assert_found("asked entry-1 for 3.0 s of back-off at 20.00, got 3 requests")
 
-    def test_backoff_that_is_kept(self) -> None:
+    def test_backoff_that_is_respected(self) -> None:
         self.send_in_backoff(2)
         self.assertEqual(self.check(), [])
 
-    def test_backoff_excuses_entries_that_have_started_again(self) -> None:
+    def test_backoff_excuses_entries_that_have_restarted(self) -> None:
         self.send_in_backoff(3)
         self.seen.entries_ended["entry-1"] = [20.5]
         self.assertEqual(self.check(), [])
@@ -198,20 +198,20 @@
         self.seen.announced_in_responses.append(platform_checker.Leaving("t2", 19.0))
         for request_id, at in (("told", 20.0), ("late", sent_at)):
             self.seen.ran["t2"].append(build_run(request_id, at, at + 0.1))
-            answer = b"answer to " + request_id.encode()
-            self.seen.calls.append(build_call(request_id, "order", 200, answer))
+            response = b"answer to " + request_id.encode()
+            self.seen.calls.append(build_call(request_id, "order", 200, response))
             call = self.seen.calls[-1]
             call.entry, call.sent_at, call.ended_at = "entry-1", at, at + 0.1
 
-    def test_request_after_an_answer_that_says_the_target_leaves(self) -> None:
+    def test_request_after_a_response_that_announces_leaving(self) -> None:
         self.send_to_leaving(22.5)
         self.assert_found("got a request of entry-1 sent at 22.50, leaving since 20.10")
 
-    def test_request_soon_after_an_answer_that_says_the_target_leaves(self) -> None:
+    def test_request_soon_after_a_response_that_announces_leaving(self) -> None:
         self.send_to_leaving(22.0)
         self.assertEqual(self.check(), [])
 
-    def test_version_that_goes_back(self) -> None:
+    def test_version_that_decreases(self) -> None:
         self.seen.in_force["entry-1", 1].append(2)
         self.assert_found("went back from 3 to 2")
 
@@ -219,7 +219,7 @@
         self.seen.read_back["keeper-1"] = 2
         self.assert_found("3 was acknowledged")
 
-    def test_version_that_nobody_sent(self) -> None:
+    def test_version_that_was_never_sent(self) -> None:
         self.seen.read_back["keeper-1"] = 9
         self.assert_found("which was never sent")
 
@@ -227,7 +227,7 @@
         self.seen.read_back = {"keeper-1": None}
         self.assert_found("no keeper returned")
 
-    def test_planned_work_that_cuts(self) -> None:
+    def test_request_cut_by_planned_work(self) -> None:
         self.seen.planned_only = True
         self.assert_found("cut by planned work")
 
@@ -245,11 +245,11 @@
         self.seen.calls[1].sent_at = 12.5
         self.assert_found("cut by planned work")
 
-    def test_copy_without_a_last_event_begins_anew(self) -> None:
+    def test_copy_without_a_last_event_counts_as_a_new_run(self) -> None:
         del self.seen.ran["t2"][0].headers["last-event-id"]
         self.assert_found("may run once")
 
-    def test_harm_excuses_only_what_it_touched(self) -> None:
+    def test_fault_excuses_only_affected_requests(self) -> None:
         self.seen.ran["t1"][0].ended_at = 11.5
         self.seen.calls[0].entry = "entry-1"
         self.seen.fault_spans = [(0.0, 100.0)]
@@ -260,7 +260,7 @@
         self.seen.link_fault_spans["t1"] = [(11.0, 11.2)]
         self.assertEqual(self.check(), [])
 
-    def test_paused_or_ended_entry_stops_no_runner(self) -> None:
+    def test_paused_or_exited_entry_excuses_overlapping_runners(self) -> None:
         self.seen.ran["t1"][0].ended_at = 11.9
         self.seen.calls[0].entry = "entry-1"
         self.seen.entries_paused = {"entry-1": [(10.5, 11.6)]}
@@ -306,7 +306,7 @@
         self.way.stop()
         await asyncio.sleep(platform_soak.TASK_SHUTDOWN_SECONDS)
 
-    async def test_silence_holds_and_then_lets_pass(self) -> None:
+    async def test_silence_delays_data_until_it_ends(self) -> None:
         self.way.inject(forwarder.LinkFault.SILENCE)
         self.writer.write(b"word")
         with self.assertRaises(TimeoutError):
@@ -314,7 +314,7 @@
         self.way.inject(forwarder.LinkFault.NONE)
         self.assertEqual(await self.reader.readexactly(4), b"word")
 
-    async def test_silence_lets_no_connection_come_about(self) -> None:
+    async def test_silence_blocks_new_connections(self) -> None:
         host, port = nodes.split_address(self.way.address)
         for harm in (
             forwarder.LinkFault.SILENCE,
@@ -332,7 +332,7 @@
             writer.close()
             await writer.wait_closed()
 
-    async def test_orphans_process_is_not_told(self) -> None:
+    async def test_orphaned_connection_stays_open_upstream(self) -> None:
         self.writer.write(b"word")
         await self.reader.readexactly(4)
         self.way.orphan()
@@ -371,10 +371,10 @@
             self.assertEqual(soak.targets.list_running(), [])
             return soak
 
-    def test_short_run_breaks_nothing(self) -> None:
+    def test_short_run_breaks_no_guarantee(self) -> None:
         self.check_run(1, 5.0)
 
-    def test_short_run_with_harmed_targets_runs_nothing_twice(self) -> None:
+    def test_short_run_with_target_faults_breaks_no_guarantee(self) -> None:
         soak = self.check_run(HARMED_TARGETS_SEED, 10.0)
         runs = [run for ran in soak.seen.ran.values() for run in ran]
         self.assertTrue(any(run.is_resumed for run in runs))
@@ -393,7 +393,7 @@
             fleet.kill_all()
             self.assertFalse(daemon.is_running)
 
-    def test_every_daemon_has_addresses_of_its_own(self) -> None:
+    def test_every_daemon_has_its_own_address(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             rng = random.Random(1)
             fleet = platform_fleet.PlatformFleet(pathlib.Path(folder) / "f", 20, 5, 4, rng)
--- a/tillerlane/testing/tests/test_platform_target.py
+++ b/tillerlane/testing/tests/test_platform_target.py
@@ -55,7 +55,7 @@
         self.assertTrue(found.is_resumed)
         self.assertFalse(self.reader.is_busy)
 
-    def test_run_of_a_process_that_was_killed_ends_with_its_last_event(self) -> None:
+    def test_run_of_a_killed_process_ends_at_its_last_event(self) -> None:
         run = build_run("a")
         self.writer.record_begin(run)
         self.writer.record_event(run, 2.0)
@@ -70,7 +70,7 @@
         self.reader.record_crash()
         self.assertEqual(present.ended, "crashed")
 
-    def test_half_a_line_is_left_for_later(self) -> None:
+    def test_partial_line_is_left_for_the_next_read(self) -> None:
         self.writer.record_begin(build_run("a"))
         whole = self.path.read_bytes()
         self.path.write_bytes(whole[:-5])
@@ -118,7 +118,7 @@
         exchange.send(http_head.RequestHead(method, path, named), body)
         return exchange
 
-    async def test_record_outlives_a_killed_process(self) -> None:
+    async def test_record_survives_a_killed_process(self) -> None:
         exchange = await self.send(0, b"POST", b"/x", b"", Request_Id="a")
         await exchange.read_head()
         await exchange.read_chunk()
@@ -133,7 +133,7 @@
         self.assertFalse(self.targets[0].is_busy)
         self.assertEqual([run.ended for run in self.targets[0].record.ran], ["crashed", "whole"])
 
-    async def test_target_that_works_on_behind_its_connection(self) -> None:
+    async def test_run_continues_after_its_connection_closes(self) -> None:
         self.targets[0].switch(platform_target.Switches({"works_on": True}))
         exchange = await self.send(0, b"POST", b"/x", b"", Request_Id="a")
         await exchange.read_chunk()
@@ -143,7 +143,7 @@
         [run] = self.targets[0].record.ran
         self.assertEqual((run.events, run.ended), (LENGTH, "whole"))
 
-    async def test_run_goes_on_in_another_process(self) -> None:
+    async def test_run_is_resumed_in_another_process(self) -> None:
         exchange = await self.send(0, b"POST", b"/x", b"", Request_Id="a")
         await exchange.read_chunk()
         order = f'{{"id": "a", "target_version": "{self.targets[1].proxy.address}"}}'.encode()
--- a/tillerlane/testing/tests/test_reference.py
+++ b/tillerlane/testing/tests/test_reference.py
@@ -32,7 +32,7 @@
 class DocumentsTest(unittest.TestCase):
     """The generated page and the examples."""
 
-    def test_reference_is_written_from_the_code(self) -> None:
+    def test_reference_is_up_to_date(self) -> None:
         self.assertEqual(reference.PATH.read_text(), reference.build_reference())
 
     def test_examples_are_valid(self) -> None:
@@ -52,13 +52,13 @@
                 found.add(node.module.split(".")[1])
         return found
 
-    def test_only_its_own_start_and_the_tests_know_the_platform(self) -> None:
+    def test_only_platform_and_tests_import_the_platform(self) -> None:
         for path in PACKAGE.rglob("*.py"):
             folder = path.relative_to(PACKAGE).parts[0]
             if folder not in ("platform", "testing") and "tests" not in path.parts:
                 self.assertNotIn("platform", self.read_imports(path), str(path))
 
-    def test_platform_takes_ports_and_settings_but_no_decision(self) -> None:
+    def test_platform_imports_no_decision_modules(self) -> None:
         decisions = {"relay", "runs", "selection", "homes", "usage"}
         for path in (PACKAGE / "platform").glob("*.py"):
             for node in ast.walk(ast.parse(path.read_text())):
@@ -66,7 +66,7 @@
                     names = {alias.name for alias in node.names}
                     self.assertEqual(names & decisions, set(), path.name)
 
-    def test_direction(self) -> None:
+    def test_import_layers(self) -> None:
         for folder, allowed in ALLOWED.items():
             for path in (PACKAGE / folder).glob("*.py"):
                 extra = self.read_imports(path) - allowed - {folder}
