--- a/tillerlane/testing/check.py
+++ b/tillerlane/testing/check.py
@@ -84,7 +84,9 @@
         return subprocess.CompletedProcess(command, process.returncode, output, errors)
     except subprocess.TimeoutExpired:
         output = _terminate_group(process)
-        return subprocess.CompletedProcess(command, 1, output, f"{name}: no end in sight")
+        return subprocess.CompletedProcess(
+            command, 1, output, f"{name}: timed out after {MODULE_TIMEOUT_SECONDS} s"
+        )
 
 
 def _terminate_group(process: subprocess.Popen[str]) -> str:
--- a/tillerlane/testing/demo.py
+++ b/tillerlane/testing/demo.py
@@ -56,7 +56,7 @@
     }
     url = fleet.plan.get_http("entry-1") + "/v1/chat/completions"
     headers = {"authorization": f"Bearer {CALLER_KEY}"}
-    began = time.monotonic()
+    started_at = time.monotonic()
     request_id = ""
     finish = ""
     with httpx.stream(
@@ -70,7 +70,7 @@
             choice = json.loads(line[6:])["choices"][0]
             print(choice["delta"].get("content", ""), end="", flush=True)
             finish = choice["finish_reason"] or finish
-    print(f"\n(ended with {finish!r} after {time.monotonic() - began:.2f} s)")
+    print(f"\n(ended with {finish!r} after {time.monotonic() - started_at:.2f} s)")
     if finish != "stop":
         raise SystemExit(f"the stream of the record is incomplete: it ended with {finish!r}")
     return request_id
@@ -110,17 +110,19 @@
         print_step("change the policy while the fleet runs")
         run_cli(fleet, "config", "apply", change_policy(FOLDER), "--wait", "--note", "headroom")
         run_cli(fleet, "config", "status")
-        print_step("what happened to the record, over all daemons")
+        print_step("show the time line of the record, from all daemons")
         run_cli(fleet, "timeline", "--request", request_id)
-        print_step("the fleet at a glance")
+        print_step("show the status of the fleet")
         run_cli(fleet, "status")
         print_step("stop")
         statuses = fleet.stop_all()
-        bad = {name: status for name, status in statuses.items() if status not in (0, -15)}
-        print(f"{len(statuses)} processes ended" + (f", badly: {bad}" if bad else " cleanly"))
-        for name, status in bad.items():
-            print(f"{name} ended with {status} after:", *fleet.read_last_lines(name), sep="\n  ")
-        if bad:
+        failed = {name: status for name, status in statuses.items() if status not in (0, -15)}
+        print(
+            f"{len(statuses)} processes exited" + (f", failed: {failed}" if failed else " cleanly")
+        )
+        for name, status in failed.items():
+            print(f"{name} exited with {status}; log:", *fleet.read_last_lines(name), sep="\n  ")
+        if failed:
             raise SystemExit(1)
     finally:
         fleet.kill_all()
--- a/tillerlane/testing/platform_soak.py
+++ b/tillerlane/testing/platform_soak.py
@@ -152,8 +152,8 @@
 
     async def _send_calls(self) -> None:
         while not self._stopping.is_set():
-            kind = self._rng.choice(("record", "verdict", "order", "order", "price"))
-            await self._send_call(kind, caller.KEY)
+            route = self._rng.choice(("record", "verdict", "order", "order", "price"))
+            await self._send_call(route, caller.KEY)
             await asyncio.sleep(self._rng.uniform(0.0, 0.2))
 
     async def _send_revoked(self) -> None:
@@ -224,14 +224,14 @@
     async def _do_faults(self) -> None:
         """Start faults one after another; each runs as a task of its own, so that they overlap."""
         planned, unplanned = self._list_faults()
-        kinds = planned if self.seen.planned_only else planned + unplanned
-        due = [self.targets.drain_runner] if self._targets_only else []
+        faults = planned if self.seen.planned_only else planned + unplanned
+        pending = [self.targets.drain_runner] if self._targets_only else []
         while not self._stopping.is_set():
             await asyncio.sleep(self._rng.uniform(*FAULT_PAUSE_SECONDS))
-            kind = due.pop() if due else self._rng.choice(kinds)
-            name = kind.__qualname__.replace("PlatformSoak.", "").strip("_")
+            fault = pending.pop() if pending else self._rng.choice(faults)
+            name = fault.__qualname__.replace("PlatformSoak.", "").strip("_")
             self.done[name] = self.done.get(name, 0) + 1
-            self._start_task(kind() if kind in planned else self._record_fault(kind))
+            self._start_task(fault() if fault in planned else self._record_fault(fault))
 
     async def _announce_limits(self) -> None:
         """Have targets announce limits one after another, while callers keep up their load."""
@@ -243,8 +243,8 @@
         """Have targets request back-off, and announce in responses that they leave."""
         while not self._stopping.is_set():
             await asyncio.sleep(self._feedback_rng.uniform(*FEEDBACK_PAUSE_SECONDS))
-            kinds = (self.targets.ask_backoff, self.targets.leave_by_answers)
-            self._start_task(self._feedback_rng.choice(kinds)(self._feedback_rng))
+            operations = (self.targets.ask_backoff, self.targets.leave_by_answers)
+            self._start_task(self._feedback_rng.choice(operations)(self._feedback_rng))
 
     def _list_faults(self) -> tuple[list[Fault], list[Fault]]:
         """Return the planned operations and the unplanned faults."""
@@ -273,12 +273,12 @@
         ]
         return [self._stop_entry, self._reload, self.targets.drain], daemons + targets
 
-    async def _record_fault(self, kind: Fault) -> None:
+    async def _record_fault(self, fault: Fault) -> None:
         began = self._loop.time()
         span = len(self.seen.fault_spans)
         self.seen.fault_spans.append((began, float("inf")))
         try:
-            await kind()
+            await fault()
         finally:
             self.seen.fault_spans[span] = (began, self._loop.time())
 
@@ -341,10 +341,10 @@
         change(keeper)
         self.fleet.start(keeper)
 
-    async def _inject(self, way: forwarder.Forwarder, kinds: list[forwarder.LinkFault]) -> None:
-        way.inject(self._rng.choice(kinds))
+    async def _inject(self, proxy: forwarder.Forwarder, faults: list[forwarder.LinkFault]) -> None:
+        proxy.inject(self._rng.choice(faults))
         await asyncio.sleep(self._rng.uniform(0.2, 4.0))
-        way.inject(forwarder.LinkFault.NONE)
+        proxy.inject(forwarder.LinkFault.NONE)
 
     async def _harm_link(self) -> None:
         await self._inject(self._pick_daemon().proxy, list(forwarder.LinkFault)[1:])
@@ -446,11 +446,11 @@
     resumed = sum(run.is_resumed for run in runs)
     faults = ", ".join(f"{name} {number}" for name, number in sorted(soak.done.items()))
     return (
-        f"calls {len(calls)}, whole {complete}, refused {refusals}; "
-        f"runs {len(runs) - resumed}, gone on elsewhere {resumed}; "
+        f"calls {len(calls)}, complete {complete}, refused {refusals}; "
+        f"runs {len(runs) - resumed}, resumed elsewhere {resumed}; "
         f"versions {len(soak.seen.acknowledged)} of {len(soak.seen.sent)}; "
         f"limits {len(soak.seen.limits)}, back-offs {soak.seen.backoffs}, "
-        f"leavings in answers {len(soak.seen.announced_in_responses)}; {faults}"
+        f"leaving announced in responses {len(soak.seen.announced_in_responses)}; {faults}"
     )
 
 
@@ -470,7 +470,7 @@
         print(f"seed {seed}: {describe(soak)}", flush=True)
         for problem in problems[:40]:
             print(f"seed {seed} BROKEN {problem}", flush=True)
-    print("nothing broken" if not broken else f"{broken} seeds broke a promise")
+    print("nothing broken" if not broken else f"{broken} seeds broke a guarantee")
     sys.exit(1 if broken else 0)
 
 
--- a/tillerlane/testing/platform_targets.py
+++ b/tillerlane/testing/platform_targets.py
@@ -194,7 +194,7 @@
         Second byte of the fleet's addresses; targets use the two following values.
     seen : platform_checker.Observations
         Receives their runs and the spans of link faults.
-    tell : callable
+    notify : callable
         Coroutine function that sends a message to the keepers.
     rng : random.Random
         Chooses the faults.
--- a/tillerlane/testing/soak.py
+++ b/tillerlane/testing/soak.py
@@ -330,11 +330,11 @@
         if stream.fault_kind:
             faults[stream.fault_kind] = faults.get(stream.fault_kind, 0) + 1
     settled = sum(any(status == 201 for status, _ in call.responses) for call in seen.calls)
-    print(f"kills {soak.kills}; streams {len(seen.streams)}, whole {finished}, faults {faults}")
-    print(f"calls {len(seen.calls)}, answered {settled}; changes accepted {len(seen.changes)}")
+    print(f"kills {soak.kills}; streams {len(seen.streams)}, complete {finished}, faults {faults}")
+    print(f"calls {len(seen.calls)}, confirmed {settled}; changes accepted {len(seen.changes)}")
     for problem in problems[:40]:
         print(f"BROKEN {problem}")
-    print("nothing broken" if not problems else f"{len(problems)} promises broken")
+    print("nothing broken" if not problems else f"{len(problems)} guarantees broken")
     sys.exit(1 if problems else 0)
 
 
--- a/tillerlane/testing/tests/test_check.py
+++ b/tillerlane/testing/tests/test_check.py
@@ -61,7 +61,7 @@
         """Guards against child processes that outlive the module, once a fleet of eight."""
         done = check._run([sys.executable, "-c", SLOW], "slow")
         self.assertEqual(done.returncode, 1)
-        self.assertIn("no end in sight", done.stderr)
+        self.assertIn("timed out after 1.0 s", done.stderr)
         first, _, rest = done.stdout.partition("\n")
         self.assertIn("KeyboardInterrupt", rest)
         with self.assertRaises(ProcessLookupError):
--- a/tillerlane/testing/tests/test_platform_soak.py
+++ b/tillerlane/testing/tests/test_platform_soak.py
@@ -172,11 +172,11 @@
 
     def send_in_backoff(self, requests: int) -> None:
         """Send further requests after a target requested 3 s of back-off at 20.0."""
-        away = self.seen.rejected.setdefault("t2", [])
+        rejections = self.seen.rejected.setdefault("t2", [])
         for number in range(requests + 1):
             request_id, at = f"away-{number}", 20.0 + 0.7 * number
             seconds = 3.0 if number == 0 else 0.0
-            away.append(platform_runner.Arrival(request_id, at, at, seconds))
+            rejections.append(platform_runner.Arrival(request_id, at, at, seconds))
             self.seen.calls.append(build_call(request_id, "order", 503, b""))
             self.seen.calls[-1].entry = "entry-1"
 
@@ -278,13 +278,13 @@
     """Faults that a forwarder injects into connections."""
 
     async def asyncSetUp(self) -> None:
-        self.left = 0
+        self.closed_connections = 0
 
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(ConnectionResetError):
                 while data := await reader.read(100):
                     writer.write(data)
-            self.left += 1
+            self.closed_connections += 1
             writer.close()
 
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
@@ -295,37 +295,37 @@
         free.close()
         await free.wait_closed()
         rng = random.Random(1)
-        self.way = forwarder.Forwarder(f"127.0.0.1:{own}", f"127.0.0.1:{port}", rng)
-        await self.way.start()
+        self.proxy = forwarder.Forwarder(f"127.0.0.1:{own}", f"127.0.0.1:{port}", rng)
+        await self.proxy.start()
         self.addAsyncCleanup(self.end)
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", own)
 
     async def end(self) -> None:
         """Close all connections and let their tasks finish."""
         self.writer.close()
-        self.way.stop()
+        self.proxy.stop()
         await asyncio.sleep(platform_soak.TASK_SHUTDOWN_SECONDS)
 
     async def test_silence_delays_data_until_it_ends(self) -> None:
-        self.way.inject(forwarder.LinkFault.SILENCE)
+        self.proxy.inject(forwarder.LinkFault.SILENCE)
         self.writer.write(b"word")
         with self.assertRaises(TimeoutError):
             await asyncio.wait_for(self.reader.readexactly(4), 0.2)
-        self.way.inject(forwarder.LinkFault.NONE)
+        self.proxy.inject(forwarder.LinkFault.NONE)
         self.assertEqual(await self.reader.readexactly(4), b"word")
 
     async def test_silence_blocks_new_connections(self) -> None:
-        host, port = nodes.split_address(self.way.address)
-        for harm in (
+        host, port = nodes.split_address(self.proxy.address)
+        for fault in (
             forwarder.LinkFault.SILENCE,
             forwarder.LinkFault.CUT_IN,
             forwarder.LinkFault.CUT_OUT,
         ):
-            self.way.inject(harm)
+            self.proxy.inject(fault)
             await asyncio.sleep(0.05)
             with self.assertRaises(TimeoutError):
                 await asyncio.wait_for(asyncio.open_connection(host, port), 0.3)
-            self.way.inject(forwarder.LinkFault.NONE)
+            self.proxy.inject(forwarder.LinkFault.NONE)
             reader, writer = await asyncio.open_connection(host, port)
             writer.write(b"word")
             self.assertEqual(await asyncio.wait_for(reader.readexactly(4), 1.0), b"word")
@@ -335,19 +335,19 @@
     async def test_orphaned_connection_stays_open_upstream(self) -> None:
         self.writer.write(b"word")
         await self.reader.readexactly(4)
-        self.way.orphan()
+        self.proxy.orphan()
         with contextlib.suppress(ConnectionResetError):
             self.assertEqual(await self.reader.read(4), b"")
         await asyncio.sleep(0.1)
-        self.assertEqual(self.left, 0)
-        self.way.inject(forwarder.LinkFault.RESET)
+        self.assertEqual(self.closed_connections, 0)
+        self.proxy.inject(forwarder.LinkFault.RESET)
         await asyncio.sleep(0.1)
-        self.assertEqual(self.left, 1)
+        self.assertEqual(self.closed_connections, 1)
 
     async def test_reset(self) -> None:
         self.writer.write(b"word")
         await self.reader.readexactly(4)
-        self.way.inject(forwarder.LinkFault.RESET)
+        self.proxy.inject(forwarder.LinkFault.RESET)
         try:
             self.assertEqual(await self.reader.read(4), b"")
         except ConnectionResetError:
