--- a/tillerlane/testing/limit_scenes.py
+++ b/tillerlane/testing/limit_scenes.py
@@ -13,7 +13,7 @@
 """Number of requests that a target may get above its limit within any `WINDOW_SECONDS`."""
 PROPAGATION_SECONDS = 0.5
 """Time within which all entries must learn of a limit."""
-HEARTBEAT_SECONDS = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 SETTLE_SECONDS = 2.0
 """Time after their start during which entries wait to discover targets."""
 
@@ -44,7 +44,7 @@
 
     async def _send_heartbeats(self, stage: gateway_lab.GatewayLab, pool: str) -> None:
         while True:
-            await asyncio.sleep(HEARTBEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             for target_id, runner in list(stage.runners.items()):
                 if stage.keepers and not runner.has_crashed and target_id.startswith(pool):
                     stage.beat(target_id, pool)
@@ -60,14 +60,14 @@
     ) -> list[caller.CallerResponse]:
         """Send requests to each entry at its rate (per second) and return the responses."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
+        deadline = loop.time() + seconds
         calls: list[asyncio.Task[caller.CallerResponse]] = []
 
         async def send_periodically(name: str, rate: float) -> None:
             # Stagger the entries over the interval, since real callers are not synchronized.
             await asyncio.sleep(list(rates).index(name) / len(rates) / rate)
             number = 0
-            while loop.time() < until:
+            while loop.time() < deadline:
                 number += 1
                 request_id = f"{name}-{int(loop.time() * 1000)}-{number}"
                 call = stage.call(name, route, request_id, wait_ms=wait_ms, **more)
@@ -84,8 +84,8 @@
         return [run.began for run in stage.runners[target_id].ran if run.began >= since]
 
     def assert_limit_kept(
-        self, stage: gateway_lab.GatewayLab, target_id: str, limit: float, named_at: float
+        self, stage: gateway_lab.GatewayLab, target_id: str, limit: float, announced_at: float
     ) -> None:
         """Check that no window exceeds limit plus slack once all entries must know the limit."""
-        sends = self.list_sends(stage, target_id, named_at + PROPAGATION_SECONDS)
+        sends = self.list_sends(stage, target_id, announced_at + PROPAGATION_SECONDS)
         self.assertLessEqual(count_peak(sends), limit * WINDOW_SECONDS + LIMIT_SLACK)
--- a/tillerlane/testing/platform_record.py
+++ b/tillerlane/testing/platform_record.py
@@ -58,7 +58,7 @@
     def record_begin(self, run: platform_runner.RanRequest) -> None:
         """Record the start of a run."""
         name = f"{os.getpid()}.{len(self._runs)}"
-        self._runs[id(run)] = name  # unique, since runs are never freed
+        self._runs[id(run)] = name  # ids are unique, since runs are never freed
         headers = {key: run.headers[key] for key in _HEADERS if key in run.headers}
         self._write(_Line(run.began, "begin", run.request_id, name, headers))
 
--- a/tillerlane/testing/platform_soak.py
+++ b/tillerlane/testing/platform_soak.py
@@ -147,8 +147,8 @@
     def _pick_entry(self) -> platform_fleet.Daemon:
         """Pick an entry that is in the load balancer's rotation; any entry if none is."""
         entries = self.fleet.list_role("entry")
-        found = [item for item in entries if item.name not in self._unready_entries]
-        return self._rng.choice(found or entries)
+        ready = [item for item in entries if item.name not in self._unready_entries]
+        return self._rng.choice(ready or entries)
 
     async def _send_calls(self) -> None:
         while not self._stopping.is_set():
@@ -213,10 +213,10 @@
             for daemon in self.fleet.daemons.values():
                 start = daemon.starts
                 status, text = await fetch(daemon.metrics, b"GET", "/metrics")
-                found = _VERSION.search(text.decode()) if status == 200 else None
-                if found is not None and start == daemon.starts:
+                match = _VERSION.search(text.decode()) if status == 200 else None
+                if match is not None and start == daemon.starts:
                     versions = self.seen.in_force.setdefault((daemon.name, start), [])
-                    versions.append(int(float(found.group(1))))
+                    versions.append(int(float(match.group(1))))
             await asyncio.sleep(0.2)
 
     # Faults
@@ -275,16 +275,16 @@
 
     async def _record_fault(self, fault: Fault) -> None:
         began = self._loop.time()
-        span = len(self.seen.fault_spans)
+        index = len(self.seen.fault_spans)
         self.seen.fault_spans.append((began, float("inf")))
         try:
             await fault()
         finally:
-            self.seen.fault_spans[span] = (began, self._loop.time())
+            self.seen.fault_spans[index] = (began, self._loop.time())
 
     def _pick_daemon(self, role: str = "") -> platform_fleet.Daemon:
-        found = [item for item in self.fleet.daemons.values() if role in ("", item.role)]
-        return self._rng.choice(found)
+        candidates = [item for item in self.fleet.daemons.values() if role in ("", item.role)]
+        return self._rng.choice(candidates)
 
     async def _restart(self, daemon: platform_fleet.Daemon, seconds: float) -> bool:
         """Kill a process and restart it; return False if it is not running."""
@@ -316,12 +316,12 @@
     async def _pause(self) -> None:
         daemon = self._pick_daemon()
         spans = self.seen.entries_paused.setdefault(daemon.name, [])
-        began, place = self._loop.time(), len(spans)
+        began, index = self._loop.time(), len(spans)
         spans.append((began, float("inf")))
         self.fleet.send(daemon, signal.SIGSTOP)
         await asyncio.sleep(self._rng.uniform(0.2, 3.0))
         self.fleet.send(daemon, signal.SIGCONT)
-        spans[place] = (began, self._loop.time())
+        spans[index] = (began, self._loop.time())
 
     async def _wipe(self) -> None:
         if self._loop.time() - self._wiped_at < WIPE_PAUSE_SECONDS:
@@ -381,14 +381,14 @@
     async def _wait_until_ready(self) -> None:
         """Wait until a configuration is in force at all entries and all targets are known."""
         await self.targets.start()
-        until = self._loop.time() + READY_TIMEOUT_SECONDS
+        deadline = self._loop.time() + READY_TIMEOUT_SECONDS
         while not await self._send_change():
-            if self._loop.time() > until:
+            if self._loop.time() > deadline:
                 raise TimeoutError("no keeper acknowledged the first configuration in time")
             await asyncio.sleep(0.2)
         for entry in self.fleet.list_role("entry"):
             while (await fetch(entry.ready, b"GET", "/ready"))[0] != 200:
-                if self._loop.time() > until:
+                if self._loop.time() > deadline:
                     raise TimeoutError(f"{entry.name} is not ready")
                 await asyncio.sleep(0.1)
         await asyncio.sleep(2 * platform_targets.HEARTBEAT_INTERVAL_SECONDS)
--- a/tillerlane/testing/platform_targets.py
+++ b/tillerlane/testing/platform_targets.py
@@ -226,10 +226,10 @@
         """Start a target."""
         self._number += 1
         number = self._number
-        place = f"{number // 200}.{1 + number % 200}:9000"
+        host_part = f"{number // 200}.{1 + number % 200}:9000"
         public_address, listen_address = (
-            f"127.{self._net + 2}.{place}",
-            f"127.{self._net + 3}.{place}",
+            f"127.{self._net + 2}.{host_part}",
+            f"127.{self._net + 3}.{host_part}",
         )
         is_runner = pool == "llm"
         orders = platform_target.Orders(
@@ -277,8 +277,8 @@
 
     def _pick_target(self, pool: str = "") -> Target:
         running = [item for item in self._targets.values() if item.is_running]
-        found = [item for item in running if pool in ("", item.pool)]
-        return self._rng.choice(found)
+        candidates = [item for item in running if pool in ("", item.pool)]
+        return self._rng.choice(candidates)
 
     # Planned work
 
@@ -395,12 +395,12 @@
     def _record_link_fault(self, target: Target) -> Iterator[None]:
         """Record the span in which entries may not reach a target."""
         spans = self._seen.link_fault_spans.setdefault(target.target_id, [])
-        began, place = self._loop.time(), len(spans)
+        began, index = self._loop.time(), len(spans)
         spans.append((began, float("inf")))
         try:
             yield
         finally:
-            spans[place] = (began, self._loop.time())
+            spans[index] = (began, self._loop.time())
 
     async def break_connections(self) -> None:
         """Break the connections to a runner; new ones can be established."""
@@ -420,8 +420,8 @@
         """Set attributes of a target for a while, then reset them to empty values."""
         target.switch(platform_target.Switches(fields))
         await asyncio.sleep(self._rng.uniform(*FAULT_SECONDS))
-        back = {name: type(value)() for name, value in fields.items()}
-        target.switch(platform_target.Switches(back))
+        reset_fields = {name: type(value)() for name, value in fields.items()}
+        target.switch(platform_target.Switches(reset_fields))
 
     async def leave_badly(self) -> None:
         """Drain a runner while it, the link to it or the remaining runners have faults."""
--- a/tillerlane/testing/poison_pool.py
+++ b/tillerlane/testing/poison_pool.py
@@ -9,7 +9,7 @@
 
 RESTART_DELAY_SECONDS = 3.0
 """Time from a target exit to the start of its replacement."""
-HEARTBEAT_SECONDS = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 REACTION_SECONDS = 3.0
 """Time after the third target exit from which further sends of a request are counted as late."""
 
@@ -55,7 +55,7 @@
     async def _send_heartbeats(self) -> None:
         """Send the heartbeats of the running targets."""
         while True:
-            await asyncio.sleep(HEARTBEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             for target in self.targets:
                 if self._stage.keepers and not target.has_crashed:
                     self._stage.beat(target.target_id, self._name)
@@ -63,7 +63,7 @@
     async def _restart(self) -> None:
         await asyncio.sleep(RESTART_DELAY_SECONDS)
         while not self._stage.keepers:
-            await asyncio.sleep(HEARTBEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
         await self.start_one()
 
     def list_target_exits(self, body: bytes) -> list[float]:
