--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -104,10 +104,10 @@
     fleet: deployment.Fleet, names: list[str], seconds: float
 ) -> dict[str, UsageRates]:
     """Measure the resource use of processes over some seconds."""
-    before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+    before = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
     links_before = await asyncio.to_thread(read_links, fleet, names)
     await asyncio.sleep(seconds)
-    after = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+    after = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
     links_after = await asyncio.to_thread(read_links, fleet, names)
     rates = {}
     for name in names:
@@ -141,7 +141,7 @@
             stand_ins += await standins.start_many(len(stand_ins), size - len(stand_ins), keepers)
             await asyncio.sleep(SETTLE_SECONDS + size / 100)
             idle = await measure_rates(fleet, names, MEASURE_SECONDS)
-            before = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+            before = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
             delays = []
             for _ in range(CHANGES_PER_SIZE):
                 changed = build_document(350, weight=1.0 + random.random())
@@ -154,7 +154,7 @@
                 await wait_in_force(stand_ins, version)
                 times = [item.in_force_at[version] for item in stand_ins]
                 delays.append((accepted_at - sent_at, max(times) - sent_at))
-            after = {name: processes.read_usage(fleet.read_pid(name)) for name in names}
+            after = {name: processes.read_usage(fleet.get_pid(name)) for name in names}
             keeper_cpu = [after[name].cpu - before[name].cpu for name in names]
             elapsed_seconds = after[names[0]].at - before[names[0]].at
             change_cpu = (
@@ -196,7 +196,7 @@
     rows = []
     fleet = start_fleet("entry")
     keepers = fleet.plan.daemons["keeper-1"]["keepers"]
-    ports = deployment.free_ports(max(AGENT_COUNTS))
+    ports = deployment.find_free_ports(max(AGENT_COUNTS))
     stand_ins: list[standins.StandIn] = []
     try:
         for size in AGENT_COUNTS:
@@ -249,7 +249,7 @@
     fleet: deployment.Fleet, stand_ins: list[standins.StandIn], keepers: list[str], workers: int
 ) -> Figures:
     """Open and settle claims from concurrent workers."""
-    before = {name: processes.read_usage(fleet.read_pid(name)) for name in keepers}
+    before = {name: processes.read_usage(fleet.get_pid(name)) for name in keepers}
     times: list[float] = []
     deadline = time.monotonic() + MEASURE_SECONDS / 2
 
@@ -267,7 +267,7 @@
     started_at = time.monotonic()
     await asyncio.gather(*(run_worker(number) for number in range(workers)))
     elapsed_seconds = time.monotonic() - started_at
-    after = {name: processes.read_usage(fleet.read_pid(name)) for name in keepers}
+    after = {name: processes.read_usage(fleet.get_pid(name)) for name in keepers}
     cpu = [after[name].cpu - before[name].cpu for name in keepers]
     return {
         "workers": workers,
--- a/benchmarks/endings.py
+++ b/benchmarks/endings.py
@@ -76,7 +76,7 @@
     targets = [f"t{number}" for number in range(TARGET_COUNT)]
     for name in targets:
         runner = await stage.add_runner(name, "app")
-        runner.deadly = frozenset({POISON_BODY})
+        runner.poison_bodies = frozenset({POISON_BODY})
     await asyncio.sleep(1.0)
 
     def count_sent() -> tuple[int, int]:
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -67,7 +67,7 @@
     url = fleet.plan.get_http("entry-1") + "/v1/completions"
     entry_settings = fleet.plan.daemons["entry-1"]
     baseline = await measure_first_tokens(url)
-    memory_before = processes.read_usage(fleet.read_pid("entry-1")).memory
+    memory_before = processes.read_usage(fleet.get_pid("entry-1")).memory
     stop = asyncio.Event()
     attackers = [
         asyncio.create_task(
@@ -81,7 +81,7 @@
     ]
     await asyncio.sleep(4)
     flooded = await measure_first_tokens(url)
-    memory_after = processes.read_usage(fleet.read_pid("entry-1")).memory
+    memory_after = processes.read_usage(fleet.get_pid("entry-1")).memory
     stop.set()
     for task in attackers:
         task.cancel()
--- a/benchmarks/mixes.py
+++ b/benchmarks/mixes.py
@@ -79,7 +79,7 @@
 def sample_output_length(prompt: str, length_factor: float = 1.0) -> int:
     """Sample the output length of a prompt, which carries its seed and length distribution."""
     _, median_tokens, sigma, longest_tokens, seed = prompt.split("|")[0].split(" ")
-    sampled_length = texts.draw_length(
+    sampled_length = texts.sample_length(
         int(seed), float(median_tokens) * length_factor, float(sigma), int(longest_tokens)
     )
     return min(sampled_length, int(longest_tokens))
@@ -88,7 +88,7 @@
 def _estimate_memory_seconds(kind: Kind, spec: engine.EngineSpec, length_factor: float) -> float:
     """Estimate the mean memory-time of a request of a kind, in token-seconds."""
     rng = random.Random(7)
-    step_seconds_mean = spec.step_seconds + spec.step_seconds_a_sequence * spec.batch_limit / 2
+    step_seconds_mean = spec.step_seconds + spec.step_seconds_per_sequence * spec.batch_limit / 2
     total = 0.0
     for _ in range(4_000):
         sampled_length = rng.lognormvariate(
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -31,8 +31,8 @@
     memory_tokens=6_000,
     batch_limit=32,
     step_seconds=0.06,
-    step_seconds_a_sequence=0.0008,
-    prefill_seconds_a_token=0.00005,
+    step_seconds_per_sequence=0.0008,
+    prefill_seconds_per_token=0.00005,
     prefix_cache_tokens=0,
 )
 WARM_UP_SECONDS = 40.0
@@ -253,7 +253,7 @@
         "unfinished": sum(
             not answer.ended and answer.fault is None for _, answer in measured_calls
         ),
-        "wrong": sum(not answer.is_right for _, answer in measured_calls if answer.texts),
+        "wrong": sum(not answer.is_correct for _, answer in measured_calls if answer.texts),
         "memory_share": memory,
     }
 
--- a/tillerlane/decisions/tests/test_limits.py
+++ b/tillerlane/decisions/tests/test_limits.py
@@ -17,7 +17,7 @@
 """(entry, times of its sends, now) to whether it may send."""
 
 
-def count_most(times: list[float]) -> int:
+def count_peak(times: list[float]) -> int:
     """Return the maximum number of sends within any second."""
     ordered = sorted(times)
     maximum, first = 0, 0
@@ -73,7 +73,7 @@
         total = 0.0
         for _ in range(TARGETS):
             times = simulate_entries(entries, build_shares(quota, entries, rng), 0.0)
-            self.assertLessEqual(count_most(times), quota.maximum)
+            self.assertLessEqual(count_peak(times), quota.maximum)
             total += len(times) / SECONDS
         return total / TARGETS
 
@@ -96,7 +96,7 @@
         """The rejected alternative: 68 sends in the first second at a rate of 5, maximum 12.5."""
         quota = limits.WindowQuota(5.0, 12.5)
         times = simulate_entries(68, build_accumulating(quota, 68), 0.0)
-        self.assertGreater(count_most(times), quota.maximum)
+        self.assertGreater(count_peak(times), quota.maximum)
 
     def test_entry_without_the_fleet_size_sends_nothing(self) -> None:
         self.assertEqual(limits.compute_share(limits.WindowQuota(34.0, 56.0), 0, 0.99), 0)
--- a/tillerlane/decisions/tests/test_placing.py
+++ b/tillerlane/decisions/tests/test_placing.py
@@ -140,7 +140,7 @@
         self,
         load: float,
         *,
-        knows_pace: bool = True,
+        knows_event_seconds: bool = True,
         unreported: float | None = None,
         min_unbroken: float = 0.0,
     ) -> tuple[float, float]:
@@ -154,19 +154,23 @@
             unreported = sum(rates) * engine_play.REPORT_AGE_SECONDS
         event_times, shares, unbroken_shares = [], [], []
         for seed in SEEDS:
-            arrivals = engine_play.draw_arrivals(
+            arrivals = engine_play.sample_arrivals(
                 random.Random(seed),
                 SECONDS,
                 {"long": (rates[0], 3_079, 238.0), "short": (rates[1], 2_550, 3.0)},
             )
             choose = build_chooser(random.Random(seed), unreported)
-            outcomes = engine_play.play(pool, arrivals, choose, knows_pace=knows_pace)
+            outcomes = engine_play.play(
+                pool, arrivals, choose, knows_event_seconds=knows_event_seconds
+            )
             self.assertEqual(len(outcomes), len(arrivals))
             counted = [item for item in outcomes if item.arrival.at > WARM_UP_SECONDS]
-            event_times.append(engine_play.read_mean_event(counted, "long") * 1000)
-            shares.append(engine_play.read_share(counted, "short", SHORT_OBJECTIVE_SECONDS))
+            event_times.append(engine_play.compute_mean_event_seconds(counted, "long") * 1000)
+            shares.append(
+                engine_play.compute_on_time_share(counted, "short", SHORT_OBJECTIVE_SECONDS)
+            )
             unbroken_shares.append(
-                engine_play.read_whole_share(
+                engine_play.compute_uninterrupted_share(
                     counted, "long", LONG_OBJECTIVE_SECONDS, MAX_PAUSE_SECONDS
                 )
             )
@@ -175,7 +179,7 @@
 
     def test_long_runs_are_faster_if_event_times_are_known(self) -> None:
         """Half-full pool: 36.3 ms and 0.984 in time if all seem equal, 33.8 and 0.993 otherwise."""
-        before, share_before = self.simulate(1.0, knows_pace=False)
+        before, share_before = self.simulate(1.0, knows_event_seconds=False)
         after, share_after = self.simulate(1.0, min_unbroken=0.98)
         self.assertLess(after, 0.95 * before)
         self.assertGreater(share_after, share_before - 0.02)
@@ -185,7 +189,7 @@
 
         If the slow runners got short requests only, 0.01 of these would be in time.
         """
-        event_ms_before, share_before = self.simulate(1.8, knows_pace=False)
+        event_ms_before, share_before = self.simulate(1.8, knows_event_seconds=False)
         event_ms, share = self.simulate(1.8)
         self.assertLess(event_ms, event_ms_before)
         self.assertGreater(share, 0.9)
@@ -238,14 +242,18 @@
         for seed in SEEDS:
             arrivals = [
                 dataclasses.replace(item, rank=long_rank if item.kind == "long" else 0)
-                for item in engine_play.draw_arrivals(random.Random(seed), SECONDS, kinds)
+                for item in engine_play.sample_arrivals(random.Random(seed), SECONDS, kinds)
             ]
             choose = build_holding_chooser(random.Random(seed), unreported, bounds)
-            outcomes = engine_play.play(pool, arrivals, choose, word_seconds=report_age_seconds)
+            outcomes = engine_play.play(
+                pool, arrivals, choose, report_age_seconds=report_age_seconds
+            )
             counted = [item for item in outcomes if item.arrival.at > WARM_UP_SECONDS]
-            firsts.append(engine_play.read_share(counted, "short", SHORT_OBJECTIVE_SECONDS))
+            firsts.append(
+                engine_play.compute_on_time_share(counted, "short", SHORT_OBJECTIVE_SECONDS)
+            )
             unbroken_shares.append(
-                engine_play.read_whole_share(
+                engine_play.compute_uninterrupted_share(
                     counted, "long", LONG_OBJECTIVE_SECONDS, MAX_PAUSE_SECONDS
                 )
             )
--- a/tillerlane/gateway/tests/test_cold.py
+++ b/tillerlane/gateway/tests/test_cold.py
@@ -30,7 +30,7 @@
 
     async def send_from_all(
         self, stage: gateway_lab.GatewayLab, until: float
-    ) -> list[caller.CallerAnswer]:
+    ) -> list[caller.CallerResponse]:
         """Have callers at all entries send repeatedly; returns all responses."""
         answers = []
 
@@ -60,7 +60,7 @@
         for runner in stage.runners.values():
             times = [run.began for run in runner.ran if began < run.began]
             cold = [at for at in times if at < began + COLD_SECONDS - 0.2]
-            self.assertLessEqual(limit_plays.count_most(cold), BOUND)
+            self.assertLessEqual(limit_plays.count_peak(cold), BOUND)
             total += len(cold)
         return total
 
--- a/tillerlane/gateway/tests/test_moves.py
+++ b/tillerlane/gateway/tests/test_moves.py
@@ -129,7 +129,7 @@
             response = await call
             self.assertEqual(response.body, gateway_scenes.build_stream("r1", 90))
             self.assertTrue(response.is_whole)
-            self.assertIn("r1", second.turned_away)
+            self.assertIn("r1", second.rejected)
             self.assertEqual((len(first.ran), len(second.ran)), (2, 0))
             # The run is resumed there from its own memory, after the event at which it stopped.
             former, later = first.ran
--- a/tillerlane/gateway/tests/test_quarantine.py
+++ b/tillerlane/gateway/tests/test_quarantine.py
@@ -25,10 +25,10 @@
 from tillerlane.gateway import http_client
 from tillerlane.testing import (
     caller,
-    deadly_pool,
     gateway_lab,
     gateway_scenes,
     platform_runner,
+    poison_pool,
 )
 
 POISON = b"a request that no runner survives"
@@ -45,7 +45,7 @@
         """Send a poison request twice every two seconds, beside other requests."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            runners = deadly_pool.DeadlyPool(stage, {POISON}, pool, length)
+            runners = poison_pool.PoisonPool(stage, {POISON}, pool, length)
             for _ in range(5):
                 await runners.start_one()
             await asyncio.sleep(0.5)
@@ -78,7 +78,7 @@
 
 def start_calls(
     stage: gateway_lab.GatewayLab, route: str, count: int
-) -> list[asyncio.Task[caller.CallerAnswer]]:
+) -> list[asyncio.Task[caller.CallerResponse]]:
     """Send the same request `count` times at once, to all entries in turn."""
     names = stage.entry_names
     return [
@@ -97,12 +97,12 @@
         asyncio.get_running_loop().call_later(0.1, notify)
 
 
-async def crash_three(stage: gateway_lab.GatewayLab, pool: deadly_pool.DeadlyPool) -> None:
+async def crash_three(stage: gateway_lab.GatewayLab, pool: poison_pool.PoisonPool) -> None:
     """Have a poison request make three targets exit."""
     for number in range(2):
         entry = stage.entry_names[number % len(stage.entry_names)]
         await stage.call(entry, "price", f"deadly-{number}", body=POISON)
-    assert len(pool.list_ends(POISON)) == 3
+    assert len(pool.list_target_exits(POISON)) == 3
 
 
 class PersistenceTest(gateway_scenes.GatewayCase):
@@ -118,7 +118,7 @@
         """Have three targets exit, make a change, and send the request to every entry."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            pool = deadly_pool.DeadlyPool(stage, {POISON}, "app", 0)
+            pool = poison_pool.PoisonPool(stage, {POISON}, "app", 0)
             for _ in range(5):
                 await pool.start_one()
             await asyncio.sleep(0.5)
@@ -129,7 +129,7 @@
                 answer = await stage.call(entry, "price", f"later-{number}", body=POISON)
                 self.assertEqual(answer.status, 503)
                 self.assertEqual((await stage.call(entry, "price", f"good-{number}")).status, 200)
-            self.assertEqual(len(pool.list_ends(POISON)), 3)
+            self.assertEqual(len(pool.list_target_exits(POISON)), 3)
 
         self.play(scene)
 
@@ -200,7 +200,7 @@
         """The objective is 99 of 100 within a second; here all of them within 0.1 s."""
 
         async def scene(stage: gateway_lab.GatewayLab) -> None:
-            pool = deadly_pool.DeadlyPool(stage, {POISON}, "app", 0)
+            pool = poison_pool.PoisonPool(stage, {POISON}, "app", 0)
             for _ in range(5):
                 await pool.start_one()
             await asyncio.sleep(0.5)
@@ -322,14 +322,14 @@
             ]
             document = gateway_lab.build_document(2, tenants=workspaces)
             await stage.publish("keeper-1", document)
-            pool = deadly_pool.DeadlyPool(stage, {POISON}, "app", 0)
+            pool = poison_pool.PoisonPool(stage, {POISON}, "app", 0)
             for _ in range(5):
                 await pool.start_one()
             await asyncio.sleep(0.5)
             await crash_three(stage, pool)
-            await asyncio.sleep(deadly_pool.BACK_SECONDS + 1.0)
+            await asyncio.sleep(poison_pool.RESTART_DELAY_SECONDS + 1.0)
             for runner in pool.targets:
-                runner.deadly = frozenset()
+                runner.poison_bodies = frozenset()
             answers = [
                 await stage.call("entry-1", "price", "r1", body=POISON),
                 await stage.call("entry-1", "price", "r2", body=POISON + b"."),
--- a/tillerlane/gateway/tests/test_quarantine_stateful.py
+++ b/tillerlane/gateway/tests/test_quarantine_stateful.py
@@ -18,7 +18,7 @@
 from hypothesis import stateful, strategies
 
 from tillerlane.config import store as stores
-from tillerlane.testing import caller, deadly_pool, gateway_lab, lab, profiles
+from tillerlane.testing import caller, gateway_lab, lab, poison_pool, profiles
 
 KEEPERS, ENTRIES, TARGETS = 3, 3, 6
 BODIES = tuple(f"deadly {number}".encode() for number in range(6))
@@ -61,7 +61,7 @@
         await self.stage.start()
         await asyncio.sleep(SETTLE_SECONDS)
         await self.stage.publish("keeper-1", gateway_lab.build_document(1))
-        self.pool = deadly_pool.DeadlyPool(self.stage, BODIES, "app", 0)
+        self.pool = poison_pool.PoisonPool(self.stage, BODIES, "app", 0)
         for _ in range(TARGETS):
             await self.pool.start_one()
         await asyncio.sleep(1.0)
@@ -104,13 +104,13 @@
         CASES["deadly"] += 1
         before = self.loop.time()
         is_connected = not self.is_cut and before - self.fault_at > CONNECTED_SECONDS
-        exits = self.pool.list_ends(body)
-        is_late = len(exits) >= 3 and before > exits[2] + deadly_pool.REACTION_SECONDS
+        exits = self.pool.list_target_exits(body)
+        is_late = len(exits) >= 3 and before > exits[2] + poison_pool.REACTION_SECONDS
         self.run(self.call(self.list_entries()[number], body))
         if is_connected and is_late:
             self.late[body] += self.pool.count_sends(body, before)
         assert self.late[body] <= MAX_LATE_SENDS
-        CASES["ends"] += len(self.pool.list_ends(body)) - len(exits)
+        CASES["ends"] += len(self.pool.list_target_exits(body)) - len(exits)
 
     def send_harmless(self, number: int) -> None:
         """Send a harmless request."""
@@ -184,10 +184,10 @@
         if not any(entry.quarantine.find_reason(fingerprint) for entry in entries):
             return
         CASES["held"] += 1
-        exits = len(self.pool.list_ends(body))
+        exits = len(self.pool.list_target_exits(body))
         for name in self.list_entries():
             assert self.run(self.call(name, body)) == 503
-        assert len(self.pool.list_ends(body)) == exits
+        assert len(self.pool.list_target_exits(body)) == exits
         for keeper in self.stage.keepers.values():
             assert fingerprint in keeper.replica.state_machine.store.list_names(stores.QUARANTINE)
 
--- a/tillerlane/platform/tests/test_suspension.py
+++ b/tillerlane/platform/tests/test_suspension.py
@@ -103,18 +103,18 @@
 
     def resume(self, daemon: platform_fleet.Daemon) -> None:
         """Resume a suspended host, without contact with any keeper."""
-        self.inject(forwarder.Harm.SILENCE)
+        self.inject(forwarder.LinkFault.SILENCE)
         self.fleet.send(daemon, signal.SIGCONT)
 
-    def inject(self, fault: forwarder.Harm) -> None:
+    def inject(self, fault: forwarder.LinkFault) -> None:
         """Inject a fault into all connections to keepers."""
         for keeper in self.keepers:
-            keeper.way_in.do(fault)
+            keeper.proxy.inject(fault)
 
     def reset(self) -> None:
         """Reset all connections to keepers, so that none holds data sent to a suspended host."""
-        self.inject(forwarder.Harm.RESET)
-        self.inject(forwarder.Harm.NONE)
+        self.inject(forwarder.LinkFault.RESET)
+        self.inject(forwarder.LinkFault.NONE)
 
 
 class SuspensionTest(unittest.TestCase):
@@ -164,7 +164,7 @@
             stage.resume(entry)
             self.assertIn(await late, (401, 503))
             self.assertNotIn("late", [run.request_id for run in stage.target.ran])
-            stage.inject(forwarder.Harm.NONE)
+            stage.inject(forwarder.LinkFault.NONE)
 
             async def is_back() -> bool:
                 return await stage.call(caller.KEY, "after") == 200
--- /dev/null
+++ b/tillerlane/testing/poison_pool.py
@@ -0,0 +1,88 @@
+"""A pool whose targets exit under poison requests and restart seconds later, in virtual time."""
+
+import asyncio
+from collections.abc import Collection
+
+from tillerlane.testing import gateway_lab, platform_runner
+
+__all__ = ["REACTION_SECONDS", "RESTART_DELAY_SECONDS", "PoisonPool"]
+
+RESTART_DELAY_SECONDS = 3.0
+"""Time from a target exit to the start of its replacement."""
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+REACTION_SECONDS = 3.0
+"""Time after the third target exit from which further sends of a request are counted as late."""
+
+
+class PoisonPool:
+    """Targets that exit under poison requests and are replaced under new ids.
+
+    Parameters
+    ----------
+    stage : gateway_lab.GatewayLab
+        Fleet that the targets belong to.
+    bodies : collection of bytes
+        Bodies of the poison requests.
+    name : str
+        Name of the pool.
+    length : int
+        Number of events in a stream; 0 for a plain service.
+
+    Attributes
+    ----------
+    targets : list
+        All targets that were ever started.
+    """
+
+    def __init__(
+        self, stage: gateway_lab.GatewayLab, bodies: Collection[bytes], name: str, length: int
+    ) -> None:
+        self.targets: list[platform_runner.PlatformRunner] = []
+        self._stage = stage
+        self._bodies = frozenset(bodies)
+        self._name = name
+        self._length = length
+        self._tasks = {asyncio.create_task(self._send_heartbeats())}
+
+    async def start_one(self) -> None:
+        """Start one more target."""
+        target_id = f"{self._name}-{len(self.targets) + 1}"
+        target = await self._stage.add_runner(target_id, self._name, length=self._length)
+        target.poison_bodies = self._bodies
+        target.on_crash = lambda target: self._tasks.add(asyncio.create_task(self._restart()))
+        self.targets.append(target)
+
+    async def _send_heartbeats(self) -> None:
+        """Send the heartbeats of the running targets."""
+        while True:
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
+            for target in self.targets:
+                if self._stage.keepers and not target.has_crashed:
+                    self._stage.beat(target.target_id, self._name)
+
+    async def _restart(self) -> None:
+        await asyncio.sleep(RESTART_DELAY_SECONDS)
+        while not self._stage.keepers:
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
+        await self.start_one()
+
+    def list_target_exits(self, body: bytes) -> list[float]:
+        """Event-loop times at which targets exited under a request, in order."""
+        times = [
+            run.ended_at
+            for target in self.targets
+            for run in target.ran
+            if run.body == body and run.ended == "crashed"
+        ]
+        return sorted(times)
+
+    def count_sends(self, body: bytes, since: float) -> int:
+        """Count the runs of a request that started after `since` (event-loop time)."""
+        return sum(
+            run.began > since and run.body == body for item in self.targets for run in item.ran
+        )
+
+    def count_late_sends(self, body: bytes) -> int:
+        """Count the sends of a request more than `REACTION_SECONDS` after its third target exit."""
+        exits = self.list_target_exits(body)
+        return self.count_sends(body, exits[2] + REACTION_SECONDS) if len(exits) >= 3 else 0
--- a/tillerlane/testing/tests/test_reference.py
+++ b/tillerlane/testing/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference page is that of the code; examples are valid; imports keep their direction."""
+"""Tests of the reference page, the example configurations and the import layers."""
 
 import ast
 import pathlib
@@ -26,13 +26,13 @@
     "gateway": {"faults", "timeline", "config", "peers", "keeper", "decisions"},
     "platform": {"faults", "gateway", "keeper", "peers", "timeline"},
 }
-"""Which of the package's folders each folder may use; the others may use all."""
+"""Folders of the package that each folder may import; folders not listed may import all."""
 
 
 class DocumentsTest(unittest.TestCase):
-    """Pages and examples."""
+    """The generated page and the examples."""
 
-    def test_reference_is_written_from_the_code(self) -> None:
+    def test_reference_is_up_to_date(self) -> None:
         self.assertEqual(reference.PATH.read_text(), reference.build_reference())
 
     def test_examples_are_valid(self) -> None:
@@ -42,23 +42,23 @@
 
 
 class ImportsTest(unittest.TestCase):
-    """Domain folders do not reach outwards."""
+    """Inner layers do not import outer ones."""
 
     def read_imports(self, path: pathlib.Path) -> set[str]:
-        """Folders of the package that a module imports."""
+        """Parse the folders of the package that a module imports."""
         found = set()
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("tillerlane."):
                 found.add(node.module.split(".")[1])
         return found
 
-    def test_only_its_own_start_and_the_tests_know_the_platform(self) -> None:
+    def test_only_platform_and_tests_import_the_platform(self) -> None:
         for path in PACKAGE.rglob("*.py"):
             folder = path.relative_to(PACKAGE).parts[0]
             if folder not in ("platform", "testing") and "tests" not in path.parts:
                 self.assertNotIn("platform", self.read_imports(path), str(path))
 
-    def test_platform_takes_ports_and_settings_but_no_decision(self) -> None:
+    def test_platform_imports_no_decision_modules(self) -> None:
         decisions = {"relay", "runs", "selection", "homes", "usage"}
         for path in (PACKAGE / "platform").glob("*.py"):
             for node in ast.walk(ast.parse(path.read_text())):
@@ -66,7 +66,7 @@
                     names = {alias.name for alias in node.names}
                     self.assertEqual(names & decisions, set(), path.name)
 
-    def test_direction(self) -> None:
+    def test_import_layers(self) -> None:
         for folder, allowed in ALLOWED.items():
             for path in (PACKAGE / folder).glob("*.py"):
                 extra = self.read_imports(path) - allowed - {folder}
