--- a/tillerlane/agent/execution.py
+++ b/tillerlane/agent/execution.py
@@ -152,7 +152,7 @@
     async def _pause(self, generation: generations.Generation) -> None:
         try:
             await self.state.client.pause(generation.id)
-        except runners.TargetBroken:
+        except runners.TargetError:
             return
         if generation.state is generations.State.RUNNING:
             await self._unpause(generation)
@@ -160,7 +160,7 @@
     async def _unpause(self, generation: generations.Generation) -> None:
         try:
             await self.state.client.unpause(generation.id)
-        except runners.TargetBroken:
+        except runners.TargetError:
             return
 
     def _check_stall(self, now: float) -> None:
@@ -248,7 +248,7 @@
         """
         try:
             return True, await self.state.client.cancel(generation.id)
-        except runners.TargetBroken:
+        except runners.TargetError:
             return False, None
 
     def _finish_cancelled(
@@ -304,7 +304,7 @@
                 return None
             except runners.UnknownGeneration:
                 return self._describe_loss(generation, "the target no longer knows it")
-            except runners.TargetBroken as error:
+            except runners.TargetError as error:
                 if fresh and not error.reached:
                     generation.started = False
                     return faults.new_fault(
@@ -392,7 +392,7 @@
             try:
                 load = await self.state.client.read_load()
                 self.state.take_load(load, loop.time())
-            except (runners.TargetBroken, OSError):
+            except (runners.TargetError, OSError):
                 self.state.load_failures += 1
             self.wake()
             await asyncio.sleep(LOAD_SECONDS)
@@ -405,7 +405,7 @@
                 async for event in self.state.client.read_cache_events(seen):
                     self.state.take_cache_event(event, seen + 1)
                     seen = event.number
-            except (runners.TargetBroken, runners.UnknownGeneration, OSError, ValueError):
+            except (runners.TargetError, runners.UnknownGeneration, OSError, ValueError):
                 seen = 0
                 self.state.prefixes.clear()
             await asyncio.sleep(1.0)
--- a/tillerlane/agent/generation.py
+++ b/tillerlane/agent/generation.py
@@ -115,7 +115,7 @@
     def fail(self, fault: faults.Fault, now: float) -> None:
         """End with a fault."""
         end = messages.End(
-            "fault", len(self.texts), self.start.prompt_tokens, links.write_fault(fault)
+            "fault", len(self.texts), self.start.prompt_tokens, links.format_fault(fault)
         )
         self.finish(end, now)
 
--- a/tillerlane/agent/orders.py
+++ b/tillerlane/agent/orders.py
@@ -48,7 +48,7 @@
         order = runners.Order(fence, arguments["action"], arguments["model"])
         try:
             self._state.models = set(await self._state.client.give_order(order))
-        except runners.TargetBroken as error:
+        except runners.TargetError as error:
             raise faults.FaultError(
                 faults.new_fault(kinds.ErrorKind.TARGET_FAILED, str(error))
             ) from error
--- a/tillerlane/agent/server.py
+++ b/tillerlane/agent/server.py
@@ -328,7 +328,7 @@
         state = executor.state
         try:
             owner, prompt_tokens = await state.client.read_owner(start.generation_id)
-        except (runners.UnknownGeneration, runners.TargetBroken) as error:
+        except (runners.UnknownGeneration, runners.TargetError) as error:
             message = f"no generation {start.generation_id!r} at {state.name}: {error}"
             fault = faults.new_fault(
                 kinds.ErrorKind.GENERATION_LOST, message, ran=kinds.Ran.UNKNOWN
--- a/tillerlane/cli/drawing.py
+++ b/tillerlane/cli/drawing.py
@@ -36,7 +36,7 @@
                 "name": event["name"],
                 "pid": numbers[event["daemon"]],
                 "tid": 1,
-                "ts": clocks.read_milliseconds(event["stamp"]) * 1000,
+                "ts": clocks.get_milliseconds(event["stamp"]) * 1000,
                 "args": {**facts, "generation": event["generation_id"]},
             }
         )
@@ -55,7 +55,7 @@
     height = _TOP + _LANE * (len(daemons) + 1)
     if not events:
         return '<svg xmlns="http://www.w3.org/2000/svg" width="300" height="40"/>'
-    stamps = [clocks.read_milliseconds(event["stamp"]) for event in events]
+    stamps = [clocks.get_milliseconds(event["stamp"]) for event in events]
     begin, span = stamps[0], max(1, stamps[-1] - stamps[0])
     parts = [
         f'<svg xmlns="http://www.w3.org/2000/svg" width="{_LEFT + _WIDTH + 40}" '
--- a/tillerlane/cli/fleets.py
+++ b/tillerlane/cli/fleets.py
@@ -29,12 +29,12 @@
 WATCH_SECONDS = 1.0
 
 
-def read_span(text: str) -> float:
+def parse_duration(text: str) -> float:
     """Seconds of a span such as ``30s``.
 
     Examples
     --------
-    >>> read_span("2m")
+    >>> parse_duration("2m")
     120.0
     """
     found = _SPAN.match(text)
@@ -225,7 +225,7 @@
     """``request show``."""
     answer = clients.connect(arguments).get("/admin/timeline", request_id=arguments.id)
     clients.print_json(answer) if arguments.json else print_events(answer)
-    return 0 if answer["events"] else kinds.ANSWERS[kinds.ErrorKind.NOT_FOUND].exit_code
+    return 0 if answer["events"] else kinds.RESPONSES[kinds.ErrorKind.NOT_FOUND].exit_code
 
 
 def run_cancel(arguments: argparse.Namespace) -> int:
@@ -379,7 +379,7 @@
 def print_events(answer: dict[str, Any]) -> None:
     """Print events as lines: time, daemon, name, ids, facts."""
     for event in answer["events"]:
-        stamp = clocks.read_milliseconds(event["stamp"])
+        stamp = clocks.get_milliseconds(event["stamp"])
         at = time.strftime("%H:%M:%S", time.gmtime(stamp / 1000)) + f".{stamp % 1000:03d}"
         fields = " ".join(
             f"{name}={value}"
@@ -436,7 +436,7 @@
     clients.add_options(noun)
     noun.add_argument("--request", metavar="ID")
     noun.add_argument("--generation", metavar="ID")
-    noun.add_argument("--last", type=read_span, metavar="SPAN", help="such as 30s or 2m")
+    noun.add_argument("--last", type=parse_duration, metavar="SPAN", help="such as 30s or 2m")
     noun.add_argument(
         "--log", nargs="+", metavar="FILE", help="read log lines in place of the fleet; - is stdin"
     )
--- a/tillerlane/cli/loglines.py
+++ b/tillerlane/cli/loglines.py
@@ -8,7 +8,7 @@
 
 from tillerlane.timeline import core as timelines
 
-__all__ = ["LogEvents", "read_files", "read_line"]
+__all__ = ["LogEvents", "parse_line", "read_files"]
 
 _OWN = frozenset(
     ("daemon", "stamp", "event", "request_id", "generation_id", "level", "timestamp", "left_out")
@@ -47,7 +47,7 @@
     return values if isinstance(values, dict) else None
 
 
-def read_line(line: str) -> timelines.Event | None:
+def parse_line(line: str) -> timelines.Event | None:
     """The event that a line tells of; None if it tells of none."""
     values = _parse(line)
     return _build_event(values) if values is not None else None
--- a/tillerlane/cli/main.py
+++ b/tillerlane/cli/main.py
@@ -43,7 +43,7 @@
             clients.print_json(fault.to_json())
         else:
             print(f"tillerlane: {fault.kind}: {fault.message}", file=sys.stderr)
-        sys.exit(fault.answer.exit_code)
+        sys.exit(fault.response.exit_code)
     except KeyboardInterrupt:
         sys.exit(130)
 
--- a/tillerlane/cli/tests/test_loglines.py
+++ b/tillerlane/cli/tests/test_loglines.py
@@ -64,7 +64,7 @@
 
     def test_lines_that_hold_no_event(self) -> None:
         for line in ("", "{}", "[1]", '{"event": "x"}', '{"stamp": "1", "event": "x"}', "{bad"):
-            self.assertIsNone(loglines.read_line(line), line)
+            self.assertIsNone(loglines.parse_line(line), line)
 
 
 if __name__ == "__main__":
--- a/tillerlane/config/store.py
+++ b/tillerlane/config/store.py
@@ -41,7 +41,7 @@
     return documents.KINDS
 
 
-def write_body(model: documents.Model) -> str:
+def format_body(model: documents.Model) -> str:
     """Write an entity in its one canonical form."""
     values = model.model_dump(mode="json", exclude_defaults=True)
     return json.dumps(values, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
@@ -49,11 +49,11 @@
 
 def split_document(document: documents.Document) -> dict[Key, str]:
     """Split a document into entities: (kind, name) to body."""
-    entities: dict[Key, str] = {("fleet", _FLEET_NAME): write_body(document.fleet)}
+    entities: dict[Key, str] = {("fleet", _FLEET_NAME): format_body(document.fleet)}
     for kind in _get_kinds():
         if kind != "fleet":
             for name, model in getattr(document, kind).items():
-                entities[kind, name] = write_body(model)
+                entities[kind, name] = format_body(model)
     return entities
 
 
--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -33,7 +33,7 @@
 from tillerlane.timeline import clock as clocks
 from tillerlane.timeline import core as timelines
 
-__all__ = ["Daemon", "Surroundings"]
+__all__ = ["Daemon", "Dependencies"]
 
 PULL_SECONDS = 0.2
 """Least time between two pulls of the configuration on one link."""
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class Dependencies:
     """What a daemon needs of the world; tests put stand-ins here.
 
     Attributes
@@ -91,15 +91,15 @@
     ----------
     own : settings.Settings
         Its settings.
-    around : Surroundings, optional
+    dependencies : Surroundings, optional
         What it needs of the world.
     """
 
-    def __init__(self, own: settings.Settings, around: Surroundings | None = None) -> None:
+    def __init__(self, own: settings.Settings, dependencies: Dependencies | None = None) -> None:
         self.settings = own
-        self._around = around or Surroundings()
-        self.started_at = self._around.now()
-        self.clock = clocks.HybridClock(self._around.now)
+        self._dependencies = dependencies or Dependencies()
+        self.started_at = self._dependencies.now()
+        self.clock = clocks.HybridClock(self._dependencies.now)
         self.timeline = timelines.Timeline(own.daemon, self.clock)
         self.metrics = metrics.open_metrics(own.statsd, own.daemon)
         self.members = views.MemberView(own.keepers.values())
@@ -110,7 +110,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         server_tls, client_tls = tls.build_contexts(own.tls)
         self.node = nodes.Node(
-            self._build_local(), server_tls, client_tls, self._around.open_connection
+            self._build_local(), server_tls, client_tls, self._dependencies.open_connection
         )
         self.keeper: server.Keeper | None = None
         self.placement: leader.PlacementLeader | None = None
@@ -128,12 +128,12 @@
         if settings.Role.AGENT in own.roles:
             self.agent = agents.Agent(
                 own.targets,
-                self._around.connect,
+                self._dependencies.connect,
                 self.store,
                 self.timeline,
                 self._get_report_links,
                 self.metrics.count,
-                self._around.decide,
+                self._dependencies.decide,
             )
         self.view: fleet.FleetView | None = None
         self.callers: api.Callers | None = None
@@ -157,7 +157,7 @@
             notify=self._notify,
             on_down=self._note_down,
             admit=self._admit,
-            note_refused=self._note_refused,
+            on_refused=self._note_refused,
         )
 
     def _build_member(self) -> messages.Member:
@@ -176,7 +176,7 @@
     def _build_keeper(self) -> None:
         own = self.settings
         assert own.data_folder is not None
-        storage = storages.Storage(self._around.open_disk(own.data_folder), own.daemon)
+        storage = storages.Storage(self._dependencies.open_disk(own.data_folder), own.daemon)
         state = state_machines.StateMachine()
         self.store = state.store
         part = replica.Replica(
@@ -186,22 +186,22 @@
             state,
             self.timeline,
             self._get_keeper_link,
-            self._around.run_blocking,
-            self._around.rng,
+            self._dependencies.run_blocking,
+            self._dependencies.rng,
         )
         part.on_role_change = self._note_standing
         self.keeper = server.Keeper(
             part, self._get_keeper_link, self._get_subscribers, self._read_ms
         )
         self.placement = leader.PlacementLeader(
-            part, self.members.list_live, self.ask, self.timeline, self._read_ms
+            part, self.members.list_live, self.query_daemon, self.timeline, self._read_ms
         )
         self.exchange = exchange.KeeperExchange(
             self.members, self._get_keeper_links, self._get_subscribers
         )
 
     def _read_ms(self) -> int:
-        return int(self._around.now() * 1000)
+        return int(self._dependencies.now() * 1000)
 
     def _build_entry(self) -> None:
         near = self.settings.near_halls
@@ -209,8 +209,8 @@
         router = routing.Router(
             self.view,
             self.settings.data_hall,
-            self._around.rng,
-            self._around.choose,
+            self._dependencies.rng,
+            self._dependencies.choose,
             lambda: self.store.current.evacuated,
         )
         dispatcher = dispatch.Dispatcher(
@@ -389,18 +389,18 @@
         except (faults.FaultError, links.LinkLost):
             raise
         except Exception as error:
-            raise faults.FaultError(self.note_internal(error)) from error
+            raise faults.FaultError(self.record_internal_error(error)) from error
 
     async def _serve_body(self, exchange_: links.Exchange, body: messages.Body) -> None:
         if isinstance(body, messages.Query):
-            await self._answer_query(exchange_, body)
+            await self._serve_query(exchange_, body)
         elif isinstance(body, messages.Start) and self.agent is not None:
             await self.agent.serve(exchange_, body)
         elif self.keeper is None or not await self.keeper.serve(exchange_, body):
             message = f"{self.settings.daemon} does not serve {type(body).__name__}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NO_CAPACITY, message))
 
-    async def answer(self, subject: str, arguments: dict[str, Any]) -> Any:
+    async def answer_query(self, subject: str, arguments: dict[str, Any]) -> Any:
         """Answer a query about this daemon.
 
         Raises
@@ -415,9 +415,9 @@
         result = query(arguments)
         return await result if asyncio.iscoroutine(result) else result
 
-    async def _answer_query(self, exchange_: links.Exchange, body: messages.Query) -> None:
-        result = await self.answer(body.subject, codec.read_json(body.arguments))
-        exchange_.send(messages.QueryReply(codec.write_json(result)))
+    async def _serve_query(self, exchange_: links.Exchange, body: messages.Query) -> None:
+        result = await self.answer_query(body.subject, codec.decode_json(body.arguments))
+        exchange_.send(messages.QueryReply(codec.encode_json(result)))
 
     def _notify(self, link: links.Link, body: messages.Body) -> None:
         now = asyncio.get_running_loop().time()
@@ -488,7 +488,7 @@
         age = asyncio.get_running_loop().time() - self.client.last_contact_at
         return age < self.settings.stale_seconds
 
-    def note_internal(self, error: Exception) -> faults.Fault:
+    def record_internal_error(self, error: Exception) -> faults.Fault:
         """Log an unforeseen error under an id and give the fault that names it."""
         error_id = f"e-{random.getrandbits(48):012x}"
         self.timeline.record(
@@ -509,9 +509,11 @@
             yield await peer.wait_link(QUERY_SECONDS)
         finally:
             if not was_dialed:
-                self.node.hang_up(address)
+                self.node.disconnect(address)
 
-    async def ask(self, member: messages.Member, subject: str, arguments: dict[str, Any]) -> Any:
+    async def query_daemon(
+        self, member: messages.Member, subject: str, arguments: dict[str, Any]
+    ) -> Any:
         """Ask another daemon, or this one.
 
         Raises
@@ -520,9 +522,9 @@
             If it does not answer.
         """
         if member.daemon_id == self.settings.daemon:
-            return await self.answer(subject, arguments)
+            return await self.answer_query(subject, arguments)
         async with self.borrow_link(member.address) as link:
             query = messages.Query(subject, json.dumps(arguments))
             reply = await link.call(query, QUERY_SECONDS)
         assert isinstance(reply, messages.QueryReply)
-        return codec.read_json(reply.result)
+        return codec.decode_json(reply.result)
--- a/tillerlane/daemon/http.py
+++ b/tillerlane/daemon/http.py
@@ -32,12 +32,12 @@
 HARD_BODY_BYTES = 32 * 1024 * 1024
 
 
-def write_fault(fault: faults.Fault) -> litestar.Response[dict[str, Any]]:
+def build_fault_response(fault: faults.Fault) -> litestar.Response[dict[str, Any]]:
     """Answer with a fault."""
     headers = {"x-tillerlane-ran": fault.ran.value}
     if fault.retry_after is not None:
         headers["retry-after"] = str(max(LEAST_RETRY_SECONDS, round(fault.retry_after)))
-    return litestar.Response(fault.to_json(), status_code=fault.answer.status, headers=headers)
+    return litestar.Response(fault.to_json(), status_code=fault.response.status, headers=headers)
 
 
 def build_app(daemon: daemons.Daemon) -> litestar.Litestar:
@@ -47,16 +47,16 @@
         handlers += entry_api.build_handlers(daemon.callers)
 
     def answer_fault(request: Any, error: faults.FaultError) -> litestar.Response[Any]:
-        return write_fault(error.fault)
+        return build_fault_response(error.fault)
 
     def answer_http(request: Any, error: exceptions.HTTPException) -> litestar.Response[Any]:
         kind = _KIND_BY_STATUS.get(error.status_code, kinds.ErrorKind.BAD_REQUEST)
         if error.status_code >= 500:
-            return write_fault(daemon.note_internal(error))
-        return write_fault(faults.new_fault(kind, f"{error.status_code}: {error.detail}"))
+            return build_fault_response(daemon.record_internal_error(error))
+        return build_fault_response(faults.new_fault(kind, f"{error.status_code}: {error.detail}"))
 
     def answer_other(request: Any, error: Exception) -> litestar.Response[Any]:
-        return write_fault(daemon.note_internal(error))
+        return build_fault_response(daemon.record_internal_error(error))
 
     return litestar.Litestar(
         handlers,
--- a/tillerlane/daemon/main.py
+++ b/tillerlane/daemon/main.py
@@ -85,7 +85,7 @@
     if isinstance(outcome, result.Err):
         fault = outcome.err_value
         print(f"tillerlaned: {fault.kind}: {fault.message}", file=sys.stderr)
-        sys.exit(fault.answer.exit_code)
+        sys.exit(fault.response.exit_code)
     if arguments.check:
         print(f"{arguments.settings}: settings of daemon {outcome.ok_value.daemon!r} are valid")
         return
@@ -96,7 +96,7 @@
     except faults.FaultError as error:
         fault = error.fault
         print(f"tillerlaned: {fault.kind}: {fault.message}", file=sys.stderr)
-        sys.exit(fault.answer.exit_code)
+        sys.exit(fault.response.exit_code)
     except OSError as error:
         print(f"tillerlaned: cannot start: {error}", file=sys.stderr)
         sys.exit(1)
--- a/tillerlane/entry/api.py
+++ b/tillerlane/entry/api.py
@@ -345,7 +345,7 @@
         model="",
         group=name,
         targets={key: item.data_hall for key, item in service.targets.items()},
-        payload=http_service.write_call(http.method, full_path, headers, body),
+        payload=http_service.encode_call(http.method, full_path, headers, body),
         prompt_tokens=0,
         max_tokens=1,
         prefix_hash=0,
--- a/tillerlane/entry/fleet.py
+++ b/tillerlane/entry/fleet.py
@@ -179,7 +179,7 @@
         """End links to agents that no target needs any more."""
         used = {record.peer.address for record in self.targets.values()}
         for address in self._node.get_dialed() - used - self._members.keeper_addresses:
-            self._node.hang_up(address)
+            self._node.disconnect(address)
 
     def take_loads(self, link: links.Link, loads: messages.Loads, now: float) -> None:
         """Take load reports from an agent's link."""
--- a/tillerlane/entry/relay.py
+++ b/tillerlane/entry/relay.py
@@ -229,7 +229,7 @@
 
     def _take_end(self, end: messages.End) -> Ending:
         if end.fault:
-            raise faults.FaultError(links.read_fault(end.fault))
+            raise faults.FaultError(links.parse_fault(end.fault))
         if end.tokens != self.offset:
             raise _Gap
         return Ending(self.generation_id, end.reason, end.tokens, end.prompt_tokens)
@@ -240,7 +240,7 @@
         An agent refuses to attach because it does not find the generation or does not know its
         terms: that says nothing of what the target, or a former process of the agent, did with it.
         """
-        fault = links.read_fault(refusal.fault)
+        fault = links.parse_fault(refusal.fault)
         if not self.attach:
             return fault
         if fault.kind in _OF_THE_ASKER:
--- a/tillerlane/entry/tests/test_at_most_once.py
+++ b/tillerlane/entry/tests/test_at_most_once.py
@@ -226,7 +226,7 @@
             async def lose(generation_id: str) -> bool | None:
                 nonlocal lost
                 lost += 1
-                raise runners.TargetBroken("broke off", reached=False)
+                raise runners.TargetError("broke off", reached=False)
 
             states = [executor.state for executor in self.list_executors(stage)]
             sound = [state.client for state in states]
--- a/tillerlane/faults/core.py
+++ b/tillerlane/faults/core.py
@@ -41,9 +41,9 @@
     detail: dict[str, Any] = dataclasses.field(default_factory=dict)
 
     @property
-    def answer(self) -> kinds.Answer:
+    def response(self) -> kinds.FaultResponse:
         """Row of the table for this fault's kind."""
-        return kinds.ANSWERS[self.kind]
+        return kinds.RESPONSES[self.kind]
 
     def to_json(self) -> dict[str, Any]:
         """Body that callers and operators get, in the form text-generation clients read."""
@@ -52,7 +52,7 @@
             "code": self.kind.value,
             "message": self.message,
             "ran": self.ran.value,
-            "retry": self.answer.retry.value,
+            "retry": self.response.retry.value,
         }
         if self.retry_after is not None:
             error["retry_after"] = self.retry_after
@@ -93,7 +93,7 @@
     return Fault(
         kind=kind,
         message=message,
-        ran=kinds.ANSWERS[kind].ran if ran is None else ran,
+        ran=kinds.RESPONSES[kind].ran if ran is None else ran,
         retry_after=retry_after,
         detail=detail or {},
     )
--- a/tillerlane/gateway/directory.py
+++ b/tillerlane/gateway/directory.py
@@ -274,7 +274,7 @@
         [max(0, int((item.warm_at - now) * 1000)) for item in rows],
         [min(max(0, int((now - item.heard_at) * 1000)), MAX_AGE_MS) for item in rows],
     )
-    data = codec.write_table(table)
+    data = codec.encode_table(table)
     return messages.TargetStates(
         zlib.compress(data, FULL_STATE_COMPRESSION_LEVEL) if full else data, full
     )
@@ -289,7 +289,7 @@
         Of kind ``bad_request`` if it can't be read.
     """
     now = asyncio.get_running_loop().time()
-    table = codec.read_table(_decompress(message), messages.StateTable)
+    table = codec.decode_table(_decompress(message), messages.StateTable)
     rows = zip(
         table.target_ids,
         table.pools,
--- a/tillerlane/gateway/homes.py
+++ b/tillerlane/gateway/homes.py
@@ -167,12 +167,12 @@
         surplus = [home for home in self._homes if home.address != self._primary][::-1]
         for home in surplus[: max(0, len(self._homes) - desired)]:
             self._homes.remove(home)
-            self._node.hang_up(home.address)
+            self._node.disconnect(home.address)
             self._timeline.record("keeper.left", keeper=home.address, entries=self._entry_count)
         taken = {home.address for home in self._homes}
         free = sorted(self._known - taken, key=self._score)
         for address in free[: max(0, desired - len(self._homes))]:
-            peer = self._node.dial(address, pace=LINK_HEARTBEAT_SECONDS)
+            peer = self._node.dial(address, heartbeat_seconds=LINK_HEARTBEAT_SECONDS)
             self._homes.append(_Home(address, peer, now))
 
     def _choose_primary(self, now: float) -> None:
@@ -191,7 +191,7 @@
             if now - home.up_to_date_at > HOME_TIMEOUT_SECONDS and has_other:
                 self._homes.remove(home)
                 self._given_up_at[home.address] = now
-                self._node.hang_up(home.address)
+                self._node.disconnect(home.address)
                 self._timeline.record("keeper.given_up", keeper=home.address)
 
     def _update_home(self, home: _Home, now: float) -> None:
--- a/tillerlane/gateway/limits.py
+++ b/tillerlane/gateway/limits.py
@@ -156,7 +156,7 @@
             for word in rows
         ],
     )
-    return messages.TargetLimits(codec.write_table(table))
+    return messages.TargetLimits(codec.encode_table(table))
 
 
 def decode_records(message: messages.TargetLimits) -> list[LimitRecord]:
@@ -168,7 +168,7 @@
         Of kind ``bad_request`` if it can't be read.
     """
     now = asyncio.get_running_loop().time()
-    table = codec.read_table(message.table, messages.LimitTable)
+    table = codec.decode_table(message.table, messages.LimitTable)
     rows = zip(
         table.target_ids,
         table.limits,
--- a/tillerlane/gateway/loads.py
+++ b/tillerlane/gateway/loads.py
@@ -101,7 +101,7 @@
     """Uses by address as a table; what can't be (below 0) is told as 0."""
     rows = list(uses)
     columns = [[max(0, getattr(use, name)) for _, use in rows] for name in FIELDS]
-    return codec.write_table(messages.UseTable([address for address, _ in rows], *columns))
+    return codec.encode_table(messages.UseTable([address for address, _ in rows], *columns))
 
 
 def decode_loads(data: bytes) -> Loads:
@@ -116,7 +116,7 @@
 
 
 def _read_rows(data: bytes) -> list[tuple[str, TargetLoad]]:
-    table = codec.read_table(data, messages.UseTable)
+    table = codec.decode_table(data, messages.UseTable)
     columns = [getattr(table, name) for name in FIELDS]
     return [
         (address, TargetLoad(*values))
--- a/tillerlane/gateway/suspects.py
+++ b/tillerlane/gateway/suspects.py
@@ -123,7 +123,7 @@
         [end.target_id for end in rows],
         [end.is_cleared for end in rows],
     )
-    return messages.TargetEnds(codec.write_table(table))
+    return messages.TargetEnds(codec.encode_table(table))
 
 
 def decode_exits(message: messages.TargetEnds) -> list[TargetExit]:
@@ -134,7 +134,7 @@
     faults.FaultError
         Of kind ``bad_request`` if it can't be read.
     """
-    table = codec.read_table(message.table, messages.EndTable)
+    table = codec.decode_table(message.table, messages.EndTable)
     rows = zip(table.fingerprints, table.target_ids, table.cleared, strict=True)
     return [
         TargetExit(fingerprint, target_id, is_cleared)
--- a/tillerlane/gateway/tests/test_evacuation.py
+++ b/tillerlane/gateway/tests/test_evacuation.py
@@ -361,7 +361,7 @@
             for name in ("", "x" * 101, "a\nb"):
                 with self.assertRaises(faults.FaultError) as caught:
                     await stage.keepers["keeper-1"].evacuate(name, True)
-                self.assertEqual(caught.exception.fault.answer.status, 400)
+                self.assertEqual(caught.exception.fault.response.status, 400)
 
         self.play(scene)
 
--- a/tillerlane/gateway/tests/test_loads.py
+++ b/tillerlane/gateway/tests/test_loads.py
@@ -282,7 +282,7 @@
     def test_columns_of_different_lengths_are_refused(self) -> None:
         table = messages.UseTable(["10.0.9.1:1"], [1, 2], [1], [1], [1], [1], [1])
         with self.assertRaisesRegex(Exception, "expected one length"):
-            codec.read_table(codec.write_table(table), messages.UseTable)
+            codec.decode_table(codec.encode_table(table), messages.UseTable)
 
 
 if __name__ == "__main__":
--- a/tillerlane/keeper/client.py
+++ b/tillerlane/keeper/client.py
@@ -124,12 +124,14 @@
         former = self._keepers[self.home_name]
         self._position = (self._position + 1) % len(self._order)
         if self._keepers[self.home_name] != former:
-            self._node.hang_up(former)
+            self._node.disconnect(former)
         self._dial(now)
 
     def _dial(self, now: float) -> None:
         address = self._keepers[self.home_name]
-        self._peer = self._node.dial(address, pace=links.SLOW_PACE_SECONDS)
+        self._peer = self._node.dial(
+            address, heartbeat_seconds=links.SLOW_HEARTBEAT_INTERVAL_SECONDS
+        )
         self._linkless_since = now
 
     async def propose(self, command: commands.Command) -> dict[str, Any]:
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -163,7 +163,7 @@
         """Stop dialing who is neither seed nor voter and has not been told of for long."""
         self._known_keepers.expire()
         for address in self._node.get_dialed() - self.list_addresses():
-            self._node.hang_up(address)
+            self._node.disconnect(address)
 
     def _build_announcement(self) -> messages.KeeperAnnounce:
         assert self._replica is not None
--- a/tillerlane/keeper/proposals.py
+++ b/tillerlane/keeper/proposals.py
@@ -36,4 +36,4 @@
         message = f"the answer of {link.peer_id} got lost: {error}"
         raise build_no_quorum(message, kinds.Ran.UNKNOWN) from error
     assert isinstance(reply, messages.ProposeReply)
-    return codec.read_json(reply.result)
+    return codec.decode_json(reply.result)
--- a/tillerlane/operators/api.py
+++ b/tillerlane/operators/api.py
@@ -87,12 +87,12 @@
 async def _ask_keeper(daemon: daemons.Daemon, subject: str, arguments: dict[str, Any]) -> Any:
     """Ask this daemon if it is a keeper, or its home keeper."""
     if daemon.keeper is not None:
-        return await daemon.answer(subject, arguments)
+        return await daemon.answer_query(subject, arguments)
     member = daemon.members.find(daemon.client.home_name)
     if member is None:
         fault = faults.new_fault(kinds.ErrorKind.UNREACHABLE, "no keeper is known")
         raise faults.FaultError(fault)
-    return await daemon.ask(member, subject, arguments)
+    return await daemon.query_daemon(member, subject, arguments)
 
 
 def build_config_handlers(daemon: daemons.Daemon) -> list[Any]:
@@ -169,7 +169,7 @@
     async def cancel(request: Http) -> dict[str, Any]:
         actor = access.authorize(daemon, request, documents.OperatorRole.DRAIN)
         body = await _read_body(request, CancelBody)
-        answers, missing = await queries.ask_all(daemon, "cancel", body.model_dump())
+        answers, missing = await queries.query_all(daemon, "cancel", body.model_dump())
         daemon.timeline.record("operator.cancel", generation_id=body.generation_id, operator=actor)
         found = any(answer["found"] for answer in answers.values())
         return {"found": found, "missing": missing}
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -12,7 +12,7 @@
 from tillerlane.peers import messages
 from tillerlane.timeline import core as timelines
 
-__all__ = ["ask_all", "gather_status", "gather_timeline", "register_queries"]
+__all__ = ["gather_status", "gather_timeline", "query_all", "register_queries"]
 
 MAX_QUERIES_AT_ONCE = 64
 
@@ -60,7 +60,7 @@
     leader = daemon.members.find(own.leader)
     if own.has_lease or leader is None or own.leader == own.name:
         return daemon.placement.get_status()
-    return await daemon.ask(leader, "placement", {})
+    return await daemon.query_daemon(leader, "placement", {})
 
 
 def _read_history(daemon: daemons.Daemon) -> list[dict[str, Any]]:
@@ -141,7 +141,7 @@
     return targets
 
 
-async def ask_all(
+async def query_all(
     daemon: daemons.Daemon, subject: str, arguments: dict[str, Any]
 ) -> tuple[dict[str, Any], list[str]]:
     """Ask every daemon at once; what each said, and who did not answer."""
@@ -154,7 +154,7 @@
             if member.state == views.GONE:
                 return None
             try:
-                return await daemon.ask(member, subject, arguments)
+                return await daemon.query_daemon(member, subject, arguments)
             except (links.LinkLost, OSError):
                 return None
 
@@ -166,7 +166,7 @@
 
 async def gather_timeline(daemon: daemons.Daemon, arguments: dict[str, Any]) -> dict[str, Any]:
     """All daemons' events in causal order, and which daemons are missing."""
-    rings, missing = await ask_all(daemon, "timeline", arguments)
+    rings, missing = await query_all(daemon, "timeline", arguments)
     parsed = [[timelines.Event(**event) for event in ring] for ring in rings.values()]
     events = timelines.merge_events(parsed)
     return {"events": [event.to_json() for event in events], "missing": missing}
@@ -174,7 +174,7 @@
 
 async def gather_status(daemon: daemons.Daemon) -> dict[str, Any]:
     """State of the whole fleet."""
-    answers, missing = await ask_all(daemon, "status", {})
+    answers, missing = await query_all(daemon, "status", {})
     leaders = [
         (answer["keeper"]["term"], answer["daemon"])
         for answer in answers.values()
--- a/tillerlane/peers/codec.py
+++ b/tillerlane/peers/codec.py
@@ -15,15 +15,15 @@
 from tillerlane.faults import kinds
 from tillerlane.peers import messages
 
-__all__ = ["decode", "encode", "read_json", "read_table", "write_json", "write_table"]
+__all__ = ["decode", "decode_json", "decode_table", "encode", "encode_json", "encode_table"]
 
 
-def write_json(value: Any) -> bytes:
+def encode_json(value: Any) -> bytes:
     """Write JSON for those fields that carry it."""
     return msgspec.json.encode(value)
 
 
-def read_json(data: bytes | str) -> Any:
+def decode_json(data: bytes | str) -> Any:
     """Read JSON from those fields that carry it.
 
     Raises
@@ -124,14 +124,14 @@
 )
 
 
-def write_table(table: AnyTable) -> bytes:
+def encode_table(table: AnyTable) -> bytes:
     """Write a table for those fields that carry one."""
     builder = getattr(_SCHEMA, type(table).__name__).new_message()
     _fill(builder, table)
     return builder.to_bytes()
 
 
-def read_table(data: bytes, cls: type[Table]) -> Table:
+def decode_table(data: bytes, cls: type[Table]) -> Table:
     """Read a table of a class from those fields that carry one.
 
     Raises
--- a/tillerlane/peers/link.py
+++ b/tillerlane/peers/link.py
@@ -23,21 +23,21 @@
 from tillerlane.peers import codec, messages
 from tillerlane.timeline import clock as clocks
 
-__all__ = ["Exchange", "Link", "LinkLost", "Local", "read_fault", "try_send", "write_fault"]
+__all__ = ["Exchange", "Link", "LinkLost", "Local", "format_fault", "parse_fault", "try_send"]
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 MAX_HELLO_BYTES = 4096
 """Bound on a frame of a peer that has not yet said who it is."""
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 """A peer that leaves more than this unread is cut off."""
-HELLO_SECONDS = 2.0
-PACE_SECONDS = 0.85
+HELLO_TIMEOUT_SECONDS = 2.0
+HEARTBEAT_INTERVAL_SECONDS = 0.85
 """Longest silence of a sender; a cut is found within two seconds."""
-SLOW_PACE_SECONDS = 2.5
+SLOW_HEARTBEAT_INTERVAL_SECONDS = 2.5
 """Pace of a daemon towards its home keeper, which has hundreds of such links."""
-SILENCE_FACTOR = 2.1
+TIMEOUT_FACTOR = 2.1
 """A link on which nothing came for this many paces of the peer is lost."""
-TOKEN_FLUSH_SECONDS = 0.002
+TOKEN_FLUSH_DELAY_SECONDS = 0.002
 """How long tokens wait for others to share their frame."""
 
 _LENGTH = struct.Struct(">I")
@@ -100,7 +100,7 @@
     on_up: Callable[["Link"], None] = lambda link: None
     on_down: Callable[["Link"], None] = lambda link: None
     admit: Callable[[str, str], None] = lambda daemon_id, name: None
-    note_refused: Callable[[str], None] = lambda reason: None
+    on_refused: Callable[[str], None] = lambda reason: None
 
 
 def log_exception(error_id: str, error: BaseException) -> None:
@@ -108,14 +108,14 @@
     structlog.get_logger().error("internal.trace", error_id=error_id, exc_info=error)
 
 
-def write_fault(fault: faults.Fault) -> str:
+def format_fault(fault: faults.Fault) -> str:
     """Write a fault for a message."""
-    return codec.write_json(dataclasses.asdict(fault)).decode()
+    return codec.encode_json(dataclasses.asdict(fault)).decode()
 
 
-def read_fault(text: str) -> faults.Fault:
+def parse_fault(text: str) -> faults.Fault:
     """Read a fault that `write_fault` wrote."""
-    values = codec.read_json(text)
+    values = codec.decode_json(text)
     values["kind"] = kinds.ErrorKind(values["kind"])
     values["ran"] = kinds.Ran(values["ran"])
     return faults.Fault(**values)
@@ -190,7 +190,7 @@
         """Forget the exchange; messages that still come for it are dropped."""
         if self._timer is not None:
             self._timer.cancel()
-        self.link.forget(self.number)
+        self.link.discard(self.number)
 
 
 class Link:
@@ -218,9 +218,9 @@
         *,
         dialed: bool,
         on_ready: Callable[["Link"], None] | None = None,
-        pace: float = PACE_SECONDS,
+        heartbeat_seconds: float = HEARTBEAT_INTERVAL_SECONDS,
     ) -> None:
-        self._pace = pace
+        self._heartbeat_seconds = heartbeat_seconds
         self._reader = reader
         self._writer = writer
         self._local = local
@@ -288,7 +288,7 @@
         self._runs.append(run)
         if self._flush is None:
             loop = asyncio.get_running_loop()
-            self._flush = loop.call_later(TOKEN_FLUSH_SECONDS, self._flush_runs)
+            self._flush = loop.call_later(TOKEN_FLUSH_DELAY_SECONDS, self._flush_runs)
 
     def _flush_runs(self) -> None:
         if self._flush is not None:
@@ -306,7 +306,7 @@
         try:
             self.send(body, exchange.number)
         except LinkLost:
-            self.forget(exchange.number)
+            self.discard(exchange.number)
             raise
         return exchange
 
@@ -335,10 +335,10 @@
         finally:
             exchange.close()
         if isinstance(reply, messages.Refusal):
-            raise faults.FaultError(read_fault(reply.fault))
+            raise faults.FaultError(parse_fault(reply.fault))
         return reply
 
-    def forget(self, number: int) -> None:
+    def discard(self, number: int) -> None:
         """Drop an exchange."""
         self._exchanges.pop(number, None)
 
@@ -372,10 +372,12 @@
             local.incarnation,
             local.fleet,
             local.address,
-            pace_ms=int(self._pace * 1000),
+            pace_ms=int(self._heartbeat_seconds * 1000),
         )
         self._write(hello, 0)
-        envelope = await asyncio.wait_for(self._read_envelope(MAX_HELLO_BYTES), HELLO_SECONDS)
+        envelope = await asyncio.wait_for(
+            self._read_envelope(MAX_HELLO_BYTES), HELLO_TIMEOUT_SECONDS
+        )
         theirs = envelope.body
         if not isinstance(theirs, messages.Hello):
             raise _refuse(f"got {type(theirs).__name__}, expected Hello")
@@ -406,7 +408,7 @@
         self.messages_in += 1
         self._last_heard = asyncio.get_running_loop().time()
         local = self._local
-        local.clock.follow(envelope.clock)
+        local.clock.update(envelope.clock)
         if self.hello is not None and envelope.config_version != local.get_config_version():
             local.on_peer_version(self, envelope.config_version)
         return envelope
@@ -443,7 +445,7 @@
         try:
             await self._local.serve(exchange, body)
         except faults.FaultError as error:
-            try_send(exchange, messages.Refusal(write_fault(error.fault)))
+            try_send(exchange, messages.Refusal(format_fault(error.fault)))
         except LinkLost:
             pass
         finally:
@@ -454,15 +456,15 @@
         loop = asyncio.get_running_loop()
         self._last_heard = loop.time()
         assert self.hello is not None
-        patience = SILENCE_FACTOR * self.hello.pace_ms / 1000
+        patience = TIMEOUT_FACTOR * self.hello.pace_ms / 1000
         while not self._closed:
             now = loop.time()
             if now - self._last_heard > patience:
                 self.close()
                 return
-            if now - self._last_sent >= self._pace * 0.99:
+            if now - self._last_sent >= self._heartbeat_seconds * 0.99:
                 self._send_heartbeat(now)
-            next_send = self._last_sent + self._pace
+            next_send = self._last_sent + self._heartbeat_seconds
             next_check = self._last_heard + patience
             await asyncio.sleep(max(0.01, min(next_send, next_check) - loop.time()))
 
--- a/tillerlane/peers/messages.py
+++ b/tillerlane/peers/messages.py
@@ -360,7 +360,7 @@
     """What is known of targets, in columns; see `tillerlane.gateway.directory`.
 
     ``sequences`` rise with each word of the target itself, ``age_ms`` is the time since its last.
-    It stands in messages as bytes (`write_table`), so that a keeper writes it once for all its
+    It stands in messages as bytes (`encode_table`), so that a keeper writes it once for all its
     subscribers.
     """
 
@@ -414,7 +414,7 @@
 class UseTable:
     """Uses of many targets in columns; see `TargetUse`.
 
-    It stands in messages as bytes (`write_table`), so that a keeper writes it once for all its
+    It stands in messages as bytes (`encode_table`), so that a keeper writes it once for all its
     subscribers.  A list of structs took 115 us for eight targets to read, columns 49 us for thirty
     (mean of 2,000 on one core beside other work).
     """
--- a/tillerlane/peers/node.py
+++ b/tillerlane/peers/node.py
@@ -62,10 +62,10 @@
     def __init__(
         self,
         address: str,
-        pace: float = links.PACE_SECONDS,
+        heartbeat_seconds: float = links.HEARTBEAT_INTERVAL_SECONDS,
     ) -> None:
         self.address = address
-        self.pace = pace
+        self.heartbeat_seconds = heartbeat_seconds
         self.link: links.Link | None = None
         self.failures = 0
         self._up = asyncio.Event()
@@ -167,9 +167,11 @@
         if self._server_tls is None:
             return True
         try:
-            await writer.start_tls(self._server_tls, ssl_handshake_timeout=links.HELLO_SECONDS)
+            await writer.start_tls(
+                self._server_tls, ssl_handshake_timeout=links.HELLO_TIMEOUT_SECONDS
+            )
         except (OSError, EOFError, TimeoutError) as error:
-            self.local.note_refused(f"no valid certificate: {error}"[:200])
+            self.local.on_refused(f"no valid certificate: {error}"[:200])
             writer.close()
             return False
         return True
@@ -177,18 +179,18 @@
     def dial(
         self,
         address: str,
-        pace: float = links.PACE_SECONDS,
+        heartbeat_seconds: float = links.HEARTBEAT_INTERVAL_SECONDS,
     ) -> Peer:
         """Keep a link to `address`; asking twice gives the same peer."""
         known = self._peers.get(address)
         if known is not None:
             return known[0]
-        peer = Peer(address, pace)
+        peer = Peer(address, heartbeat_seconds)
         task = asyncio.create_task(self._keep_link(peer), name=f"dial {address}")
         self._peers[address] = (peer, task)
         return peer
 
-    def hang_up(self, address: str) -> None:
+    def disconnect(self, address: str) -> None:
         """Stop dialing `address` and end its link."""
         known = self._peers.pop(address, None)
         if known is None:
@@ -216,7 +218,12 @@
         opening = self._open_connection(host, port, **extra)
         reader, writer = await asyncio.wait_for(opening, self._dialing.connect_seconds)
         link = links.Link(
-            reader, writer, self.local, dialed=True, on_ready=peer.set_link, pace=peer.pace
+            reader,
+            writer,
+            self.local,
+            dialed=True,
+            on_ready=peer.set_link,
+            heartbeat_seconds=peer.heartbeat_seconds,
         )
         try:
             await link.run()
@@ -239,7 +246,7 @@
         if self._server is not None:
             self._server.close()
         for address in list(self._peers):
-            self.hang_up(address)
+            self.disconnect(address)
         for link in list(self.accepted):
             link.close()
         await asyncio.sleep(0)
--- a/tillerlane/platform/control_api.py
+++ b/tillerlane/platform/control_api.py
@@ -27,7 +27,7 @@
             status, body = await _answer(keeper, request)
         except faults.FaultError as error:
             fault = error.fault
-            status, body = fault.answer.status, b""
+            status, body = fault.response.status, b""
             keeper.timeline.record(
                 "control.refuse",
                 path=request.head.path.decode("latin-1"),
--- a/tillerlane/platform/programs.py
+++ b/tillerlane/platform/programs.py
@@ -128,4 +128,4 @@
             runner.run(run_entry(own, listener) if is_entry else run_keeper(own))
     except faults.FaultError as error:
         print(f"tillerlane: {error.fault.kind}: {error.fault.message}", file=sys.stderr)
-        sys.exit(error.fault.answer.exit_code)
+        sys.exit(error.fault.response.exit_code)
--- a/tillerlane/runners/core.py
+++ b/tillerlane/runners/core.py
@@ -13,12 +13,12 @@
     "Order",
     "RunnerClient",
     "RunnerLoad",
-    "TargetBroken",
+    "TargetError",
     "UnknownGeneration",
 ]
 
 
-class TargetBroken(faults.TillerlaneError):
+class TargetError(faults.TillerlaneError):
     """The target did not answer, broke off or answered with an error.
 
     Attributes
--- a/tillerlane/runners/http_service.py
+++ b/tillerlane/runners/http_service.py
@@ -12,14 +12,14 @@
 
 from tillerlane.runners import core
 
-__all__ = ["connect", "read_call", "write_call"]
+__all__ = ["connect", "decode_call", "encode_call"]
 
 CONNECT_SECONDS = 2.0
 _PASSED_HEADERS = ("content-type", "accept", "accept-language", "idempotency-key")
 _ANSWERED_HEADERS = ("content-type", "location", "cache-control", "etag", "retry-after")
 
 
-def write_call(method: str, path: str, headers: dict[str, str], body: bytes) -> bytes:
+def encode_call(method: str, path: str, headers: dict[str, str], body: bytes) -> bytes:
     """Write a call as the payload of a job; only harmless headers are passed on."""
     passed = {name: headers[name] for name in _PASSED_HEADERS if name in headers}
     call = {
@@ -31,7 +31,7 @@
     return json.dumps(call).encode()
 
 
-def read_call(payload: bytes) -> tuple[str, str, dict[str, str], bytes]:
+def decode_call(payload: bytes) -> tuple[str, str, dict[str, str], bytes]:
     """Read method, path, headers and body from a payload."""
     call = json.loads(payload)
     return call["method"], call["path"], call["headers"], base64.b64decode(call["body"])
@@ -43,7 +43,7 @@
     client = httpx.AsyncClient(base_url=base_url, timeout=timeout, trust_env=False)
 
     async def start(job: core.Job) -> AsyncIterator[core.Chunk | core.Finish]:
-        method, path, headers, body = read_call(job.payload)
+        method, path, headers, body = decode_call(job.payload)
         count = 0
         try:
             async with client.stream(method, path, headers=headers, content=body) as answer:
@@ -59,9 +59,9 @@
                     yield core.Chunk(count, [base64.b64encode(piece).decode()])
                     count += 1
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
-            raise core.TargetBroken(f"cannot connect: {error!r}", reached=False) from error
+            raise core.TargetError(f"cannot connect: {error!r}", reached=False) from error
         except httpx.HTTPError as error:
-            raise core.TargetBroken(f"{method} {path}: {error!r}", reached=True) from error
+            raise core.TargetError(f"{method} {path}: {error!r}", reached=True) from error
         yield core.Finish("stop", count)
 
     async def resume(generation_id: str, offset: int) -> AsyncIterator[core.Chunk | core.Finish]:
@@ -78,14 +78,14 @@
         return None
 
     async def read_load() -> core.RunnerLoad:
-        raise core.TargetBroken("plain services report no load", reached=False)
+        raise core.TargetError("plain services report no load", reached=False)
 
     async def read_cache_events(after: int) -> AsyncIterator[core.CacheEvent]:
-        raise core.TargetBroken("plain services have no prefix cache", reached=False)
+        raise core.TargetError("plain services have no prefix cache", reached=False)
         yield core.CacheEvent(0, False, 0)
 
     async def give_order(order: core.Order) -> list[str]:
-        raise core.TargetBroken("plain services take no orders", reached=False)
+        raise core.TargetError("plain services take no orders", reached=False)
 
     return core.RunnerClient(
         start=start,
--- a/tillerlane/runners/sse_runner.py
+++ b/tillerlane/runners/sse_runner.py
@@ -44,7 +44,7 @@
         rest += chunk
         *events, rest = rest.split(b"\n\n")
         if len(rest) > MAX_EVENT_BYTES:
-            raise core.TargetBroken(f"event of more than {MAX_EVENT_BYTES} bytes", reached=True)
+            raise core.TargetError(f"event of more than {MAX_EVENT_BYTES} bytes", reached=True)
         for event in events:
             if event.startswith(b"data: "):
                 yield event[6:]
@@ -59,7 +59,7 @@
             yield core.Finish(event.end, event.tokens)
             return
         yield core.Chunk(event.offset, event.texts)
-    raise core.TargetBroken("stream broke off without an end", reached=True)
+    raise core.TargetError("stream broke off without an end", reached=True)
 
 
 def connect(base_url: str) -> core.RunnerClient:
@@ -87,12 +87,12 @@
                     raise core.UnknownGeneration(path)
                 if answer.status != 200:
                     message = f"{method} {path}: got status {answer.status}, expected 200"
-                    raise core.TargetBroken(message, reached=True)
+                    raise core.TargetError(message, reached=True)
                 yield answer
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            raise core.TargetBroken(f"cannot connect: {error!r}", reached=False) from error
+            raise core.TargetError(f"cannot connect: {error!r}", reached=False) from error
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.MsgspecError) as error:
-            raise core.TargetBroken(f"broke off: {error!r}", reached=True) from error
+            raise core.TargetError(f"broke off: {error!r}", reached=True) from error
 
     async def call(method: str, path: str, **extra: Any) -> tuple[int, bytes]:
         """Status and body of a short call."""
@@ -103,15 +103,15 @@
             ) as answer:
                 return answer.status, await answer.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            raise core.TargetBroken(f"cannot connect: {error!r}", reached=False) from error
+            raise core.TargetError(f"cannot connect: {error!r}", reached=False) from error
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            raise core.TargetBroken(f"{method} {path}: {error!r}", reached=True) from error
+            raise core.TargetError(f"{method} {path}: {error!r}", reached=True) from error
 
     def read_json(path: str, body: bytes) -> Any:
         try:
             return msgspec.json.decode(body)
         except msgspec.MsgspecError as error:
-            raise core.TargetBroken(f"{path}: {error}", reached=True) from error
+            raise core.TargetError(f"{path}: {error}", reached=True) from error
 
     async def start(job: core.Job) -> AsyncIterator[core.Chunk | core.Finish]:
         body = {
@@ -161,7 +161,7 @@
         try:
             return msgspec.json.decode(body, type=core.RunnerLoad)
         except msgspec.MsgspecError as error:
-            raise core.TargetBroken(f"load report: {error}", reached=True) from error
+            raise core.TargetError(f"load report: {error}", reached=True) from error
 
     async def read_cache_events(after: int) -> AsyncIterator[core.CacheEvent]:
         async with open_stream("GET", "/v1/cache-events", params={"after": after}) as answer:
@@ -173,7 +173,7 @@
         fields = {"fence": list(order.fence), "action": order.action, "model": order.model}
         status, body = await call("POST", "/v1/orders", json=fields)
         if status != 200:
-            raise core.TargetBroken(f"order refused with status {status}", reached=True)
+            raise core.TargetError(f"order refused with status {status}", reached=True)
         return list(read_json("/v1/orders", body)["models"])
 
     async def close() -> None:
--- a/tillerlane/runners/tests/test_http_service.py
+++ b/tillerlane/runners/tests/test_http_service.py
@@ -5,14 +5,14 @@
 
 from tillerlane.runners import core, http_service
 
-CALL = http_service.write_call("POST", "/orders", {}, b"order")
+CALL = http_service.encode_call("POST", "/orders", {}, b"order")
 JOB = core.Job("s1~c~1", "katalog", "", CALL, 0, 1, 50)
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
     """A service that answers a call in ways of its own."""
 
-    async def call_at(self, answer: bytes) -> tuple[list[object], core.TargetBroken | None, int]:
+    async def call_at(self, answer: bytes) -> tuple[list[object], core.TargetError | None, int]:
         """Call a service; what came, the error, and how many calls reached the service."""
         calls = 0
 
@@ -30,7 +30,7 @@
         try:
             async for item in client.start(JOB):
                 items.append(item)
-        except core.TargetBroken as error:
+        except core.TargetError as error:
             broken = error
         finally:
             await client.close()
@@ -56,7 +56,7 @@
 
     async def test_nobody_listens(self) -> None:
         client = http_service.connect("http://127.0.0.1:1")
-        with self.assertRaises(core.TargetBroken) as caught:
+        with self.assertRaises(core.TargetError) as caught:
             async for _ in client.start(JOB):
                 pass
         await client.close()
--- a/tillerlane/runners/tests/test_sse_runner.py
+++ b/tillerlane/runners/tests/test_sse_runner.py
@@ -13,7 +13,7 @@
 class StartTest(unittest.IsolatedAsyncioTestCase):
     """A target that answers a start in ways of its own."""
 
-    async def start_at(self, answer: Callable[[int], bytes]) -> tuple[core.TargetBroken, int]:
+    async def start_at(self, answer: Callable[[int], bytes]) -> tuple[core.TargetError, int]:
         """Start a job at a server; the error, and how many starts reached the server.
 
         `answer` is given the server's port.
@@ -30,7 +30,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         client = sse_runner.connect(f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}")
         try:
-            with self.assertRaises(core.TargetBroken) as caught:
+            with self.assertRaises(core.TargetError) as caught:
                 async for _ in client.start(JOB):
                     pass
         finally:
@@ -70,7 +70,7 @@
 
     async def test_nobody_listens(self) -> None:
         client = sse_runner.connect("http://127.0.0.1:1")
-        with self.assertRaises(core.TargetBroken) as caught:
+        with self.assertRaises(core.TargetError) as caught:
             async for _ in client.start(JOB):
                 pass
         await client.close()
--- a/tillerlane/testing/engine_client.py
+++ b/tillerlane/testing/engine_client.py
@@ -34,7 +34,7 @@
     def reach() -> engines.Engine:
         engine = get_engine()
         if engine is None or engine.dead:
-            raise core.TargetBroken("connection refused", reached=False)
+            raise core.TargetError("connection refused", reached=False)
         return engine
 
     async def follow(
@@ -43,7 +43,7 @@
         while True:
             changed = sequence.changed
             if engine.dead:
-                raise core.TargetBroken("connection reset", reached=True)
+                raise core.TargetError("connection reset", reached=True)
             if len(sequence.written) > offset:
                 fresh = sequence.written[offset:]
                 yield core.Chunk(offset, fresh)
--- a/tillerlane/testing/lab.py
+++ b/tillerlane/testing/lab.py
@@ -241,7 +241,7 @@
         """Start one daemon, on the disk that it had before if any."""
         loop = asyncio.get_running_loop()
         disk = self.disks.setdefault(name, memory_disk.MemoryDisk(random.Random(self._seed)))
-        around = daemons.Surroundings(
+        dependencies = daemons.Dependencies(
             connect=self._connect,
             open_disk=lambda folder: disk.as_disk(),
             run_blocking=run_directly,
@@ -250,7 +250,7 @@
             rng=random.Random(texts.seed_of(f"{self._seed} {name}")),
             **self._rules,
         )
-        daemon = daemons.Daemon(self.plans[name], around)
+        daemon = daemons.Daemon(self.plans[name], dependencies)
         queries.register_queries(daemon)
         self.daemons[name] = daemon
         if daemon.agent is not None and self._get_length_model is not None:
--- a/tillerlane/testing/reference.py
+++ b/tillerlane/testing/reference.py
@@ -81,7 +81,7 @@
     ]
     rows = [
         [f"`{kind}`", row.status, row.ran.value, row.retry.value, row.exit_code, row.meaning]
-        for kind, row in kinds.ANSWERS.items()
+        for kind, row in kinds.RESPONSES.items()
     ]
     lines += _write_table(["kind", "status", "ran", "retry", "exit code", "meaning"], rows)
     lines += ["## Policy expressions", ""]
--- a/tillerlane/timeline/clock.py
+++ b/tillerlane/timeline/clock.py
@@ -8,7 +8,7 @@
 import time
 from collections.abc import Callable
 
-__all__ = ["HybridClock", "read_milliseconds"]
+__all__ = ["HybridClock", "get_milliseconds"]
 
 _COUNTER_BITS = 16
 _COUNTER_LIMIT = 1 << _COUNTER_BITS
@@ -16,7 +16,7 @@
 """A peer's stamp further ahead than this (ms) is not followed: its clock is wrong."""
 
 
-def read_milliseconds(stamp: int) -> int:
+def get_milliseconds(stamp: int) -> int:
     """Wall-clock part of a stamp, in milliseconds since 1970."""
     return stamp >> _COUNTER_BITS
 
@@ -44,8 +44,8 @@
         self._last = max(self._last + 1, self._read_wall())
         return self._last
 
-    def follow(self, stamp: int) -> None:
+    def update(self, stamp: int) -> None:
         """Take note of a stamp that came with a message."""
-        lead_ms = read_milliseconds(stamp) - int(self._now() * 1000)
+        lead_ms = get_milliseconds(stamp) - int(self._now() * 1000)
         if lead_ms <= _MAX_LEAD_MS:
             self._last = max(self._last, stamp)
--- a/tillerlane/timeline/core.py
+++ b/tillerlane/timeline/core.py
@@ -106,7 +106,7 @@
         for event in events
         if (not request_id or event.request_id == request_id)
         and (not generation_id or event.generation_id == generation_id)
-        and clocks.read_milliseconds(event.stamp) >= since_ms
+        and clocks.get_milliseconds(event.stamp) >= since_ms
     ]
     return found[-limit:]
 
--- a/tillerlane/timeline/tests/test_timeline.py
+++ b/tillerlane/timeline/tests/test_timeline.py
@@ -27,15 +27,15 @@
         fast = core.Timeline("fast", clocks.HybridClock(lambda: 1_010.0))
         slow = core.Timeline("slow", clocks.HybridClock(lambda: 1_000.0))
         cause = fast.record("cause")
-        slow.clock.follow(cause.stamp)
+        slow.clock.update(cause.stamp)
         slow.record("effect")
         merged = core.merge_events([slow.read(), fast.read()])
         self.assertEqual([event.name for event in merged], ["cause", "effect"])
 
     def test_a_clock_that_is_wrong_is_not_followed(self) -> None:
         clock = clocks.HybridClock(lambda: 1_000.0)
-        clock.follow(clocks.HybridClock(lambda: 9e9).tick())
-        self.assertLess(clocks.read_milliseconds(clock.tick()), 2_000_000)
+        clock.update(clocks.HybridClock(lambda: 9e9).tick())
+        self.assertLess(clocks.get_milliseconds(clock.tick()), 2_000_000)
 
     def test_ring_is_bounded_and_selected(self) -> None:
         timeline = core.Timeline("d", clocks.HybridClock(lambda: 1.0), limit=50)
