--- a/tillerlane/peers/codec.py
+++ b/tillerlane/peers/codec.py
@@ -1,4 +1,4 @@
-"""The form of messages on the wire, derived from their dataclasses and the schema."""
+"""Encoding of messages on the wire, derived from their dataclasses and the schema."""
 
 import contextlib
 import dataclasses
@@ -19,60 +19,62 @@
 
 
 def encode_json(value: Any) -> bytes:
-    """Write JSON for those fields that carry it."""
+    """Encode a value for a field that carries JSON."""
     return msgspec.json.encode(value)
 
 
 def decode_json(data: bytes | str) -> Any:
-    """Read JSON from those fields that carry it.
+    """Decode a field that carries JSON.
 
     Raises
     ------
     faults.FaultError
-        Of kind ``bad_request`` if it is none.
+        Of kind ``bad_request`` if `data` is not valid JSON.
     """
     try:
         return msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"got no JSON: {error}")
+        fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, f"invalid JSON: {error}")
         raise faults.FaultError(fault) from error
 
 
-def _name_in_schema(name: str) -> str:
+def _build_schema_name(name: str) -> str:
     head, *rest = name.split("_")
     return head + "".join(part.capitalize() for part in rest)
 
 
-def _name_of_body(cls: type) -> str:
+def _build_body_name(cls: type) -> str:
     return cls.__name__[0].lower() + cls.__name__[1:]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Field:
-    """How one dataclass field stands in the schema."""
+    """How one dataclass field maps to the schema."""
 
     name: str
     schema_name: str
     element: type | None
-    """Class of the elements of a list of dataclasses."""
+    """Element class if the field is a list of dataclasses."""
     is_list: bool
 
 
-def _plan_fields(cls: type) -> tuple[_Field, ...]:
+def _list_fields(cls: type) -> tuple[_Field, ...]:
     hints = typing.get_type_hints(cls)
-    planned = []
+    found = []
     for field in dataclasses.fields(cls):
         hint = hints[field.name]
         is_list = typing.get_origin(hint) is list
         item = typing.get_args(hint)[0] if is_list else None
         element = item if item is not None and dataclasses.is_dataclass(item) else None
-        planned.append(_Field(field.name, _name_in_schema(field.name), element, is_list))
-    return tuple(planned)
+        found.append(_Field(field.name, _build_schema_name(field.name), element, is_list))
+    return tuple(found)
 
 
-_BODIES: dict[str, type] = {_name_of_body(cls): cls for cls in typing.get_args(messages.Body)}
-_NAMES: dict[type, str] = {cls: name for name, cls in _BODIES.items()}
-_ELEMENTS = (
+_BODY_CLASSES: dict[str, type] = {
+    _build_body_name(cls): cls for cls in typing.get_args(messages.Body)
+}
+_BODY_NAMES: dict[type, str] = {cls: name for name, cls in _BODY_CLASSES.items()}
+_ELEMENT_CLASSES = (
     messages.Load,
     messages.Entity,
     messages.Member,
@@ -82,11 +84,11 @@
     messages.PermitWish,
     messages.PermitGrant,
 )
-"""Dataclasses that stand in lists of a body."""
-_TABLES = (messages.UseTable, messages.StateTable, messages.EndTable, messages.LimitTable)
-"""Dataclasses that stand in a body as bytes."""
-_PLANS: dict[type, tuple[_Field, ...]] = {
-    cls: _plan_fields(cls) for cls in [*_BODIES.values(), *_ELEMENTS, *_TABLES]
+"""Dataclasses that occur as list elements in a message body."""
+_TABLE_CLASSES = (messages.UseTable, messages.StateTable, messages.EndTable, messages.LimitTable)
+"""Dataclasses that are embedded in a message body as bytes."""
+_FIELDS: dict[type, tuple[_Field, ...]] = {
+    cls: _list_fields(cls) for cls in [*_BODY_CLASSES.values(), *_ELEMENT_CLASSES, *_TABLE_CLASSES]
 }
 
 capnp.remove_import_hook()
@@ -94,27 +96,27 @@
 _MAX_TRAVERSAL_WORDS = 8 * 1024 * 1024
 
 
-def _fill(builder: Any, value: Any) -> None:
-    for field in _PLANS[type(value)]:
+def _encode_fields(builder: Any, value: Any) -> None:
+    for field in _FIELDS[type(value)]:
         item = getattr(value, field.name)
         if not field.is_list or field.element is None:
             setattr(builder, field.schema_name, item)
         elif item:
-            listed = builder.init(field.schema_name, len(item))
+            elements = builder.init(field.schema_name, len(item))
             for position, element in enumerate(item):
-                _fill(listed[position], element)
+                _encode_fields(elements[position], element)
 
 
-def _read(reader: Any, cls: type) -> Any:
+def _decode_fields(reader: Any, cls: type) -> Any:
     values = []
-    for field in _PLANS[cls]:
+    for field in _FIELDS[cls]:
         item = getattr(reader, field.schema_name)
         if not field.is_list:
             values.append(item)
         elif field.element is None:
             values.append(list(item))
         else:
-            values.append([_read(element, field.element) for element in item])
+            values.append([_decode_fields(element, field.element) for element in item])
     return cls(*values)
 
 
@@ -125,32 +127,32 @@
 
 
 def encode_table(table: AnyTable) -> bytes:
-    """Write a table for those fields that carry one."""
+    """Encode a table for a field that carries one."""
     builder = getattr(_SCHEMA, type(table).__name__).new_message()
-    _fill(builder, table)
+    _encode_fields(builder, table)
     return builder.to_bytes()
 
 
 def decode_table(data: bytes, cls: type[Table]) -> Table:
-    """Read a table of a class from those fields that carry one.
+    """Decode a field that carries a table of class `cls`.
 
     Raises
     ------
     faults.FaultError
-        Of kind ``bad_request`` if `data` is none, or its columns differ in length.
+        Of kind ``bad_request`` if `data` is not such a table, or its columns differ in length.
     """
-    with _reading(data, cls.__name__):
+    with _convert_errors(data, cls.__name__):
         schema = getattr(_SCHEMA, cls.__name__)
         with schema.from_bytes(data, traversal_limit_in_words=_MAX_TRAVERSAL_WORDS) as reader:
-            table: Table = _read(reader, cls)
-        lengths = {len(getattr(table, field.name)) for field in _PLANS[cls]}
+            table: Table = _decode_fields(reader, cls)
+        lengths = {len(getattr(table, field.name)) for field in _FIELDS[cls]}
         if len(lengths) > 1:
             raise ValueError(f"got columns of {sorted(lengths)} rows, expected one length")
         return table
 
 
 def encode(envelope: messages.Envelope) -> bytes:
-    """Write an envelope as one Cap'n Proto message."""
+    """Encode an envelope as one Cap'n Proto message."""
     builder = _SCHEMA.Envelope.new_message()
     builder.clock = envelope.clock
     builder.configVersion = envelope.config_version
@@ -159,36 +161,36 @@
     if type(body) is messages.Heartbeat:
         builder.heartbeat = None
     else:
-        _fill(builder.init(_NAMES[type(body)]), body)
+        _encode_fields(builder.init(_BODY_NAMES[type(body)]), body)
     return builder.to_bytes()
 
 
 def decode(data: bytes) -> messages.Envelope:
-    """Read one Cap'n Proto message.
+    """Decode one Cap'n Proto message.
 
     Raises
     ------
     faults.FaultError
-        Of kind ``bad_request`` if `data` is no message of the schema.
+        Of kind ``bad_request`` if `data` is not a message of the schema.
     """
     with (
-        _reading(data, "peer message"),
+        _convert_errors(data, "peer message"),
         _SCHEMA.Envelope.from_bytes(data, traversal_limit_in_words=_MAX_TRAVERSAL_WORDS) as reader,
     ):
         name = reader.which
         name = str(name() if callable(name) else name)
-        cls = _BODIES[name]
-        body = cls() if cls is messages.Heartbeat else _read(getattr(reader, name), cls)
+        cls = _BODY_CLASSES[name]
+        body = cls() if cls is messages.Heartbeat else _decode_fields(getattr(reader, name), cls)
         return messages.Envelope(reader.clock, reader.configVersion, reader.exchange, body)
 
 
 @contextlib.contextmanager
-def _reading(data: bytes, expected: str) -> Iterator[None]:
-    """Turn what goes wrong in reading into a fault of kind ``bad_request``."""
+def _convert_errors(data: bytes, expected: str) -> Iterator[None]:
+    """Convert decoding errors to a fault of kind ``bad_request``."""
     try:
         yield
     except (capnp.KjException, KeyError, ValueError) as error:
         reason = re.split(r"[\n;]", str(error))[0][:200]
-        message = f"got {len(data)} bytes that are no {expected}: {reason}"
+        message = f"cannot decode {len(data)} bytes as {expected}: {reason}"
         fault = faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message)
         raise faults.FaultError(fault) from error
--- a/tillerlane/peers/link.py
+++ b/tillerlane/peers/link.py
@@ -1,11 +1,11 @@
-"""One connection to a peer: frames, exchanges, heartbeats, batched tokens.
+"""One connection to a peer: framing, exchanges, heartbeats, batched tokens.
 
 A frame is its length (4 bytes, big-endian) and one Cap'n Proto envelope.  A frame of length 0 is
-a heartbeat that says: I live, and my configuration is that of my last envelope.
+a heartbeat: the sender is alive and its configuration version is that of its last envelope.
 
-An exchange is a call or a stream; the side that dialed opens odd numbers, the other side even
-ones, so both can open exchanges at once.  Nothing in a link is unbounded: tokens are held back by
-credit, calls by their callers, and a peer that reads too slowly for the rest is cut off.
+An exchange is a call or a stream.  The side that dialed opens odd numbers, the other side even
+ones, so both can open exchanges at once.  Buffers are bounded: tokens by credit, calls by their
+callers, and a peer that reads everything else too slowly is disconnected.
 """
 
 import asyncio
@@ -27,16 +27,16 @@
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 MAX_HELLO_BYTES = 4096
-"""Bound on a frame of a peer that has not yet said who it is."""
+"""Maximum size of a frame of a peer that has not sent its ``Hello`` yet."""
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
-"""A peer that leaves more than this unread is cut off."""
+"""A peer with more unread bytes than this is disconnected."""
 HELLO_TIMEOUT_SECONDS = 2.0
 HEARTBEAT_INTERVAL_SECONDS = 0.85
-"""Longest silence of a sender; a cut is found within two seconds."""
+"""Maximum time between two sends; a broken connection is detected within two seconds."""
 SLOW_HEARTBEAT_INTERVAL_SECONDS = 2.5
-"""Pace of a daemon towards its home keeper, which has hundreds of such links."""
+"""Heartbeat interval of a daemon to its home keeper, which has hundreds of such links."""
 TIMEOUT_FACTOR = 2.1
-"""A link on which nothing came for this many paces of the peer is lost."""
+"""A link with no data for this many heartbeat intervals of the peer is lost."""
 TOKEN_FLUSH_DELAY_SECONDS = 0.002
 """How long tokens wait for others to share their frame."""
 
@@ -52,7 +52,7 @@
     messages.FreshnessRequest,
     messages.PermitRequest,
 )
-"""Bodies that may open an exchange; any other one for an unknown exchange came too late."""
+"""Bodies that may open an exchange; any other one for an unknown exchange is late and dropped."""
 
 
 class LinkLost(faults.TillerlaneError):
@@ -61,14 +61,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Local:
-    """What a daemon's links share.
+    """State and callbacks shared by all links of a daemon.
 
     Attributes
     ----------
     daemon_id, fleet, address : str
-        Who this daemon is; `address` is ``IP:port`` of its peer listener.
+        Identity of this daemon; `address` is ``IP:port`` of its peer listener.
     incarnation : int
-        Rises with each start of the daemon.
+        Increases with each start of the daemon.
     clock : clocks.HybridClock
         Stamps messages.
     get_config_version : callable
@@ -85,7 +85,7 @@
         Called with (daemon id, name in its certificate or "") before a link is ready; raises
         `faults.FaultError` to refuse the peer.
     note_refused : callable
-        Called with the reason when a connection is refused before it says who it is.
+        Called with the reason when a connection is refused before its ``Hello``.
     """
 
     daemon_id: str
@@ -104,17 +104,17 @@
 
 
 def log_exception(error_id: str, error: BaseException) -> None:
-    """Write an unforeseen exception with its trace to the log."""
+    """Log an unexpected exception with its traceback."""
     structlog.get_logger().error("internal.trace", error_id=error_id, exc_info=error)
 
 
 def format_fault(fault: faults.Fault) -> str:
-    """Write a fault for a message."""
+    """Format a fault as JSON for a message."""
     return codec.encode_json(dataclasses.asdict(fault)).decode()
 
 
 def parse_fault(text: str) -> faults.Fault:
-    """Read a fault that `write_fault` wrote."""
+    """Parse a fault that `format_fault` returned."""
     values = codec.decode_json(text)
     values["kind"] = kinds.ErrorKind(values["kind"])
     values["ran"] = kinds.Ran(values["ran"])
@@ -136,26 +136,26 @@
         self.link = link
         self.number = number
         self._inbox: asyncio.Queue[messages.Body | messages.Run | None] = asyncio.Queue()
-        self._expired = False
+        self._has_expired = False
         self._timer: asyncio.TimerHandle | None = None
 
     def expire_at(self, when: float) -> None:
-        """Have `receive` raise `TimeoutError` from a time of the event loop on.
+        """Make `receive` raise `TimeoutError` once the event loop's time reaches `when`.
 
-        One timer for a whole stream: a timeout around each `receive` costs 25 us a token.
+        One timer serves the entire stream: a timeout around each `receive` costs 25 us per token.
         """
         self._timer = asyncio.get_running_loop().call_at(when, self._expire)
 
     def _expire(self) -> None:
-        self._expired = True
+        self._has_expired = True
         self._inbox.put_nowait(None)
 
     def put(self, body: messages.Body | messages.Run | None) -> None:
-        """Hand over a message that came; None says that the link is lost."""
+        """Queue a received message; None means that the link is lost."""
         self._inbox.put_nowait(body)
 
     def send(self, body: messages.Body) -> None:
-        """Send a message of this exchange.
+        """Send a message on this exchange.
 
         Raises
         ------
@@ -165,7 +165,7 @@
         self.link.send(body, self.number)
 
     def send_run(self, offset: int, texts: list[str]) -> None:
-        """Send tokens, in one frame with those of other exchanges."""
+        """Send tokens, batched with those of other exchanges."""
         self.link.send_run(messages.Run(self.number, offset, texts))
 
     async def receive(self) -> messages.Body | messages.Run:
@@ -176,18 +176,18 @@
         LinkLost
             If the link ended first.
         TimeoutError
-            If the time of `expire_at` came first.
+            If the time set by `expire_at` was reached first.
         """
         body = await self._inbox.get()
         if body is None:
             self._inbox.put_nowait(None)
-            if self._expired:
+            if self._has_expired:
                 raise TimeoutError
             raise LinkLost(f"link to {self.link.peer_id} ended")
         return body
 
     def close(self) -> None:
-        """Forget the exchange; messages that still come for it are dropped."""
+        """Discard the exchange; later messages for it are dropped."""
         if self._timer is not None:
             self._timer.cancel()
         self.link.discard(self.number)
@@ -201,13 +201,13 @@
     reader, writer : asyncio streams
         The connection.
     local : Local
-        What this daemon's links share.
+        State and callbacks shared by all links of this daemon.
     dialed : bool
         Whether this side opened the connection.
     on_ready : callable or None
-        Called with the link after ``Hello`` went both ways.
+        Called with the link once both sides have sent ``Hello``.
     pace : float
-        Seconds that this side may be silent.
+        Maximum time between two sends of this side, in seconds.
     """
 
     def __init__(
@@ -233,11 +233,11 @@
         self.messages_out = 0
         self._numbers = itertools.count(1 if dialed else 2, 2)
         self._exchanges: dict[int, Exchange] = {}
-        self._serving: set[asyncio.Task[None]] = set()
-        self._runs: list[messages.Run] = []
-        self._flush: asyncio.TimerHandle | None = None
+        self._serving_tasks: set[asyncio.Task[None]] = set()
+        self._pending_runs: list[messages.Run] = []
+        self._flush_timer: asyncio.TimerHandle | None = None
         self._closed = False
-        self._sent_version = -1
+        self._last_sent_version = -1
         self._last_sent = 0.0
         self._last_heard = 0.0
 
@@ -254,25 +254,26 @@
     # Sending
 
     def send(self, body: messages.Body, exchange: int = 0) -> None:
-        """Send a message now.
+        """Send a message immediately.
 
         Raises
         ------
         LinkLost
-            If the link has ended or ends since the peer reads too slowly; nothing was written.
+            If the link has ended, or is ended now because the peer reads too slowly; nothing was
+            written.
         """
         if self._closed:
             raise LinkLost(f"link to {self.peer_id} ended")
-        if self._runs and exchange:
+        if self._pending_runs and exchange:
             self._flush_runs()
         self._write(body, exchange)
 
     def _write(self, body: messages.Body, exchange: int) -> None:
         local = self._local
-        self._sent_version = local.get_config_version()
-        envelope = messages.Envelope(local.clock.tick(), self._sent_version, exchange, body)
+        self._last_sent_version = local.get_config_version()
+        envelope = messages.Envelope(local.clock.tick(), self._last_sent_version, exchange, body)
         data = codec.encode(envelope)
-        # Before the message is written: what a closed connection still holds goes out all the same.
+        # Checked before writing: a closed connection still sends what its buffer holds.
         if self._writer.transport.get_write_buffer_size() + len(data) > MAX_UNSENT_BYTES:
             self.close()
             raise LinkLost(f"{self.peer_id} left more than {MAX_UNSENT_BYTES} bytes unread")
@@ -282,20 +283,20 @@
         self._last_sent = asyncio.get_running_loop().time()
 
     def send_run(self, run: messages.Run) -> None:
-        """Send tokens together with those that other streams send in the same moment."""
+        """Send tokens, batched with those that other streams send within the flush delay."""
         if self._closed:
             raise LinkLost(f"link to {self.peer_id} ended")
-        self._runs.append(run)
-        if self._flush is None:
+        self._pending_runs.append(run)
+        if self._flush_timer is None:
             loop = asyncio.get_running_loop()
-            self._flush = loop.call_later(TOKEN_FLUSH_DELAY_SECONDS, self._flush_runs)
+            self._flush_timer = loop.call_later(TOKEN_FLUSH_DELAY_SECONDS, self._flush_runs)
 
     def _flush_runs(self) -> None:
-        if self._flush is not None:
-            self._flush.cancel()
-            self._flush = None
-        if self._runs and not self._closed:
-            runs, self._runs = self._runs, []
+        if self._flush_timer is not None:
+            self._flush_timer.cancel()
+            self._flush_timer = None
+        if self._pending_runs and not self._closed:
+            runs, self._pending_runs = self._pending_runs, []
             with contextlib.suppress(LinkLost):
                 self._write(messages.Tokens.gather(runs), 0)
 
@@ -311,7 +312,7 @@
         return exchange
 
     async def call(self, body: messages.Body, timeout: float) -> messages.Body:
-        """Send a message and wait for its one answer.
+        """Send a message and wait for its single reply.
 
         Parameters
         ----------
@@ -325,13 +326,13 @@
         LinkLost
             If the link ended or `timeout` passed; the message may have arrived.
         faults.FaultError
-            If the peer answered with a refusal.
+            If the peer replied with a refusal.
         """
         exchange = self.open(body)
         try:
             reply = await asyncio.wait_for(exchange.receive(), timeout)
         except TimeoutError as error:
-            raise LinkLost(f"no answer from {self.peer_id} within {timeout} s") from error
+            raise LinkLost(f"no reply from {self.peer_id} within {timeout} s") from error
         finally:
             exchange.close()
         if isinstance(reply, messages.Refusal):
@@ -339,7 +340,7 @@
         return reply
 
     def discard(self, number: int) -> None:
-        """Drop an exchange."""
+        """Discard an exchange."""
         self._exchanges.pop(number, None)
 
     # Receiving
@@ -347,14 +348,14 @@
     async def run(self) -> None:
         """Exchange ``Hello``, then serve the connection until it ends."""
         try:
-            await self._greet()
+            await self._exchange_hello()
         except (OSError, EOFError, TimeoutError, faults.TillerlaneError):
             self.close()
             raise
         if self._on_ready is not None:
             self._on_ready(self)
         self._local.on_up(self)
-        watch = asyncio.create_task(self._watch())
+        watch = asyncio.create_task(self._monitor())
         try:
             while True:
                 self._dispatch(await self._read_envelope(MAX_FRAME_BYTES))
@@ -365,7 +366,7 @@
             self.close()
             self._local.on_down(self)
 
-    async def _greet(self) -> None:
+    async def _exchange_hello(self) -> None:
         local = self._local
         hello = messages.Hello(
             local.daemon_id,
@@ -428,20 +429,20 @@
         exchange = self._exchanges.get(envelope.exchange)
         if exchange is not None:
             exchange.put(body)
-        elif self._is_theirs(envelope.exchange) and isinstance(body, _OPENING):
+        elif self._is_peer_number(envelope.exchange) and isinstance(body, _OPENING):
             self._serve(envelope.exchange, body)
 
-    def _is_theirs(self, number: int) -> bool:
+    def _is_peer_number(self, number: int) -> bool:
         return (number % 2 == 0) == self.dialed
 
     def _serve(self, number: int, body: messages.Body) -> None:
         exchange = Exchange(self, number)
         self._exchanges[number] = exchange
-        task = asyncio.create_task(self._run_served(exchange, body))
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        task = asyncio.create_task(self._serve_exchange(exchange, body))
+        self._serving_tasks.add(task)
+        task.add_done_callback(self._serving_tasks.discard)
 
-    async def _run_served(self, exchange: Exchange, body: messages.Body) -> None:
+    async def _serve_exchange(self, exchange: Exchange, body: messages.Body) -> None:
         try:
             await self._local.serve(exchange, body)
         except faults.FaultError as error:
@@ -451,26 +452,26 @@
         finally:
             exchange.close()
 
-    async def _watch(self) -> None:
-        """Send heartbeats while idle; end the link when the peer falls silent."""
+    async def _monitor(self) -> None:
+        """Send heartbeats while idle; end the link when the peer's heartbeats stop."""
         loop = asyncio.get_running_loop()
         self._last_heard = loop.time()
         assert self.hello is not None
-        patience = TIMEOUT_FACTOR * self.hello.pace_ms / 1000
+        timeout = TIMEOUT_FACTOR * self.hello.pace_ms / 1000
         while not self._closed:
             now = loop.time()
-            if now - self._last_heard > patience:
+            if now - self._last_heard > timeout:
                 self.close()
                 return
             if now - self._last_sent >= self._heartbeat_seconds * 0.99:
                 self._send_heartbeat(now)
             next_send = self._last_sent + self._heartbeat_seconds
-            next_check = self._last_heard + patience
+            next_check = self._last_heard + timeout
             await asyncio.sleep(max(0.01, min(next_send, next_check) - loop.time()))
 
     def _send_heartbeat(self, now: float) -> None:
-        """Four bytes if the configuration is still that of the last envelope."""
-        if self._sent_version == self._local.get_config_version():
+        """Send an empty frame, or an envelope if the configuration version has changed."""
+        if self._last_sent_version == self._local.get_config_version():
             self._writer.write(_EMPTY_FRAME)
             self.bytes_out += len(_EMPTY_FRAME)
             self.messages_out += 1
@@ -480,7 +481,7 @@
             self._write(messages.Heartbeat(), 0)
 
     def close(self) -> None:
-        """End the link at once; every open exchange learns of it."""
+        """End the link immediately and notify every open exchange."""
         if self._closed:
             return
         self._flush_runs()
@@ -491,7 +492,7 @@
 
 
 def try_send(channel: Exchange | Link, body: messages.Body) -> None:
-    """Send where a link that has ended needs no more than that: its owner hears of it anyway."""
+    """Send, ignoring a link that has ended: its owner is notified separately."""
     try:
         channel.send(body)
     except LinkLost:
--- a/tillerlane/peers/messages.capnp
+++ b/tillerlane/peers/messages.capnp
@@ -1,10 +1,10 @@
 @0xbf5147cbbecf40c1;
-# Messages between the system's own processes. Field names match the dataclasses of messages.py.
+# Messages between the system's own processes. Field names match the dataclasses in messages.py.
 
 struct Envelope {
   clock @0 :UInt64;          # hybrid logical clock of the sender
   configVersion @1 :UInt64;  # configuration in force at the sender
-  exchange @2 :UInt32;       # call or stream that the body belongs to; 0 for none
+  exchange @2 :UInt32;       # call or stream of the body; 0 for none
   union {
     heartbeat @3 :Void;
     hello @4 :Hello;
@@ -76,7 +76,7 @@
 
 struct Accepted { generationId @0 :Text; offset @1 :UInt32; }
 
-# Runs of tokens in columns: one exchange, offset and count each, all texts in one list.
+# Runs of tokens in columns: an exchange, offset and count for each run; texts of all runs in one list.
 struct Tokens {
   exchanges @0 :List(UInt32);
   offsets @1 :List(UInt32);
--- a/tillerlane/peers/messages.py
+++ b/tillerlane/peers/messages.py
@@ -1,7 +1,7 @@
 """Typed messages between daemons.
 
-Each dataclass here has a struct of the same name in ``messages.capnp``; `tillerlane.peers.codec`
-derives one from the other, so that a new message is a struct, a dataclass and a row of `Body`.
+Each dataclass has a struct of the same name in ``messages.capnp``, and `tillerlane.peers.codec`
+maps one to the other by name.  A new message needs a struct, a dataclass and a member of `Body`.
 """
 
 import dataclasses
@@ -9,19 +9,19 @@
 __all__ = ["Body", "Envelope"]
 
 PROTOCOL = 1
-"""Version of the peer protocol; daemons of another one are refused at ``Hello``."""
+"""Version of the peer protocol; daemons with another version are refused at ``Hello``."""
 
 
 @dataclasses.dataclass(slots=True)
 class Heartbeat:
-    """Shows that the sender lives."""
+    """Shows that the sender is alive."""
 
 
 @dataclasses.dataclass(slots=True)
 class Hello:
-    """First message each way on a connection.
+    """First message in each direction on a connection.
 
-    ``pace_ms`` is how long the sender may be silent; twice that, and it is given up.
+    ``pace_ms`` is the sender's heartbeat interval; after twice that without data the link is lost.
     """
 
     daemon_id: str
@@ -34,10 +34,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Start:
-    """Asks an agent to run a generation or service call, or to attach to one that it holds.
+    """Requests that an agent run a generation or service call, or attach to one that it holds.
 
-    ``attach`` never starts anything.  ``offset`` is the first token wanted, ``credit`` the tokens
-    that may be sent before a `Credit` message; times are in milliseconds.
+    With ``attach`` nothing is started.  ``offset`` is the first token to send, ``credit`` how many
+    tokens may be sent before a `Credit` message; times are in milliseconds.
     """
 
     generation_id: str
@@ -76,9 +76,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Tokens:
-    """Tokens of any number of exchanges on one link, in columns.
+    """Tokens of several exchanges on one link, in columns.
 
-    A struct for each run cost 4.4 us to write and 8 us to read, columns 0.7 and 0.9 us.
+    A struct for each run takes 4.4 us to encode and 8 us to decode, columns 0.7 and 0.9 us.
     """
 
     exchanges: list[int]
@@ -88,7 +88,7 @@
 
     @classmethod
     def gather(cls, runs: list[Run]) -> "Tokens":
-        """Put runs into columns."""
+        """Convert runs to columns."""
         return cls(
             [run.exchange for run in runs],
             [run.offset for run in runs],
@@ -97,18 +97,18 @@
         )
 
     def split(self) -> list[Run]:
-        """The runs again; columns that do not fit each other give what they can."""
+        """Convert columns back to runs; columns of unequal length are truncated to the shortest."""
         runs = []
-        begin = 0
+        start = 0
         for exchange, offset, count in zip(self.exchanges, self.offsets, self.counts, strict=False):
-            runs.append(Run(exchange, offset, self.texts[begin : begin + count]))
-            begin += count
+            runs.append(Run(exchange, offset, self.texts[start : start + count]))
+            start += count
         return runs
 
 
 @dataclasses.dataclass(slots=True)
 class End:
-    """Last message of a generation: a reason, or a fault as JSON (see `write_fault`)."""
+    """Last message of a generation: a reason, or a fault as JSON (see `link.format_fault`)."""
 
     reason: str
     tokens: int = 0
@@ -118,21 +118,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Credit:
-    """Allows that many more tokens on the exchange."""
+    """Allows ``tokens`` more tokens on the exchange."""
 
     tokens: int
 
 
 @dataclasses.dataclass(slots=True)
 class Cancel:
-    """The caller no longer wants the exchange."""
+    """Ends an exchange whose caller no longer needs it."""
 
     reason: str
 
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """State of one target as its agent sees it; memory in tokens, times in milliseconds."""
+    """State of one target as seen by its agent; memory in tokens, times in milliseconds."""
 
     target: str
     waiting: int = 0
@@ -152,21 +152,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Loads:
-    """Load reports of all targets of an agent that have changed."""
+    """Load reports of an agent's targets that have changed."""
 
     loads: list[Load]
 
 
 @dataclasses.dataclass(slots=True)
 class ConfigPull:
-    """Asks for what came after version ``have``."""
+    """Requests the configuration changes after version ``have``."""
 
     have: int
 
 
 @dataclasses.dataclass(slots=True)
 class Entity:
-    """One named piece of the configuration; ``body`` is JSON, ``version`` its last change."""
+    """One named entity of the configuration; ``body`` is JSON, ``version`` its last change."""
 
     kind: str
     name: str
@@ -177,7 +177,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ConfigDelta:
-    """Takes a daemon from any version of at least ``base`` to ``version``."""
+    """Updates a daemon from any version of at least ``base`` to ``version``."""
 
     base: int
     version: int
@@ -187,9 +187,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """A daemon's word on itself; the highest (incarnation, sequence) is the truth.
+    """A daemon's report on itself; the one with the highest (incarnation, sequence) holds.
 
-    ``ready`` is false for a keeper that hears no leader, and for an entry out of service.
+    ``ready`` is false for a keeper without contact to a leader, and for an entry out of service.
     """
 
     daemon_id: str
@@ -209,7 +209,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Members:
-    """Changed members, or with ``whole`` all of them."""
+    """Changed members, or all of them if ``whole``."""
 
     members: list[Member]
     whole: bool = False
@@ -217,14 +217,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Refusal:
-    """Answers a call that failed; ``fault`` as written by `write_fault`."""
+    """Reply to a call that failed; ``fault`` is formatted by `link.format_fault`."""
 
     fault: str
 
 
 @dataclasses.dataclass(slots=True)
 class VoteRequest:
-    """A candidate asks for a vote; with ``pre`` it only asks whether it would get one."""
+    """Request for a vote; with ``pre`` it is a pre-vote, which grants nothing."""
 
     term: int
     candidate: str
@@ -235,9 +235,9 @@
 
 @dataclasses.dataclass(slots=True)
 class VoteReply:
-    """Answer to a `VoteRequest`; `fresh` if the voter's disk holds no log yet.
+    """Reply to a `VoteRequest`; `fresh` if the voter's disk holds no log yet.
 
-    `reason` says why a vote is refused, for the candidate's log only.
+    `reason` says why a vote was refused and is only used in the candidate's log.
     """
 
     term: int
@@ -258,7 +258,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AppendRequest:
-    """The leader's entries after ``prev_index``; with none it renews the lease."""
+    """The leader's entries after ``prev_index``; without entries it renews the lease."""
 
     term: int
     leader: str
@@ -270,7 +270,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AppendReply:
-    """Answer to an `AppendRequest`; on failure ``last_index`` says where to try next."""
+    """Reply to an `AppendRequest`; on failure ``last_index`` is the index to try next."""
 
     term: int
     success: bool
@@ -280,7 +280,7 @@
 
 @dataclasses.dataclass(slots=True)
 class SnapshotPiece:
-    """Bytes of a snapshot from ``offset`` of ``total``."""
+    """Bytes of a snapshot of ``total`` bytes, starting at ``offset``."""
 
     term: int
     leader: str
@@ -293,7 +293,7 @@
 
 @dataclasses.dataclass(slots=True)
 class SnapshotReply:
-    """Answer to a `SnapshotPiece`: bytes held so far."""
+    """Reply to a `SnapshotPiece`: number of bytes received so far."""
 
     term: int
     received: int
@@ -302,7 +302,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Propose:
-    """A command for the replicated log; ``hops`` counts forwarding between keepers."""
+    """A command for the replicated log; ``hops`` counts how often keepers have forwarded it."""
 
     command: bytes
     hops: int = 0
@@ -310,7 +310,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ProposeReply:
-    """What the applied command answered, as JSON."""
+    """Result of the applied command, as JSON."""
 
     result: bytes
     leader: str = ""
@@ -318,7 +318,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Query:
-    """Asks a daemon for a part of its state; arguments and result are JSON."""
+    """Queries a part of a daemon's state; arguments and result are JSON."""
 
     subject: str
     arguments: str = "{}"
@@ -326,14 +326,14 @@
 
 @dataclasses.dataclass(slots=True)
 class QueryReply:
-    """Answer to a `Query`."""
+    """Reply to a `Query`."""
 
     result: bytes
 
 
 @dataclasses.dataclass(slots=True)
 class Publication:
-    """A published document: the highest ``version`` holds; ``content`` is compressed."""
+    """A published document; the highest ``version`` is in force, ``content`` is compressed."""
 
     version: int
     content: bytes
@@ -341,14 +341,14 @@
 
 @dataclasses.dataclass(slots=True)
 class PublicationPull:
-    """Asks a peer that is ahead for its publication."""
+    """Requests the publication of a peer with a later version than ``have``."""
 
     have: int
 
 
 @dataclasses.dataclass(slots=True)
 class Subscribe:
-    """An entry asks a keeper for publications and target states, with ``loads`` for loads too."""
+    """Subscribes an entry to a keeper's publications and target states, and to loads if set."""
 
     have: int
     entry: str
@@ -357,11 +357,11 @@
 
 @dataclasses.dataclass(slots=True)
 class StateTable:
-    """What is known of targets, in columns; see `tillerlane.gateway.directory`.
+    """Known state of targets, in columns; see `tillerlane.gateway.directory`.
 
-    ``sequences`` rise with each word of the target itself, ``age_ms`` is the time since its last.
-    It stands in messages as bytes (`encode_table`), so that a keeper writes it once for all its
-    subscribers.
+    ``sequences`` increase with each report of the target itself, ``age_ms`` is the age of the last
+    one.  Messages carry the table as bytes (`codec.encode_table`), so that a keeper encodes it once
+    for all its subscribers.
     """
 
     target_ids: list[str]
@@ -377,7 +377,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetStates:
-    """Target states that changed, or with ``whole`` all of them, compressed."""
+    """Target states that changed, or all of them if ``whole``, compressed."""
 
     table: bytes
     whole: bool = False
@@ -385,11 +385,11 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetUse:
-    """What one entry has under way at one target.
+    """Load that one entry places on one target.
 
-    ``tokens`` is its estimate of memory, ``unread`` are prompt tokens that wait to be read,
-    ``unsaved`` is the memory of runs that has no copy elsewhere.  ``events`` of streams came from
-    it lately, over ``event_ms`` of waiting for them.
+    ``tokens`` is the estimated memory, ``unread`` the prompt tokens waiting for prefill and
+    ``unsaved`` the memory of runs without a copy elsewhere.  ``events`` is the number of stream events recently
+    received, ``event_ms`` the time spent waiting for them.
     """
 
     address: str
@@ -403,7 +403,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EntryLoads:
-    """All that one entry has under way; a later ``sequence`` replaces an earlier one."""
+    """Load that one entry places on all targets; a later ``sequence`` replaces an earlier one."""
 
     entry: str
     sequence: int
@@ -412,11 +412,11 @@
 
 @dataclasses.dataclass(slots=True)
 class UseTable:
-    """Uses of many targets in columns; see `TargetUse`.
+    """Loads of several targets, in columns; see `TargetUse`.
 
-    It stands in messages as bytes (`encode_table`), so that a keeper writes it once for all its
-    subscribers.  A list of structs took 115 us for eight targets to read, columns 49 us for thirty
-    (mean of 2,000 on one core beside other work).
+    Messages carry the table as bytes (`codec.encode_table`), so that a keeper encodes it once for
+    all its subscribers.  A list of structs takes 115 us to decode for eight targets, columns 49 us
+    for thirty (mean of 2,000 on one core, which was shared with other work).
     """
 
     addresses: list[str]
@@ -430,9 +430,9 @@
 
 @dataclasses.dataclass(slots=True)
 class PassedLoads:
-    """Words of several entries that one keeper passes on to another.
+    """Load reports of several entries, forwarded from one keeper to another.
 
-    Each of ``entries`` has one of ``sequences`` and as many rows of the table as ``counts`` says.
+    Each of ``entries`` has one of ``sequences``, and ``counts`` gives its number of table rows.
     """
 
     entries: list[str]
@@ -443,10 +443,10 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadDigest:
-    """What all entries have under way: targets that changed, or with ``whole`` all of them.
+    """Load from all entries: for targets that changed, or for all of them if ``whole``.
 
-    Consecutive digests of a keeper have consecutive ``sequence``.  ``included`` is that of the
-    receiver's own word that went into the sums; 0 if there is none.
+    Consecutive digests of a keeper have consecutive ``sequence``.  ``included`` is the sequence of
+    the receiver's own report that is part of the sums; 0 if there is none.
     """
 
     keeper: str
@@ -458,10 +458,10 @@
 
 @dataclasses.dataclass(slots=True)
 class EndTable:
-    """Targets that ended while they had a request, in columns; it stands in messages as bytes.
+    """Targets that exited while they ran a request, in columns; messages carry it as bytes.
 
-    A row is a request's fingerprint, a target, and whether that end counts no more, since the
-    request ended well elsewhere.
+    A row is the request's fingerprint, the target, and whether that exit no longer counts because
+    the request succeeded elsewhere.
     """
 
     fingerprints: list[str]
@@ -471,17 +471,17 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetEnds:
-    """What the sender knows anew of requests under which targets ended."""
+    """Updates on requests during which targets exited."""
 
     table: bytes
 
 
 @dataclasses.dataclass(slots=True)
 class LimitTable:
-    """Limits that targets name, in columns; it stands in messages as bytes.
+    """Limits stated by targets, in columns; messages carry it as bytes.
 
-    ``limits`` are requests a second, ``named_ms`` the age of the answer that named it last,
-    ``unnamed_ms`` that of the first one behind it that named none; -1 if there is none.
+    ``limits`` are in requests per second.  ``named_ms`` is the age of the last response that stated
+    the limit, ``unnamed_ms`` that of the first later response that stated none, -1 without one.
     """
 
     target_ids: list[str]
@@ -493,14 +493,14 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetLimits:
-    """What the sender knows anew of limits that targets name."""
+    """Updates on limits stated by targets."""
 
     table: bytes
 
 
 @dataclasses.dataclass(slots=True)
 class TargetBackoffs:
-    """Targets that have asked some entry for back-off, and how much of it is left (ms)."""
+    """Targets that have requested back-off from an entry, and the remaining time (ms)."""
 
     target_ids: list[str]
     left_ms: list[int]
@@ -508,9 +508,9 @@
 
 @dataclasses.dataclass(slots=True)
 class PermitWish:
-    """Permits that an entry could use for a target, whose limit it takes to be so many a second.
+    """Number of permits that an entry requests for a target with the given limit per second.
 
-    ``returned`` are those given before that it gives back.
+    ``returned`` is the number of earlier permits that it gives back unused.
     """
 
     target_id: str
@@ -521,7 +521,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PermitRequest:
-    """Asks the leader of the log, directly or through another keeper, for permits."""
+    """Requests permits from the leader of the log, directly or through another keeper."""
 
     wishes: list[PermitWish]
     hops: int = 0
@@ -529,7 +529,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PermitGrant:
-    """So many requests may be sent to a target within ``hold_ms`` of the asking."""
+    """Allows ``count`` requests to a target within ``hold_ms`` of the permit request."""
 
     target_id: str
     count: int
@@ -538,24 +538,24 @@
 
 @dataclasses.dataclass(slots=True)
 class PermitReply:
-    """Permits given; targets that get none now are left out."""
+    """Granted permits; targets without any are omitted."""
 
     grants: list[PermitGrant]
 
 
 @dataclasses.dataclass(slots=True)
 class FreshnessRequest:
-    """Asks up to when a publication is known to be the newest."""
+    """Queries until what time a publication was known to be the latest."""
 
     have: int
 
 
 @dataclasses.dataclass(slots=True)
 class FreshnessReply:
-    """``version`` was the newest ``age_ms`` before this reply was written, if ``known``.
+    """``version`` was the latest one ``age_ms`` before this reply was sent, if ``known``.
 
-    ``keepers`` are the voters' peer addresses, ``entries`` how many entries are subscribed,
-    ``orders_version`` that of the entity store, which holds operators' orders.
+    ``keepers`` are the voters' peer addresses, ``entries`` is the number of subscribed entries,
+    ``orders_version`` the version of the entity store, which holds operators' orders.
     """
 
     version: int
@@ -569,9 +569,9 @@
 
 @dataclasses.dataclass(slots=True)
 class KeeperSeen:
-    """A keeper that somebody has a link to.
+    """A keeper to which the sender or another keeper has a link.
 
-    ``fresh`` tells that its disk holds no entry, ``leaving`` that it stops as planned.
+    ``fresh`` if its disk holds no log entry, ``leaving`` if it is in a planned stop.
     """
 
     name: str
@@ -583,7 +583,7 @@
 
 @dataclasses.dataclass(slots=True)
 class KeeperAnnounce:
-    """Keepers that the sender knows of, itself first."""
+    """Keepers known to the sender, itself first."""
 
     keepers: list[KeeperSeen]
 
@@ -632,7 +632,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Envelope:
-    """A message with what every message carries."""
+    """A message with the fields common to all messages."""
 
     clock: int
     config_version: int
--- a/tillerlane/peers/node.py
+++ b/tillerlane/peers/node.py
@@ -1,4 +1,4 @@
-"""A daemon's end of all its links: one listener, one task for each peer that it dials."""
+"""All peer links of one daemon: one listener, and one task for each peer that it dials."""
 
 import asyncio
 import dataclasses
@@ -18,15 +18,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dialing:
-    """How persistently peers are dialed.
+    """Timeouts and retry delays for dialing peers.
 
     Attributes
     ----------
     first_retry_seconds, last_retry_seconds : float
-        Pause after the first failure; it doubles with each one up to the last.
+        Delay after the first failure; it doubles with each further one up to the last.
     connect_seconds : float
-        Longest wait for one connection.  The system sends a lost opening packet again only after
-        a second, so that with a longer wait a host that comes back is found a second later.
+        Timeout of one connection attempt.  The operating system repeats a lost SYN only after a
+        second, so with a longer timeout a host that returns is found a second later.
     """
 
     first_retry_seconds: float = 0.05
@@ -47,16 +47,16 @@
 
 
 class Peer:
-    """A peer that this daemon dials, again and again, until told to stop.
+    """A peer to which this daemon keeps a link, reconnecting until `Node.disconnect`.
 
     Attributes
     ----------
     address : str
         ``IP:port``.
     link : links.Link or None
-        The present link; None while there is none.
+        The current link; None while disconnected.
     failures : int
-        Tries that failed since the last link.
+        Connection attempts that failed since the last link.
     """
 
     def __init__(
@@ -71,23 +71,23 @@
         self._up = asyncio.Event()
 
     def set_link(self, link: links.Link) -> None:
-        """Take note that the link is ready."""
+        """Record that the link is ready."""
         self.link = link
         self.failures = 0
         self._up.set()
 
     def clear_link(self) -> None:
-        """Take note that the link has ended."""
+        """Record that the link has ended."""
         self.link = None
         self._up.clear()
 
     async def wait_link(self, timeout: float) -> links.Link:
-        """Wait until there is a link.
+        """Wait until the peer is connected.
 
         Raises
         ------
         links.LinkLost
-            If there is none after `timeout` seconds.
+            If there is no link after `timeout` seconds.
         """
         if self.link is None:
             try:
@@ -111,7 +111,7 @@
     open_connection : callable
         Opens a connection, as `asyncio.open_connection`.
     dialing : Dialing
-        How persistently peers are dialed.
+        Timeouts and retry delays for dialing peers.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
         self._server: asyncio.Server | None = None
         self._peers: dict[str, tuple[Peer, asyncio.Task[None]]] = {}
         self.accepted: dict[links.Link, None] = {}
-        """Links that peers dialed, in the order in which they came."""
+        """Links dialed by peers, in order of arrival."""
         self._accepting = 0
         self._closing = False
 
@@ -163,7 +163,7 @@
             self._accepting -= 1
 
     async def _secure(self, writer: asyncio.StreamWriter) -> bool:
-        """Have the peer show its certificate, if there is TLS; False if it is refused."""
+        """Upgrade to TLS if configured; return False if the handshake fails."""
         if self._server_tls is None:
             return True
         try:
@@ -181,10 +181,10 @@
         address: str,
         heartbeat_seconds: float = links.HEARTBEAT_INTERVAL_SECONDS,
     ) -> Peer:
-        """Keep a link to `address`; asking twice gives the same peer."""
-        known = self._peers.get(address)
-        if known is not None:
-            return known[0]
+        """Keep a link to `address`; repeated calls return the same peer."""
+        entry = self._peers.get(address)
+        if entry is not None:
+            return entry[0]
         peer = Peer(address, heartbeat_seconds)
         task = asyncio.create_task(self._keep_link(peer), name=f"dial {address}")
         self._peers[address] = (peer, task)
@@ -192,17 +192,17 @@
 
     def disconnect(self, address: str) -> None:
         """Stop dialing `address` and end its link."""
-        known = self._peers.pop(address, None)
-        if known is None:
+        entry = self._peers.pop(address, None)
+        if entry is None:
             return
-        peer, task = known
+        peer, task = entry
         if peer.link is not None:
             peer.link.close()
         task.cancel()
 
     async def _keep_link(self, peer: Peer) -> None:
         delay = self._dialing.first_retry_seconds
-        # A cancellation may be lost (see `keeper.replica.Replica.stop`); the table decides.
+        # A cancellation may be lost (see `keeper.replica.Replica.stop`), so the table is checked.
         while self._peers.get(peer.address, (None,))[0] is peer:
             try:
                 await self._run_link(peer)
@@ -214,9 +214,9 @@
 
     async def _run_link(self, peer: Peer) -> None:
         host, port = split_address(peer.address)
-        extra = {"ssl": self._client_tls, "server_hostname": host} if self._client_tls else {}
-        opening = self._open_connection(host, port, **extra)
-        reader, writer = await asyncio.wait_for(opening, self._dialing.connect_seconds)
+        tls_options = {"ssl": self._client_tls, "server_hostname": host} if self._client_tls else {}
+        connecting = self._open_connection(host, port, **tls_options)
+        reader, writer = await asyncio.wait_for(connecting, self._dialing.connect_seconds)
         link = links.Link(
             reader,
             writer,
@@ -232,16 +232,16 @@
                 peer.clear_link()
 
     def get_dialed(self) -> set[str]:
-        """Addresses that are dialed."""
+        """Return the addresses that are dialed."""
         return set(self._peers)
 
     def get_links(self) -> list[links.Link]:
-        """Every link that is ready, dialed or accepted."""
+        """Return every link that is ready, dialed or accepted."""
         dialed = [peer.link for peer, _ in self._peers.values() if peer.link is not None]
         return dialed + [link for link in self.accepted if link.hello is not None and link.is_open]
 
     async def close(self) -> None:
-        """End all links and stop listening; a connection on its way in is closed too."""
+        """End all links and stop listening; connections still being accepted are closed too."""
         self._closing = True
         if self._server is not None:
             self._server.close()
--- a/tillerlane/peers/tests/test_link.py
+++ b/tillerlane/peers/tests/test_link.py
@@ -1,4 +1,4 @@
-"""What a link says of a message that it did not send is true."""
+"""A link that ends on a full send buffer doesn't send the message that it reports as lost."""
 
 import asyncio
 import types
@@ -12,7 +12,7 @@
 
 
 class FullWriter:
-    """A writer whose peer reads nothing, with `unsent` bytes before it."""
+    """A writer whose peer reads nothing, with `unsent` bytes buffered."""
 
     def __init__(self, unsent: int) -> None:
         self.unsent = unsent
@@ -20,16 +20,16 @@
         self.transport = types.SimpleNamespace(get_write_buffer_size=lambda: self.unsent)
 
     def write(self, data: bytes) -> None:
-        """Take bytes; they go out even if the connection is closed after that."""
+        """Buffer bytes; they are sent even if the connection is closed afterwards."""
         self.written += data
         self.unsent += len(data)
 
     def close(self) -> None:
-        """Close once everything is out, as transports do."""
+        """Close after the buffered bytes are sent, as transports do."""
 
 
 def build_link(writer: Any) -> links.Link:
-    """A link on a writer."""
+    """Build a link that uses `writer`."""
 
     async def serve(exchange: links.Exchange, body: messages.Body) -> None:
         raise AssertionError(body)
@@ -49,10 +49,10 @@
 
 
 class FullLinkTest(unittest.TestCase):
-    """The peer has left so much unread that the link ends."""
+    """The peer reads too slowly and the send buffer is full."""
 
     def test_message_that_ends_the_link_is_not_written(self) -> None:
-        """An entry takes the error for the proof that its request can't have run."""
+        """Entries rely on `LinkLost` from `open` as proof that the request can't have run."""
         writer = FullWriter(links.MAX_UNSENT_BYTES)
 
         async def run() -> None:
--- a/tillerlane/peers/tests/test_messages.py
+++ b/tillerlane/peers/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Every message comes back from the wire as it was sent; nothing else is taken for one."""
+"""Messages survive encoding and decoding; invalid bytes are refused as a bad request."""
 
 import dataclasses
 import typing
@@ -24,7 +24,7 @@
 
 
 def build(cls: type) -> strategies.SearchStrategy[object]:
-    """Strategy for any of the message classes."""
+    """Build a strategy that generates instances of a message class."""
     hints = typing.get_type_hints(cls)
     parts = {}
     for field in dataclasses.fields(cls):
@@ -49,7 +49,7 @@
 
     @hypothesis.settings(derandomize=True, max_examples=500, deadline=None)
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_noise_is_refused_or_read(self, data: bytes) -> None:
+    def test_random_bytes_are_refused_or_decoded(self, data: bytes) -> None:
         try:
             codec.decode(data)
         except faults.FaultError as error:
@@ -61,7 +61,7 @@
         strategies.integers(0, 10_000),
         strategies.integers(0, 255),
     )
-    def test_flipped_byte_is_refused_or_read(
+    def test_changed_byte_is_refused_or_decoded(
         self, body: messages.Body, position: int, value: int
     ) -> None:
         data = bytearray(codec.encode(messages.Envelope(1, 1, 1, body)))
