--- a/tillerlane/config/documents.py
+++ b/tillerlane/config/documents.py
@@ -1,7 +1,7 @@
 """Models of the configuration document that operators submit.
 
-The document has a section for each kind of entity, and in each section a map from name to
-entity.  All times are in seconds, all lengths in tokens unless a name says otherwise.
+The document has one section for each kind of entity, which maps names to entities.  Times are in
+seconds and lengths in tokens unless a name says otherwise.
 """
 
 import enum
@@ -38,14 +38,14 @@
 
 def _check_name(name: str) -> str:
     if not _NAME_PATTERN.match(name):
-        raise ValueError("a name of 1 to 63 of a-z, 0-9, '.', '_', '-'")
+        raise ValueError("a name of 1 to 63 characters of a-z, 0-9, '.', '_', '-'")
     return name
 
 
 def _check_hash(value: str) -> str:
     if not _HASH_PATTERN.match(value):
         raise ValueError(
-            "'sha256:' and 64 hexadecimal digits, as 'tillerlane workspace key' prints"
+            "'sha256:' and 64 hexadecimal digits, as printed by 'tillerlane workspace key'"
         )
     return value
 
@@ -57,26 +57,26 @@
 
 
 def new_key() -> str:
-    """A fresh secret key."""
+    """Generate a secret key."""
     return "tl-" + secrets.token_urlsafe(_KEY_BYTES)
 
 
 def hash_key(key: str) -> str:
-    """What the configuration stores in place of a key.
+    """Hash a key for storage in the configuration.
 
-    Keys are random and long, so a plain hash is enough.
+    Keys are long and random, so an unsalted hash is sufficient.
     """
     return "sha256:" + hashlib.sha256(key.encode()).hexdigest()
 
 
 class Model(pydantic.BaseModel):
-    """Base of the models: unknown keys are errors, values do not change."""
+    """Base of the models: unknown keys are errors, instances are immutable."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
 
 class Limits(Model):
-    """What a workspace may use, over all entries together; None is no limit."""
+    """Limits of a workspace over all entries together; None is no limit."""
 
     requests_per_second: Annotated[float, pydantic.Field(gt=0)] | None = None
     concurrent: Annotated[int, pydantic.Field(gt=0)] | None = None
@@ -86,46 +86,46 @@
 class Workspace(Model):
     """A customer: keys, share and limits.
 
-    `keys` holds hashes only; two at once let a key be replaced with overlap.
+    `keys` holds hashes only; a second key allows replacement without interruption.
     """
 
     keys: list[KeyHash] = []
     weight: Annotated[float, pydantic.Field(gt=0, le=1000)] = 1.0
     limits: Limits = Limits()
     classes: list[Name] | None = None
-    """Classes of work it may use; None is all."""
+    """Classes of work that it may use; None is all."""
 
 
 class Delivery(enum.StrEnum):
-    """How tokens go to the caller."""
+    """How tokens are delivered to the caller."""
 
     STREAM = "stream"
     WHOLE = "whole"
-    """Held at the entry until the end, so that a dead runner costs time and no answer."""
+    """Buffered at the entry until the end, so that a failed runner delays the response only."""
 
 
 class OnDisconnect(enum.StrEnum):
-    """What becomes of a generation whose caller has gone."""
+    """What happens to a generation whose caller has disconnected."""
 
     CANCEL = "cancel"
     FINISH = "finish"
 
 
 class ClassOfWork(Model):
-    """A class of work: where it runs and what it is owed."""
+    """A class of work: its pool, model, priority, deadline and delivery."""
 
     pool: Name
     model: str
     aliases: list[str] = []
-    """Names that callers may give as ``model``."""
+    """Further names that callers may give as ``model``."""
     priority: Annotated[int, pydantic.Field(ge=0, le=100)] = 50
     urgent: bool = False
-    """Uses the headroom that the policy keeps for urgent work."""
+    """Whether it may use the headroom that the policy reserves for urgent work."""
     deadline_seconds: Seconds = 600
     repeatable: bool = True
     delivery: Delivery = Delivery.STREAM
     retry_share: Share = 0.1
-    """Retries, as a share of the class's requests."""
+    """Maximum retries as a share of the class's requests."""
     on_disconnect: OnDisconnect = OnDisconnect.CANCEL
     max_tokens: Annotated[int, pydantic.Field(gt=0, le=200_000)] = 4_096
 
@@ -133,7 +133,7 @@
 class Policy(Model):
     """A policy program: CEL expressions over the facts of `tillerlane.policy.facts`.
 
-    An absent expression is the built-in rule.
+    The built-in rule applies to an expression that is absent.
     """
 
     rank: str | None = None
@@ -146,7 +146,7 @@
 
 
 class PolicyExample(Model):
-    """An example that a policy carries: facts and the value that must come out."""
+    """An example within a policy: facts and the expected value of an expression."""
 
     expression: str
     facts: dict[str, pydantic.JsonValue] = {}
@@ -158,7 +158,7 @@
 
     data_hall: Name
     models: list[str] | None = None
-    """Models loaded from the start; None is all of the pool's."""
+    """Models loaded at start; None is all models of the pool."""
 
 
 class Pool(Model):
@@ -168,20 +168,20 @@
     runners: dict[Name, Runner]
     policy: Name | None = None
     most_models: Annotated[int, pydantic.Field(gt=0)] | None = None
-    """Models that one runner holds at most, for placement by demand; None leaves them alone."""
+    """Maximum models loaded on one runner, for placement by demand; None disables placement."""
     max_waiting: Annotated[int, pydantic.Field(gt=0)] = 1_000
-    """Requests that one runner's queue holds before it refuses."""
+    """Maximum length of one runner's queue; further requests are refused."""
 
 
 class Service(Model):
-    """A plain service beside the model engines."""
+    """A plain HTTP service next to the model engines."""
 
     targets: dict[Name, Runner]
     repeatable: bool = True
-    """Whether every call may be sent twice; otherwise only GET and HEAD may."""
+    """Whether every call may be retried; otherwise only GET and HEAD may."""
     deadline_seconds: Seconds = 30
     concurrent: Annotated[int, pydantic.Field(gt=0)] = 64
-    """Calls that one target serves at once."""
+    """Maximum concurrent calls at one target."""
 
 
 class OperatorRole(enum.StrEnum):
@@ -193,28 +193,28 @@
 
 
 class Operator(Model):
-    """Somebody who may use the operators' interface."""
+    """An account for the operators' interface."""
 
     keys: list[KeyHash]
     roles: list[OperatorRole] = [OperatorRole.READ]
 
 
 class Fleet(Model):
-    """Rules that hold for the whole fleet."""
+    """Settings that apply to the entire fleet."""
 
     resume_seconds: Seconds = 60
     """How long an ended generation can still be read with ``Last-Event-ID``."""
     detached_seconds: Seconds = 15
-    """How long a generation runs on after its entry is lost."""
+    """How long a generation continues after the loss of its entry."""
     claim_seconds: Seconds = 86_400
-    """How long a request that may not be repeated is remembered after the end of its time."""
+    """How long a request that may not be repeated is retained after its deadline."""
     max_body_bytes: Annotated[int, pydantic.Field(gt=0, le=16 * 1024 * 1024)] = 1024 * 1024
     weight_load_seconds: Seconds = 20
-    """Least time between two orders to load weights: the weight store's rate."""
+    """Minimum time between two orders to load weights, set by the rate of the weight store."""
 
 
 class Document(Model):
-    """A whole configuration."""
+    """A complete configuration."""
 
     fleet: Fleet = Fleet()
     workspaces: dict[Name, Workspace] = {}
@@ -226,7 +226,7 @@
 
     @pydantic.model_validator(mode="after")
     def check_references(self) -> "Document":
-        """Every name that is referred to exists; no name, key or alias stands twice."""
+        """Check that every referenced name exists and that names, keys and aliases are unique."""
         problems = [
             *_check_classes(self),
             *_check_pools(self),
@@ -246,7 +246,7 @@
     "services": Service,
     "operators": Operator,
 }
-"""Section of the document to the model of its entities."""
+"""Maps a section of the document to the model of its entities."""
 
 
 def _check_classes(document: Document) -> list[str]:
@@ -255,7 +255,7 @@
     for name, work in document.classes.items():
         pool = document.pools.get(work.pool)
         if pool is None:
-            problems.append(f"classes.{name}.pool names {work.pool!r}, which is no pool")
+            problems.append(f"classes.{name}.pool names {work.pool!r}, which is not a pool")
         elif work.model not in pool.models:
             problems.append(f"classes.{name}.model: pool {work.pool!r} lacks {work.model!r}")
         for alias in [name, *work.aliases]:
@@ -265,7 +265,9 @@
     for name, workspace in document.workspaces.items():
         unknown = set(workspace.classes or ()) - set(document.classes)
         if unknown:
-            problems.append(f"workspaces.{name}.classes names {sorted(unknown)}, no classes")
+            problems.append(
+                f"workspaces.{name}.classes names {sorted(unknown)}, which are not classes"
+            )
     return problems
 
 
@@ -274,7 +276,7 @@
     owners: dict[str, str] = {}
     for name, pool in document.pools.items():
         if pool.policy is not None and pool.policy not in document.policies:
-            problems.append(f"pools.{name}.policy names {pool.policy!r}, which is no policy")
+            problems.append(f"pools.{name}.policy names {pool.policy!r}, which is not a policy")
         for runner, detail in pool.runners.items():
             unknown = set(detail.models or ()) - set(pool.models)
             if unknown:
@@ -285,7 +287,7 @@
         for target in targets:
             other = owners.setdefault(target, group)
             if other != group:
-                problems.append(f"{group}: target {target!r} also stands in {other}")
+                problems.append(f"{group}: target {target!r} is also in {other}")
     return problems
 
 
@@ -298,5 +300,5 @@
         for key in keys:
             other = owners.setdefault(key, holder)
             if other != holder:
-                problems.append(f"{holder}: a key also stands in {other}")
+                problems.append(f"{holder}: a key is also used by {other}")
     return problems
--- a/tillerlane/config/reader.py
+++ b/tillerlane/config/reader.py
@@ -1,4 +1,4 @@
-"""Reads JSON with comments into validated models, with errors that say where and what.
+"""Parses JSON with comments into validated models, with errors that give path and cause.
 
 `json5` reads the comments; `pydantic` checks the values.
 """
@@ -36,7 +36,7 @@
         return result.Ok(json5.loads(text, allow_duplicate_keys=False))
     except (ValueError, RecursionError) as error:
         reason = re.sub(r"<string>", source, str(error))
-        return result.Err(_invalid(f"{source}: got no JSON with comments: {reason}"))
+        return result.Err(_build_fault(f"{source}: invalid JSON with comments: {reason}"))
 
 
 def read_file(path: pathlib.Path | str) -> result.Result[Any, faults.Fault]:
@@ -46,10 +46,10 @@
         data = path.read_bytes()
         text = data.decode()
     except (OSError, UnicodeDecodeError) as error:
-        return result.Err(_invalid(f"{path}: cannot be read: {error}"))
+        return result.Err(_build_fault(f"{path}: cannot be read: {error}"))
     if len(data) > MAX_DOCUMENT_BYTES:
         return result.Err(
-            _invalid(f"{path}: got {len(data)} bytes, expected at most {MAX_DOCUMENT_BYTES}")
+            _build_fault(f"{path}: got {len(data)} bytes, expected at most {MAX_DOCUMENT_BYTES}")
         )
     return parse_text(text, str(path))
 
@@ -61,11 +61,11 @@
     except pydantic.ValidationError as error:
         problems = describe_errors(error, model)
         message = "; ".join(f"{source}: {problem}" for problem in problems)
-        return result.Err(_invalid(message, problems))
+        return result.Err(_build_fault(message, problems))
 
 
 def describe_errors(error: pydantic.ValidationError, model: type[pydantic.BaseModel]) -> list[str]:
-    """One line for each error: the path in the document, what was got, what was expected."""
+    """Describe each error in one line: path in the document, actual and expected value."""
     return [_describe_error(item, model) for item in error.errors()]
 
 
@@ -73,7 +73,7 @@
     location = [part for part in item["loc"] if part != "[key]"]
     path = "$" + "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in location)
     if item["type"] == "extra_forbidden":
-        return f"{path}: got an unknown key{_suggest(model, location)}"
+        return f"{path}: got an unknown key{_suggest_key(model, location)}"
     if item["type"] == "missing":
         return f"{path}: got nothing, expected a value"
     got = repr(item["input"])
@@ -82,14 +82,14 @@
     return f"{path}: got {got}, expected: {expected}"
 
 
-def _suggest(model: type[pydantic.BaseModel], location: list[Any]) -> str:
-    """Name the nearest known key, found by walking the models along the path."""
-    known = _find_keys(model, location[:-1])
-    near = difflib.get_close_matches(str(location[-1]), known, n=1, cutoff=0.5)
-    return f", expected perhaps {near[0]!r}" if near else f", expected one of {sorted(known)}"
+def _suggest_key(model: type[pydantic.BaseModel], location: list[Any]) -> str:
+    """Suggest the closest known key of the model at this path."""
+    known = _list_known_keys(model, location[:-1])
+    matches = difflib.get_close_matches(str(location[-1]), known, n=1, cutoff=0.5)
+    return f", expected perhaps {matches[0]!r}" if matches else f", expected one of {sorted(known)}"
 
 
-def _find_keys(model: Any, path: list[Any]) -> list[str]:
+def _list_known_keys(model: Any, path: list[Any]) -> list[str]:
     current: Any = model
     for part in path:
         if isinstance(current, type) and issubclass(current, pydantic.BaseModel):
@@ -114,6 +114,6 @@
     return arguments[0] if is_union and len(arguments) == 1 else annotation
 
 
-def _invalid(message: str, problems: list[str] | None = None) -> faults.Fault:
+def _build_fault(message: str, problems: list[str] | None = None) -> faults.Fault:
     detail = {"problems": problems} if problems else {}
     return faults.new_fault(kinds.ErrorKind.INVALID_CONFIG, message, detail=detail)
--- a/tillerlane/config/settings.py
+++ b/tillerlane/config/settings.py
@@ -18,7 +18,7 @@
     parts = host.split(".")
     is_ip = len(parts) == 4 and all(part.isdigit() and int(part) < 256 for part in parts)
     if not is_ip or not port.isdigit() or not 0 < int(port) < 65_536:
-        raise ValueError("an IP number and a port, such as 127.0.0.1:7000")
+        raise ValueError("an IPv4 address and a port, such as 127.0.0.1:7000")
     return value
 
 
@@ -26,7 +26,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a daemon does."""
+    """A role of a daemon."""
 
     ENTRY = "entry"
     AGENT = "agent"
@@ -34,34 +34,34 @@
 
 
 class TargetKind(enum.StrEnum):
-    """What stands behind an agent."""
+    """Kind of a target behind an agent."""
 
     RUNNER = "runner"
     SERVICE = "service"
 
 
 class Target(documents.Model):
-    """A runner or plain service on the agent's own host."""
+    """A runner or plain service on the agent's host."""
 
     url: str
     kind: TargetKind = TargetKind.RUNNER
     checks_fence: bool = False
-    """Whether the target itself refuses orders with an older fence."""
+    """Whether the target itself refuses orders with an outdated fence."""
 
 
 class Tls(documents.Model):
-    """Certificates; a daemon's certificate has its id as common name."""
+    """Certificates; the common name of a daemon's certificate is the daemon's id."""
 
     certificate: str
     private_key: str
     peer_authority: str
-    """Certificates of the authority that signs the fleet's daemons."""
+    """CA certificates for the certificates of the fleet's daemons."""
     for_callers: bool = False
     """Whether the HTTP listener uses the same certificate."""
 
 
 class StaleAction(enum.StrEnum):
-    """What an entry does when it has had no word from a keeper for too long."""
+    """What an entry does without contact to a keeper for ``stale_seconds``."""
 
     SERVE = "serve"
     UNREADY = "unready"
@@ -77,30 +77,30 @@
     peer_address: Address
     http_address: Address
     keepers: Annotated[dict[documents.Name, Address], pydantic.Field(min_length=1)]
-    """First voters: daemon id to peer address.  Later ones come through the log."""
+    """Initial voters: daemon id to peer address.  Later changes are made through the log."""
     data_folder: str | None = None
     near_halls: list[documents.Name] | None = None
-    """Halls whose agents an entry keeps links to; None is all.  Others are dialed at need."""
+    """Data halls with permanent links from an entry to agents; None is all, others are on demand."""
     targets: dict[documents.Name, Target] = {}
     operators: dict[documents.Name, documents.Operator] = {}
-    """Operators known before there is a configuration."""
+    """Operators that may act before a configuration exists."""
     platform_list: str | None = None
-    """File or http URL of the platform's list of hosts."""
+    """File or HTTP URL of the platform's list of hosts."""
     statsd: Address | None = None
     tls: Tls | None = None
     peers: list[documents.Name] | None = None
-    """Daemon ids that may link to this one; None is every one of the fleet."""
+    """Daemon ids that may link to this daemon; None allows all daemons of the fleet."""
     stale_action: StaleAction = StaleAction.SERVE
     stale_seconds: documents.Seconds = 30
     stop_seconds: documents.Seconds = 3_600
-    """How long a planned stop waits for what runs."""
+    """How long a planned stop waits for running requests and generations."""
     max_connections: Annotated[int, pydantic.Field(gt=0)] = 4_096
     log_file: str | None = None
-    """File for the log's JSON lines; standard error without it."""
+    """File for the log's JSON lines; None is standard error."""
 
     @pydantic.model_validator(mode="after")
     def check_roles(self) -> "Settings":
-        """A keeper has a disk and its own name among the keepers; an agent has targets."""
+        """Check that a keeper has a data folder, and that exactly agents have targets."""
         if Role.KEEPER in self.roles and self.data_folder is None:
             raise ValueError("a keeper needs 'data_folder'")
         if Role.AGENT in self.roles and not self.targets:
--- a/tillerlane/config/store.py
+++ b/tillerlane/config/store.py
@@ -1,11 +1,11 @@
-"""The configuration in force on one daemon, and how it moves from version to version.
+"""The configuration in force on one daemon, and its changes from version to version.
 
-A configuration is a set of entities, each with the version that last changed it.  What a daemon
-at version ``n`` lacks is every entity with a later version, deletions included, so that catch-up
-after hundreds of changes sends each changed entity once.  Deletions are kept; they are small.
+A configuration is a set of entities, each with the version that last changed it.  A daemon at
+version ``n`` lacks every entity with a later version, deletions included, so that catching up after
+hundreds of changes sends each changed entity once.  Deletions are kept as small tombstones.
 
-The entities' models are loaded when the first of them is read: a keeper on the users' platform has
-none, and their library is not among what its machines have.
+The entities' models are imported lazily: a keeper on the users' platform has no such entities, and
+the library of the models is not installed on that platform's hosts.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 Key = tuple[str, str]
 _FLEET_NAME = "fleet"
 DRAINS = "drains"
-"""Kind of the entities that stand for drained targets."""
+"""Kind of the entities that mark drained targets."""
 EVACUATIONS = "evacuations"
-"""Kind of the entities that stand for data halls whose targets get nothing new."""
+"""Kind of the entities that mark data halls whose targets get no new requests."""
 QUARANTINE = "quarantine"
-"""Kind of the entities that stand for requests, by fingerprint, that go to no target."""
-_ORDERS = frozenset({DRAINS, EVACUATIONS, QUARANTINE})
-"""Kinds that orders put in force; they are not part of the document."""
+"""Kind of the entities that mark requests, by fingerprint, that are sent to no target."""
+_ORDER_KINDS = frozenset({DRAINS, EVACUATIONS, QUARANTINE})
+"""Kinds that are set by operators' orders and are not part of the document."""
 
 
 def _get_kinds() -> dict[str, type[documents.Model]]:
@@ -42,7 +42,7 @@
 
 
 def format_body(model: documents.Model) -> str:
-    """Write an entity in its one canonical form."""
+    """Format an entity in its canonical JSON form."""
     values = model.model_dump(mode="json", exclude_defaults=True)
     return json.dumps(values, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
 
@@ -61,7 +61,7 @@
     """Join entities into the document's JSON form."""
     document: dict[str, Any] = {}
     for (kind, name), body in sorted(entities.items()):
-        if kind in _ORDERS:
+        if kind in _ORDER_KINDS:
             continue
         values = json.loads(body)
         if kind == "fleet":
@@ -72,9 +72,9 @@
 
 
 def diff_documents(old: dict[Key, str], new: dict[Key, str]) -> tuple[dict[Key, str], list[Key]]:
-    """What a change puts and what it deletes."""
+    """Return the entities that a change puts and the keys that it deletes."""
     puts = {key: body for key, body in new.items() if old.get(key) != body}
-    deletes = [key for key in old if key not in new and key[0] not in _ORDERS]
+    deletes = [key for key in old if key not in new and key[0] not in _ORDER_KINDS]
     return puts, deletes
 
 
@@ -85,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """A configuration as the domain uses it, with look-ups by what requests carry."""
+    """A parsed configuration, with look-ups by the values that requests carry."""
 
     version: int
     fleet: documents.Fleet
@@ -96,9 +96,9 @@
     services: dict[str, documents.Service]
     operators: dict[str, documents.Operator]
     drains: frozenset[str] = frozenset()
-    """Targets and daemons that operators have told to leave."""
+    """Targets and daemons that operators have drained."""
     evacuated: frozenset[str] = frozenset()
-    """Data halls whose targets get nothing new."""
+    """Data halls whose targets get no new requests."""
 
     @functools.cached_property
     def workspace_by_hash(self) -> dict[str, str]:
@@ -129,7 +129,7 @@
 
 
 def build_configuration(version: int, entities: dict[Key, str]) -> Configuration:
-    """Build the look-ups from entities that were validated when the change was accepted."""
+    """Build a configuration from entities that were validated when the change was accepted."""
     kinds = _get_kinds()
     sections: dict[str, dict[str, Any]] = {kind: {} for kind in kinds}
     drains = frozenset(name for kind, name in entities if kind == DRAINS)
@@ -144,7 +144,7 @@
 
 
 class Store:
-    """Entities in force on one daemon; its version only rises."""
+    """Entities in force on one daemon; the version never decreases."""
 
     def __init__(self) -> None:
         self._entities: dict[Key, messages.Entity] = {}
@@ -165,11 +165,11 @@
         return self._current
 
     def add_listener(self, listener: Callable[[Store], None]) -> None:
-        """Have `listener` called with this store after each change."""
+        """Call `listener` with this store after each change."""
         self._listeners.append(listener)
 
     def list_names(self, kind: str) -> frozenset[str]:
-        """Names of the entities of a kind that exist."""
+        """Return the names of the existing entities of a kind."""
         return frozenset(
             name
             for (found, name), item in self._entities.items()
@@ -177,25 +177,25 @@
         )
 
     def get_bodies(self) -> dict[Key, str]:
-        """Entities that exist: (kind, name) to body."""
+        """Return the existing entities: (kind, name) to body."""
         return {key: item.body for key, item in self._entities.items() if not item.deleted}
 
     def get_entities(self) -> list[messages.Entity]:
-        """Every entity, deletions included."""
+        """Return all entities, deletions included."""
         return list(self._entities.values())
 
     def build_delta(self, have: int) -> messages.ConfigDelta:
-        """What a daemon at version `have` lacks."""
+        """Build the delta for a daemon at version `have`."""
         entities = [item for item in self._entities.values() if item.version > have]
         return messages.ConfigDelta(have, self.version, have == 0, entities)
 
     def apply_delta(self, delta: messages.ConfigDelta) -> bool:
-        """Put a delta in force; an old one, or one with a gap before it, changes nothing.
+        """Put a delta in force, unless it is outdated or starts after the present version.
 
         Returns
         -------
         bool
-            Whether the version rose.
+            Whether the version increased.
         """
         if delta.version <= self.version or delta.base > self.version:
             return False
@@ -208,7 +208,7 @@
         return True
 
     def apply_change(self, version: int, puts: dict[Key, str], deletes: Iterable[Key]) -> None:
-        """Put one accepted change in force (keepers, from the log)."""
+        """Put one accepted change from the log in force (keepers only)."""
         for (kind, name), body in puts.items():
             self._entities[kind, name] = messages.Entity(kind, name, version, body)
         for kind, name in deletes:
@@ -216,7 +216,7 @@
         self._put_in_force(version)
 
     def restore(self, version: int, entities: Iterable[messages.Entity]) -> None:
-        """Replace everything by a snapshot's entities, unless they are older."""
+        """Replace all entities by those of a snapshot, unless the snapshot is older."""
         if version < self.version:
             return
         self._entities = {(item.kind, item.name): item for item in entities}
@@ -224,7 +224,7 @@
 
     def _put_in_force(self, version: int) -> None:
         if version == self._version and not self._entities:
-            return  # nothing was ever put in force
+            return  # still empty
         self._version = version
         self._current = None
         for listener in self._listeners:
--- a/tillerlane/config/tests/test_changes.py
+++ b/tillerlane/config/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes of configuration: accepted once, in force everywhere, never reverted."""
+"""Changes of configuration are accepted once, reach every daemon and are never reverted."""
 
 import asyncio
 import copy
@@ -10,20 +10,20 @@
 from tillerlane.testing import lab, scenes
 
 
-def set_weight(weight: float) -> dict[str, Any]:
-    """The scene's configuration with another weight."""
+def build_document(weight: float) -> dict[str, Any]:
+    """Build the scene's configuration with another weight of a workspace."""
     document = copy.deepcopy(scenes.DOCUMENT)
     document["workspaces"]["katalog"] = {"weight": weight}
     return document
 
 
 class ChangesTest(scenes.SceneCase):
-    """Operators race each other and resend; daemons are cut off and restart."""
+    """Concurrent and resent changes, network partitions and restarts."""
 
     def test_racing_changes(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             attempts = [
-                stage.apply(set_weight(2.0 + n), 1, f"change-{n}", f"entry-{1 + n % 2}")
+                stage.apply(build_document(2.0 + n), 1, f"change-{n}", f"entry-{1 + n % 2}")
                 for n in range(6)
             ]
             outcomes = await asyncio.gather(*attempts, return_exceptions=True)
@@ -39,11 +39,11 @@
     def test_resend_gets_the_first_answer_after_hundreds_of_changes(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for number in range(1, 301):
-                await stage.apply(set_weight(1 + number / 1000), number, f"change-{number}")
+                await stage.apply(build_document(1 + number / 1000), number, f"change-{number}")
             for name in ("keeper-1", "keeper-2", "keeper-3"):
                 await stage.restart(name)
             await asyncio.sleep(5)
-            again = await stage.apply(set_weight(1.001), 1, "change-1", "entry-2")
+            again = await stage.apply(build_document(1.001), 1, "change-1", "entry-2")
             self.assertEqual((again["accepted"], again["version"]), (True, 2))
             self.assertEqual(stage.daemons["entry-1"].store.version, 301)
 
@@ -51,10 +51,10 @@
 
     def test_resent_conflict_stays_a_conflict(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            await stage.apply(set_weight(2), 1, "change-won")
+            await stage.apply(build_document(2), 1, "change-won")
             for _ in range(2):
                 with self.assertRaises(faults.FaultError) as raised:
-                    await stage.apply(set_weight(3), 1, "change-lost")
+                    await stage.apply(build_document(3), 1, "change-lost")
                 self.assertEqual(raised.exception.fault.kind, kinds.ErrorKind.VERSION_CONFLICT)
 
         self.play(scene, keepers=3)
@@ -65,7 +65,7 @@
                 stage.network.cut(keeper, "agent-hall-a")
                 stage.network.cut("agent-hall-a", keeper)
             await asyncio.sleep(3)
-            await stage.apply(set_weight(5), 1, "change-five")
+            await stage.apply(build_document(5), 1, "change-five")
             await asyncio.sleep(3)
             self.assertEqual(stage.daemons["agent-hall-a"].store.version, 2)
 
@@ -75,7 +75,7 @@
         async def scene(stage: lab.Lab) -> None:
             await stage.kill("entry-2")
             for number in range(1, 251):
-                await stage.apply(set_weight(1 + number / 1000), number, f"change-{number}")
+                await stage.apply(build_document(1 + number / 1000), number, f"change-{number}")
             await stage.start_daemon("entry-2")
             await asyncio.sleep(2)
             store = stage.daemons["entry-2"].store
@@ -95,7 +95,7 @@
             await asyncio.sleep(1.2)
             replica = stage.daemons[leader].keeper.replica
             self.assertFalse(replica.has_lease)
-            answer = await stage.apply(set_weight(4), 1, "change-four")
+            answer = await stage.apply(build_document(4), 1, "change-four")
             self.assertEqual(answer["version"], 2)
             stage.network.heal()
             await asyncio.sleep(3)
--- a/tillerlane/peers/messages.py
+++ b/tillerlane/peers/messages.py
@@ -388,8 +388,9 @@
     """Load that one entry places on one target.
 
     ``tokens`` is the estimated memory, ``unread`` the prompt tokens waiting for prefill and
-    ``unsaved`` the memory of runs without a copy elsewhere.  ``events`` is the number of stream events recently
-    received, ``event_ms`` the time spent waiting for them.
+    ``unsaved`` the memory of runs without a copy elsewhere.
+    ``events`` is the number of stream events received recently and ``event_ms`` the time spent
+    waiting for them.
     """
 
     address: str
