--- a/tillerlane/config/settings.py
+++ b/tillerlane/config/settings.py
@@ -80,7 +80,7 @@
     """Initial voters: daemon id to peer address.  Later changes are made through the log."""
     data_folder: str | None = None
     near_halls: list[documents.Name] | None = None
-    """Data halls with permanent links from an entry to agents; None is all, others are on demand."""
+    """Data halls whose agents an entry stays linked to; None is all.  Others are dialed if needed."""
     targets: dict[documents.Name, Target] = {}
     operators: dict[documents.Name, documents.Operator] = {}
     """Operators that may act before a configuration exists."""
--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -1,4 +1,4 @@
-"""One daemon: its links, its view of the fleet, and whichever roles its settings name."""
+"""One daemon: its links, its view of the fleet, and the roles named in its settings."""
 
 import asyncio
 import contextlib
@@ -35,18 +35,18 @@
 
 __all__ = ["Daemon", "Dependencies"]
 
-PULL_SECONDS = 0.2
-"""Least time between two pulls of the configuration on one link."""
-REFRESH_SECONDS = 0.2
-NOTICE_SECONDS = 1.0
-"""How long a stopping entry still takes requests after it went unready."""
-QUERY_SECONDS = 2.0
+MIN_PULL_INTERVAL_SECONDS = 0.2
+"""Minimum time between two pulls of the configuration on one link."""
+REFRESH_INTERVAL_SECONDS = 0.2
+UNREADY_NOTICE_SECONDS = 1.0
+"""How long a stopping entry still accepts requests after it has reported itself unready."""
+QUERY_TIMEOUT_SECONDS = 2.0
 
 Query = Callable[[dict[str, Any]], Any]
 
 
 def connect_target(target: settings.Target) -> runners.RunnerClient:
-    """Functions of a target, by its kind."""
+    """Return the client for a target of either kind."""
     if target.kind is settings.TargetKind.SERVICE:
         return http_service.connect(target.url)
     return sse_runner.connect(target.url)
@@ -54,24 +54,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dependencies:
-    """What a daemon needs of the world; tests put stand-ins here.
+    """External dependencies of a daemon, which tests replace.
 
     Attributes
     ----------
     connect : callable
-        Gives the functions of a target.
+        Returns the client of a target.
     open_disk : callable
-        (folder) gives the keeper's disk.
+        (folder) returns the keeper's disk.
     run_blocking : callable
-        Runs a blocking function without holding the event loop.
+        Runs a blocking function without blocking the event loop.
     open_connection : callable
         Opens a connection, as `asyncio.open_connection`.
     now : callable
         Wall time in seconds.
     rng : random.Random
-        Draws timeouts and routes.
+        Source of random timeouts and routes.
     decide, choose : callable
-        Rules at the agent and at the entry; benchmarks put baselines here.
+        Decision rules of the agent and of the entry; benchmarks substitute baselines.
     """
 
     connect: agents.Connect = connect_target
@@ -92,7 +92,7 @@
     own : settings.Settings
         Its settings.
     dependencies : Surroundings, optional
-        What it needs of the world.
+        Its external dependencies.
     """
 
     def __init__(self, own: settings.Settings, dependencies: Dependencies | None = None) -> None:
@@ -119,7 +119,7 @@
         if settings.Role.KEEPER in own.roles:
             self._build_keeper()
         self.client = clients.KeeperClient(
-            own.daemon, own.keepers, self.node, self.members, self._take_home
+            own.daemon, own.keepers, self.node, self.members, self._handle_home
         )
         self.announcer = exchange.Announcer(
             self._build_member(), self.members, lambda: self.client.home
@@ -139,9 +139,9 @@
         self.callers: api.Callers | None = None
         if settings.Role.ENTRY in own.roles:
             self._build_entry()
-        self.store.add_listener(self._note_configuration)
+        self.store.add_listener(self._handle_configuration)
 
-    # Building
+    # Construction
 
     def _build_local(self) -> links.Local:
         own = self.settings
@@ -152,12 +152,12 @@
             incarnation=int(self.started_at * 1000),
             clock=self.clock,
             get_config_version=lambda: self.store.version,
-            on_peer_version=self._note_peer_version,
+            on_peer_version=self._handle_peer_version,
             serve=self._serve,
             notify=self._notify,
-            on_down=self._note_down,
+            on_down=self._handle_link_down,
             admit=self._admit,
-            on_refused=self._note_refused,
+            on_refused=self._record_refused,
         )
 
     def _build_member(self) -> messages.Member:
@@ -179,7 +179,7 @@
         storage = storages.Storage(self._dependencies.open_disk(own.data_folder), own.daemon)
         state = state_machines.StateMachine()
         self.store = state.store
-        part = replica.Replica(
+        own_replica = replica.Replica(
             own.daemon,
             dict(own.keepers),
             storage,
@@ -189,23 +189,25 @@
             self._dependencies.run_blocking,
             self._dependencies.rng,
         )
-        part.on_role_change = self._note_standing
+        own_replica.on_role_change = self._report_readiness
         self.keeper = server.Keeper(
-            part, self._get_keeper_link, self._get_subscribers, self._read_ms
+            own_replica, self._get_keeper_link, self._get_subscribers, self._get_time_ms
         )
         self.placement = leader.PlacementLeader(
-            part, self.members.list_live, self.query_daemon, self.timeline, self._read_ms
+            own_replica, self.members.list_live, self.query_daemon, self.timeline, self._get_time_ms
         )
         self.exchange = exchange.KeeperExchange(
             self.members, self._get_keeper_links, self._get_subscribers
         )
 
-    def _read_ms(self) -> int:
+    def _get_time_ms(self) -> int:
         return int(self._dependencies.now() * 1000)
 
     def _build_entry(self) -> None:
-        near = self.settings.near_halls
-        self.view = fleet.FleetView(self.node, self.members, set(near) if near else None)
+        near_halls = self.settings.near_halls
+        self.view = fleet.FleetView(
+            self.node, self.members, set(near_halls) if near_halls else None
+        )
         router = routing.Router(
             self.view,
             self.settings.data_hall,
@@ -231,10 +233,10 @@
             measure=self.metrics.measure,
         )
 
-    # Life
+    # Life cycle
 
     async def start(self) -> None:
-        """Listen to peers and start the roles."""
+        """Listen for peers and start the roles."""
         await self.node.listen(self.settings.peer_address)
         if self.keeper is not None and self.exchange is not None:
             for name, address in self.settings.keepers.items():
@@ -248,33 +250,33 @@
             self.agent.begin()
         self._tasks.append(asyncio.create_task(self._refresh()))
         if self.settings.platform_list is not None:
-            following = platform.poll_list(
-                self.settings.platform_list, self.members, self._note_platform_list
+            polling = platform.poll_list(
+                self.settings.platform_list, self.members, self._handle_platform_list
             )
-            self._tasks.append(asyncio.create_task(following))
+            self._tasks.append(asyncio.create_task(polling))
         self.timeline.record("daemon.start", roles=[role.value for role in self.settings.roles])
 
     async def drain(self) -> None:
-        """Planned stop: take nothing new, finish what runs."""
+        """Planned stop: accept no new requests and finish the running ones."""
         self.stopping = True
         self.timeline.record("daemon.leaving")
         self.announcer.update(leaving=True, ready=False)
-        until = asyncio.get_running_loop().time() + self.settings.stop_seconds
+        deadline = asyncio.get_running_loop().time() + self.settings.stop_seconds
         if self.callers is not None:
-            await asyncio.sleep(NOTICE_SECONDS)
+            await asyncio.sleep(UNREADY_NOTICE_SECONDS)
             self.refuses = True
-            await self._wait_idle(lambda: self.callers.dispatcher.active, until)
+            await self._wait_idle(lambda: self.callers.dispatcher.active, deadline)
         if self.agent is not None:
             self.agent.leave("planned stop")
-            await self._wait_idle(self.agent.count_active, until)
+            await self._wait_idle(self.agent.count_active, deadline)
 
-    async def _wait_idle(self, count: Callable[[], int], until: float) -> None:
+    async def _wait_idle(self, count: Callable[[], int], deadline: float) -> None:
         loop = asyncio.get_running_loop()
-        while count() > 0 and loop.time() < until:
+        while count() > 0 and loop.time() < deadline:
             await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
-        """Stop all roles at once; see `drain` for a planned stop."""
+        """Stop all roles immediately; see `drain` for a planned stop."""
         self.timeline.record("daemon.stop")
         for task in self._tasks:
             task.cancel()
@@ -291,11 +293,17 @@
     # Links
 
     def _admit(self, daemon_id: str, certificate_name: str) -> None:
-        """Admit a peer by the names in the settings, and by its certificate."""
+        """Admit a peer if its certificate and the settings allow its daemon id.
+
+        Raises
+        ------
+        faults.FaultError
+            Of kind ``forbidden``.
+        """
         own = self.settings
         problem = ""
         if own.tls is not None and certificate_name != daemon_id:
-            problem = f"the certificate is of {certificate_name!r}"
+            problem = f"the certificate is for {certificate_name!r}"
         elif own.peers is not None and daemon_id not in own.peers:
             problem = "the settings do not name it as a peer"
         if problem:
@@ -303,14 +311,14 @@
             self.timeline.record("peer.refused", peer=daemon_id, reason=problem)
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.FORBIDDEN, message))
 
-    def _note_refused(self, reason: str) -> None:
+    def _record_refused(self, reason: str) -> None:
         self.timeline.record("peer.refused", peer="", reason=reason)
 
     def _get_keeper_link(self, address: str) -> links.Link | None:
         return self.node.dial(address).link
 
     def _get_keeper_links(self) -> list[links.Link]:
-        """Links to the other keepers."""
+        """Return the links to the other keepers."""
         assert self.keeper is not None
         own = self.keeper.replica
         addresses = {voter.address for voter in own.voters.values()} | set(
@@ -321,7 +329,7 @@
         return [link for link in found if link is not None]
 
     def _get_subscribers(self) -> list[links.Link]:
-        """Accepted links of daemons that are no keepers."""
+        """Return the accepted links of daemons that are not keepers."""
         assert self.keeper is not None
         keepers = set(self.keeper.replica.voters) | set(self.settings.keepers)
         return [
@@ -331,7 +339,7 @@
         ]
 
     def _get_report_links(self) -> list[links.Link]:
-        """Links that load reports go to: those of entries."""
+        """Return the links that receive load reports: those of entries."""
         return [
             link
             for link in self.node.accepted
@@ -342,29 +350,29 @@
         member = self.members.find(daemon_id)
         return member is None or settings.Role.ENTRY.value in member.roles
 
-    def _take_home(self, link: links.Link) -> None:
+    def _handle_home(self, link: links.Link) -> None:
         self.announcer.reannounce(link)
         self.timeline.record("keeper.home", keeper=link.peer_id)
 
-    def _note_down(self, link: links.Link) -> None:
+    def _handle_link_down(self, link: links.Link) -> None:
         self._pulled_at.pop(link, None)
         if self.exchange is not None:
             self.exchange.handle_link_down(link)
 
     # Configuration
 
-    def _note_peer_version(self, link: links.Link, version: int) -> None:
-        """Pull the configuration from a peer that is ahead; keepers have it from the log."""
+    def _handle_peer_version(self, link: links.Link, version: int) -> None:
+        """Pull the configuration from a peer that is ahead; keepers get it from the log."""
         if version <= self.store.version or self.keeper is not None:
             return
         now = asyncio.get_running_loop().time()
-        if now - self._pulled_at.get(link, -1e9) < PULL_SECONDS:
+        if now - self._pulled_at.get(link, -1e9) < MIN_PULL_INTERVAL_SECONDS:
             return
         self._pulled_at[link] = now
         with contextlib.suppress(links.LinkLost):
             link.send(messages.ConfigPull(self.store.version))
 
-    def _note_configuration(self, store: stores.Store) -> None:
+    def _handle_configuration(self, store: stores.Store) -> None:
         self.timeline.record(
             "config.in_force",
             version=store.version,
@@ -372,12 +380,12 @@
         )
         self.announcer.update(config_version=store.version)
 
-    def _note_platform_list(self, leaving: set[str]) -> None:
+    def _handle_platform_list(self, leaving: set[str]) -> None:
         self.timeline.record("platform.list", leaving=sorted(leaving))
         if self.agent is not None and not self.stopping:
             self.agent.set_host_leaving(self.settings.daemon in leaving)
 
-    def _note_standing(self) -> None:
+    def _report_readiness(self) -> None:
         assert self.keeper is not None
         self.announcer.update(ready=self.keeper.replica.has_leader)
 
@@ -426,26 +434,26 @@
                 if self.view is not None:
                     self.view.take_loads(link, body, now)
             case messages.ConfigPull():
-                self._answer_pull(link, body)
+                self._send_delta(link, body)
             case messages.ConfigDelta():
                 if self.keeper is None:
                     self.store.apply_delta(body)
             case messages.Members():
-                self._take_members(link, body, now)
+                self._handle_members(link, body, now)
 
-    def _answer_pull(self, link: links.Link, body: messages.ConfigPull) -> None:
+    def _send_delta(self, link: links.Link, body: messages.ConfigPull) -> None:
         if body.have < self.store.version:
             with contextlib.suppress(links.LinkLost):
                 link.send(self.store.build_delta(body.have))
 
-    def _take_members(self, link: links.Link, body: messages.Members, now: float) -> None:
+    def _handle_members(self, link: links.Link, body: messages.Members, now: float) -> None:
         others = [item for item in body.members if item.daemon_id != self.settings.daemon]
         if self.exchange is not None:
             self.exchange.handle_members(link, dataclasses.replace(body, members=others))
         else:
             self.members.merge(others, now)
 
-    # Upkeep
+    # Periodic updates
 
     async def _refresh(self) -> None:
         loop = asyncio.get_running_loop()
@@ -453,7 +461,7 @@
             if self.view is not None:
                 self.view.refresh(loop.time())
             if self.keeper is not None:
-                self._note_standing()
+                self._report_readiness()
             keepers = {
                 member.daemon_id: member.address
                 for member in self.members.list_live()
@@ -463,10 +471,10 @@
             if self.agent is not None:
                 leaving = sorted(self.agent.read_leaving())
                 self.announcer.update(leaving_targets=leaving)
-            await asyncio.sleep(REFRESH_SECONDS)
+            await asyncio.sleep(REFRESH_INTERVAL_SECONDS)
 
     def _count_entries(self) -> int:
-        """Live entries, this one included."""
+        """Count the live entries, this one included."""
         entries = [
             member
             for member in self.members.list_live()
@@ -476,7 +484,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the platform's balancer should send requests here."""
+        """Whether the platform's load balancer should send requests here."""
         if self.stopping or self.store.version == 0:
             return False
         current = self.store.current
@@ -489,24 +497,24 @@
         return age < self.settings.stale_seconds
 
     def record_internal_error(self, error: Exception) -> faults.Fault:
-        """Log an unforeseen error under an id and give the fault that names it."""
+        """Log an unexpected error under a new id and return a fault with that id."""
         error_id = f"e-{random.getrandbits(48):012x}"
         self.timeline.record(
             "internal.error", error_id=error_id, error=f"{type(error).__name__}: {error}"
         )
         links.log_exception(error_id, error)
-        message = f"unforeseen error, see {error_id} in the log of {self.settings.daemon}"
+        message = f"unexpected error, see {error_id} in the log of {self.settings.daemon}"
         return faults.new_fault(kinds.ErrorKind.INTERNAL, message, detail={"error_id": error_id})
 
     # Queries to other daemons
 
     @contextlib.asynccontextmanager
     async def borrow_link(self, address: str) -> AsyncIterator[links.Link]:
-        """A link to a daemon that this one need not have dialed before."""
+        """Borrow a link to a daemon, dialing it temporarily if there is none."""
         was_dialed = address in self.node.get_dialed()
         peer = self.node.dial(address)
         try:
-            yield await peer.wait_link(QUERY_SECONDS)
+            yield await peer.wait_link(QUERY_TIMEOUT_SECONDS)
         finally:
             if not was_dialed:
                 self.node.disconnect(address)
@@ -514,17 +522,17 @@
     async def query_daemon(
         self, member: messages.Member, subject: str, arguments: dict[str, Any]
     ) -> Any:
-        """Ask another daemon, or this one.
+        """Query another daemon, or this one.
 
         Raises
         ------
         links.LinkLost
-            If it does not answer.
+            If the daemon does not reply.
         """
         if member.daemon_id == self.settings.daemon:
             return await self.answer_query(subject, arguments)
         async with self.borrow_link(member.address) as link:
             query = messages.Query(subject, json.dumps(arguments))
-            reply = await link.call(query, QUERY_SECONDS)
+            reply = await link.call(query, QUERY_TIMEOUT_SECONDS)
         assert isinstance(reply, messages.QueryReply)
         return codec.decode_json(reply.result)
--- a/tillerlane/daemon/http.py
+++ b/tillerlane/daemon/http.py
@@ -1,4 +1,4 @@
-"""The daemon's HTTP listener: one application for callers and operators, one form of errors."""
+"""The daemon's HTTP listener: one application for callers and operators, one error format."""
 
 import asyncio
 import contextlib
@@ -26,48 +26,48 @@
     413: kinds.ErrorKind.TOO_LARGE,
 }
 BACKLOG = 1_024
-IDLE_SECONDS = 30
+KEEP_ALIVE_SECONDS = 30
 MAX_HEADER_BYTES = 32 * 1024
-LEAST_RETRY_SECONDS = 1
-HARD_BODY_BYTES = 32 * 1024 * 1024
+MIN_RETRY_AFTER_SECONDS = 1
+MAX_BODY_BYTES = 32 * 1024 * 1024
 
 
 def build_fault_response(fault: faults.Fault) -> litestar.Response[dict[str, Any]]:
-    """Answer with a fault."""
+    """Build the response for a fault."""
     headers = {"x-tillerlane-ran": fault.ran.value}
     if fault.retry_after is not None:
-        headers["retry-after"] = str(max(LEAST_RETRY_SECONDS, round(fault.retry_after)))
+        headers["retry-after"] = str(max(MIN_RETRY_AFTER_SECONDS, round(fault.retry_after)))
     return litestar.Response(fault.to_json(), status_code=fault.response.status, headers=headers)
 
 
 def build_app(daemon: daemons.Daemon) -> litestar.Litestar:
-    """The application of one daemon."""
+    """Build the application of one daemon."""
     handlers = operators_api.build_handlers(daemon)
     if daemon.callers is not None:
         handlers += entry_api.build_handlers(daemon.callers)
 
-    def answer_fault(request: Any, error: faults.FaultError) -> litestar.Response[Any]:
+    def handle_fault(request: Any, error: faults.FaultError) -> litestar.Response[Any]:
         return build_fault_response(error.fault)
 
-    def answer_http(request: Any, error: exceptions.HTTPException) -> litestar.Response[Any]:
+    def handle_http_error(request: Any, error: exceptions.HTTPException) -> litestar.Response[Any]:
         kind = _KIND_BY_STATUS.get(error.status_code, kinds.ErrorKind.BAD_REQUEST)
         if error.status_code >= 500:
             return build_fault_response(daemon.record_internal_error(error))
         return build_fault_response(faults.new_fault(kind, f"{error.status_code}: {error.detail}"))
 
-    def answer_other(request: Any, error: Exception) -> litestar.Response[Any]:
+    def handle_other_error(request: Any, error: Exception) -> litestar.Response[Any]:
         return build_fault_response(daemon.record_internal_error(error))
 
     return litestar.Litestar(
         handlers,
         exception_handlers={
-            faults.FaultError: answer_fault,
-            exceptions.HTTPException: answer_http,
-            Exception: answer_other,
+            faults.FaultError: handle_fault,
+            exceptions.HTTPException: handle_http_error,
+            Exception: handle_other_error,
         },
         openapi_config=None,
         logging_config=None,
-        request_max_body_size=HARD_BODY_BYTES,
+        request_max_body_size=MAX_BODY_BYTES,
     )
 
 
@@ -85,7 +85,7 @@
     Parameters
     ----------
     daemon : daemons.Daemon
-        Whose interface it is.
+        The daemon that it serves.
     """
 
     def __init__(self, daemon: daemons.Daemon) -> None:
@@ -106,7 +106,7 @@
             server_header=False,
             backlog=BACKLOG,
             limit_concurrency=own.max_connections,
-            timeout_keep_alive=IDLE_SECONDS,
+            timeout_keep_alive=KEEP_ALIVE_SECONDS,
             timeout_graceful_shutdown=2,
             h11_max_incomplete_event_size=MAX_HEADER_BYTES,
             **extra,
@@ -117,12 +117,12 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises
         ------
         OSError
-            If the address cannot be listened at.
+            If it cannot listen at the address.
         """
         self._task = asyncio.create_task(self._server.serve())
         while not self._server.started:
@@ -132,12 +132,12 @@
             await asyncio.sleep(0.01)
 
     def reload_tls(self) -> None:
-        """Read the certificate again."""
+        """Reload the certificate."""
         if self._config.ssl is not None:
             tls.reload_contexts(self._tls, self._config.ssl)
 
     async def stop(self) -> None:
-        """Stop listening and end what is left."""
+        """Stop listening and close the remaining connections."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
--- a/tillerlane/daemon/main.py
+++ b/tillerlane/daemon/main.py
@@ -1,7 +1,7 @@
-"""``tillerlaned``: runs one daemon until it is told to stop.
+"""``tillerlaned``: runs one daemon until it is stopped by a signal.
 
-Signals: SIGTERM and SIGINT begin a planned stop, a second one ends at once; SIGHUP reads
-certificates again.
+Signals: SIGTERM and SIGINT start a planned stop, a second one stops immediately; SIGHUP reloads
+certificates.
 """
 
 import argparse
@@ -23,10 +23,10 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Arguments of the daemon."""
+    """Build the parser of the daemon's arguments."""
     parser = argparse.ArgumentParser(prog="tillerlaned", description=__doc__)
     parser.add_argument("--settings", required=True, metavar="FILE", help="settings of the daemon")
-    parser.add_argument("--check", action="store_true", help="check the settings and end")
+    parser.add_argument("--check", action="store_true", help="check the settings and exit")
     parser.add_argument("--version", action="version", version=__version__)
     return parser
 
@@ -48,14 +48,14 @@
 
 
 async def run(own: settings.Settings) -> None:
-    """Run a daemon until its planned stop is done."""
+    """Run a daemon until its planned stop is complete."""
     daemon = core.Daemon(own)
     listener = http.Listener(daemon)
     stop = asyncio.Event()
-    at_once = asyncio.Event()
+    stop_now = asyncio.Event()
 
-    def take_signal() -> None:
-        (at_once if stop.is_set() else stop).set()
+    def handle_signal() -> None:
+        (stop_now if stop.is_set() else stop).set()
 
     def reload() -> None:
         tls.reload_contexts(own.tls, *daemon.node.tls_contexts)
@@ -64,16 +64,16 @@
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, take_signal)
+        loop.add_signal_handler(number, handle_signal)
     loop.add_signal_handler(signal.SIGHUP, reload)
     await daemon.start()
     await listener.start()
     await stop.wait()
     draining = asyncio.create_task(daemon.drain())
-    hurry = asyncio.create_task(at_once.wait())
-    await asyncio.wait({draining, hurry}, return_when=asyncio.FIRST_COMPLETED)
+    stopping_now = asyncio.create_task(stop_now.wait())
+    await asyncio.wait({draining, stopping_now}, return_when=asyncio.FIRST_COMPLETED)
     draining.cancel()
-    hurry.cancel()
+    stopping_now.cancel()
     await listener.stop()
     await daemon.stop()
 
--- a/tillerlane/daemon/metrics.py
+++ b/tillerlane/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; without an address they go nowhere."""
+"""Metrics sent by statsd, or discarded if no address is set."""
 
 import dataclasses
 from collections.abc import Callable
@@ -14,16 +14,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Metrics:
-    """Functions that take metrics.
+    """Functions that record metrics.
 
     Attributes
     ----------
     count : callable
-        (name, number) adds to a counter.
+        (name, number) increments a counter.
     measure : callable
-        (name, seconds) takes a duration.
+        (name, seconds) records a duration.
     gauge : callable
-        (name, value) sets a value.
+        (name, value) sets a gauge.
     """
 
     count: Callable[[str, float], None]
@@ -32,7 +32,7 @@
 
 
 def open_metrics(address: str | None, daemon: str) -> Metrics:
-    """Metrics of one daemon, sent to ``IP:port`` by UDP."""
+    """Open the metrics of one daemon, sent to ``IP:port`` by UDP."""
     if address is None:
 
         def drop(name: str, value: float) -> None:
--- a/tillerlane/daemon/tests/test_http.py
+++ b/tillerlane/daemon/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Real processes over real HTTP: callers' forms, errors of every listed kind, the command line."""
+"""Real processes over HTTP: callers' requests, errors of all kinds, and the command line."""
 
 import asyncio
 import json
@@ -21,9 +21,9 @@
 
 
 class HttpTest(fleet_scenes.FleetCase):
-    """Callers' forms, errors, the command line's reading and checking."""
+    """Callers' requests, errors, and the command line."""
 
-    # Callers' forms
+    # Callers' requests
 
     def test_public_client_streams_chat(self) -> None:
         client = self.open_client()
--- a/tillerlane/daemon/tests/test_orders.py
+++ b/tillerlane/daemon/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders on targets and data halls, from the command line to real processes."""
+"""Operators' orders on targets and data halls, sent from the command line to real processes."""
 
 import json
 import time
--- a/tillerlane/daemon/tests/test_protocol.py
+++ b/tillerlane/daemon/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""A request's head that does not come in time ends its connection, and no other."""
+"""A request head that times out closes its own connection only."""
 
 import asyncio
 import unittest
@@ -10,18 +10,18 @@
 
 
 async def answer(scope: dict[str, object], receive: object, send: object) -> None:
-    """Answer with an empty body."""
+    """Respond with an empty body."""
     await send({"type": "http.response.start", "status": 200, "headers": []})
     await send({"type": "http.response.body", "body": b""})
 
 
 class ProtocolTest(unittest.IsolatedAsyncioTestCase):
-    """Connections of a server with a short patience."""
+    """Connections of a server with a short head timeout."""
 
     async def asyncSetUp(self) -> None:
-        patience = mock.patch.object(protocol, "HEAD_SECONDS", 0.2)
-        patience.start()
-        self.addCleanup(patience.stop)
+        timeout = mock.patch.object(protocol, "HEAD_TIMEOUT_SECONDS", 0.2)
+        timeout.start()
+        self.addCleanup(timeout.stop)
         config = uvicorn.Config(
             answer, http=protocol.BoundedProtocol, port=0, lifespan="off", log_config=None
         )
--- a/tillerlane/daemon/tests/test_trust.py
+++ b/tillerlane/daemon/tests/test_trust.py
@@ -1,4 +1,4 @@
-"""Who may link to a daemon: by certificate and by name; refusals stand on the time line."""
+"""Peers are admitted by certificate and by name, and refusals are recorded on the time line."""
 
 import asyncio
 import logging
@@ -18,7 +18,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """Bytes of a file."""
+    """Read the bytes of a file."""
     return pathlib.Path(path).read_bytes()
 
 
@@ -47,7 +47,7 @@
         }
         self.keeper = core.Daemon(settings.Settings.model_validate(values))
         await self.keeper.start()
-        # A write that was under way goes on in its thread; the folder must outlast it.
+        # A write in progress continues in its thread, so the folder is removed after it.
         loop = asyncio.get_running_loop()
         self.addAsyncCleanup(loop.shutdown_default_executor)
         self.addAsyncCleanup(self.keeper.stop)
@@ -58,10 +58,10 @@
         own: settings.Tls | None,
         open_connection: nodes.Open = asyncio.open_connection,
     ) -> bool:
-        """Whether the keeper takes a link, or refuses it; a dial that fails is made again."""
+        """Dial the keeper until it accepts or refuses the link; return whether it accepted."""
         local = self.keeper.node.local
         _, client = tls.build_contexts(own)
-        changed = type(local)(
+        changed_local = type(local)(
             **{
                 name: getattr(local, name)
                 for name in type(local).__slots__
@@ -69,7 +69,7 @@
             },
             daemon_id=daemon,
         )
-        node = nodes.Node(changed, None, client, open_connection)
+        node = nodes.Node(changed_local, None, client, open_connection)
         node.dial(self.address)
         while not (self.has_link(daemon) or self.read_refusals()):
             await asyncio.sleep(0.02)
@@ -78,7 +78,7 @@
         return linked
 
     def has_link(self, daemon: str) -> bool:
-        """Whether the keeper has a link of a daemon."""
+        """Return whether the keeper has a link to a daemon."""
         return any(link.peer_id == daemon for link in self.keeper.node.get_links())
 
     def read_refusals(self) -> list[str]:
@@ -147,7 +147,7 @@
 
 
 class HelloTest(unittest.TestCase):
-    """What a ``Hello`` says."""
+    """Contents of a ``Hello``."""
 
     def test_protocol_is_named(self) -> None:
         hello = messages.Hello("a", 1, "fleet", "127.0.0.1:1")
--- a/tillerlane/daemon/tls.py
+++ b/tillerlane/daemon/tls.py
@@ -10,10 +10,10 @@
 def build_contexts(
     tls: settings.Tls | None,
 ) -> tuple[ssl.SSLContext | None, ssl.SSLContext | None]:
-    """Contexts for accepted and for dialed connections between daemons.
+    """Build the contexts for accepted and for dialed connections between daemons.
 
-    Both sides show a certificate of the fleet's authority.  Names in certificates are daemon
-    ids, checked against ``Hello`` (see `tillerlane.peers.link`), not host names.
+    Both sides present a certificate issued by the fleet's authority.  Common names are daemon ids,
+    which are checked against ``Hello`` (see `tillerlane.peers.link`), not host names.
     """
     if tls is None:
         return None, None
@@ -28,7 +28,7 @@
 
 
 def reload_contexts(tls: settings.Tls | None, *contexts: ssl.SSLContext | None) -> None:
-    """Read certificate and authority again; new connections use them at once."""
+    """Reload certificate and authority; they apply to new connections."""
     if tls is None:
         return
     for context in contexts:
