--- a/tillerlane/operators/access.py
+++ b/tillerlane/operators/access.py
@@ -1,4 +1,4 @@
-"""Who may do what at the operators' interface."""
+"""Authorization for the operators' interface."""
 
 from typing import Any
 
@@ -17,9 +17,9 @@
     http: litestar.Request[Any, Any, Any],
     role: documents.OperatorRole,
 ) -> str:
-    """Name of the operator whose bearer key this is, if it has the role.
+    """Return the name of the operator with this bearer key if it has the role.
 
-    Operators come from the daemon's settings and from the configuration in force.
+    Operators are defined in the daemon's settings and in the configuration in force.
 
     Raises
     ------
@@ -37,5 +37,5 @@
             message = f"operator {name!r} lacks the role {role.value!r}"
             raise faults.FaultError(faults.new_fault(kinds.ErrorKind.FORBIDDEN, message))
     daemon.timeline.record("operator.unauthenticated", role=role)
-    message = "expected 'Authorization: Bearer KEY' with a key of an operator"
+    message = "expected 'Authorization: Bearer KEY' with the key of an operator"
     raise faults.FaultError(faults.new_fault(kinds.ErrorKind.UNAUTHENTICATED, message))
--- a/tillerlane/operators/api.py
+++ b/tillerlane/operators/api.py
@@ -23,7 +23,7 @@
 
 
 class KeeperBody(pydantic.BaseModel):
-    """Body of ``POST /admin/keepers``: adds a keeper, or removes one without an address."""
+    """Body of ``POST /admin/keepers``: adds a keeper, or removes it if there is no address."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
@@ -59,16 +59,16 @@
         raise faults.FaultError(fault) from error
 
 
-def _read_number(http: Http, name: str) -> int:
+def _parse_number(http: Http, name: str) -> int:
     text = http.query_params.get(name, "0")
     if not text.isdigit():
-        message = f"query {name}: got {text!r}, expected a whole number"
+        message = f"query {name}: got {text!r}, expected a non-negative integer"
         raise faults.FaultError(faults.new_fault(kinds.ErrorKind.BAD_REQUEST, message))
     return int(text)
 
 
-def _read_versions(daemon: daemons.Daemon) -> dict[str, Any]:
-    """Version in force on every daemon, as the keepers know it."""
+def _get_versions(daemon: daemons.Daemon) -> dict[str, Any]:
+    """Return the version in force on every daemon, as known to the keepers."""
     members = daemon.members.list_all()
     return {
         "version": daemon.store.version,
@@ -84,8 +84,8 @@
     }
 
 
-async def _ask_keeper(daemon: daemons.Daemon, subject: str, arguments: dict[str, Any]) -> Any:
-    """Ask this daemon if it is a keeper, or its home keeper."""
+async def _query_keeper(daemon: daemons.Daemon, subject: str, arguments: dict[str, Any]) -> Any:
+    """Query this daemon if it is a keeper, otherwise its home keeper."""
     if daemon.keeper is not None:
         return await daemon.answer_query(subject, arguments)
     member = daemon.members.find(daemon.client.home_name)
@@ -96,7 +96,7 @@
 
 
 def build_config_handlers(daemon: daemons.Daemon) -> list[Any]:
-    """Handlers of configurations."""
+    """Build the handlers of configurations."""
 
     @litestar.get("/admin/config")
     async def show(request: Http) -> dict[str, Any]:
@@ -113,19 +113,19 @@
     @litestar.get("/admin/config/status")
     async def status(request: Http) -> dict[str, Any]:
         access.authorize(daemon, request, documents.OperatorRole.READ)
-        return await _ask_keeper(daemon, "versions", {})
+        return await _query_keeper(daemon, "versions", {})
 
     @litestar.get("/admin/config/history")
     async def history(request: Http) -> list[dict[str, Any]]:
         access.authorize(daemon, request, documents.OperatorRole.READ)
-        return await _ask_keeper(daemon, "history", {})
+        return await _query_keeper(daemon, "history", {})
 
-    daemon.queries["versions"] = lambda arguments: _read_versions(daemon)
+    daemon.queries["versions"] = lambda arguments: _get_versions(daemon)
     return [show, apply, status, history]
 
 
 def build_fleet_handlers(daemon: daemons.Daemon) -> list[Any]:
-    """Handlers of status, time line, drains, cancels and keepers."""
+    """Build the handlers of status, time line, drains, cancellations and keepers."""
 
     @litestar.get("/admin/status")
     async def status(request: Http) -> dict[str, Any]:
@@ -143,7 +143,7 @@
         arguments = {
             "request_id": request.query_params.get("request_id", ""),
             "generation_id": request.query_params.get("generation_id", ""),
-            "since_ms": _read_number(request, "since_ms"),
+            "since_ms": _parse_number(request, "since_ms"),
         }
         return await queries.gather_timeline(daemon, arguments)
 
@@ -169,9 +169,9 @@
     async def cancel(request: Http) -> dict[str, Any]:
         actor = access.authorize(daemon, request, documents.OperatorRole.DRAIN)
         body = await _read_body(request, CancelBody)
-        answers, missing = await queries.query_all(daemon, "cancel", body.model_dump())
+        replies, missing = await queries.query_all(daemon, "cancel", body.model_dump())
         daemon.timeline.record("operator.cancel", generation_id=body.generation_id, operator=actor)
-        found = any(answer["found"] for answer in answers.values())
+        found = any(reply["found"] for reply in replies.values())
         return {"found": found, "missing": missing}
 
     @litestar.post("/admin/keepers", status_code=200)
@@ -187,7 +187,7 @@
     @litestar.get("/admin/placement")
     async def placement(request: Http) -> dict[str, Any]:
         access.authorize(daemon, request, documents.OperatorRole.READ)
-        return await _ask_keeper(daemon, "placement", {})
+        return await _query_keeper(daemon, "placement", {})
 
     @litestar.post("/admin/pin", status_code=200)
     async def pin(request: Http) -> dict[str, Any]:
@@ -200,7 +200,7 @@
 
 
 def build_handlers(daemon: daemons.Daemon) -> list[Any]:
-    """All handlers of the operators' interface, and the platform's probes."""
+    """Build all handlers of the operators' interface and of the platform's probes."""
 
     @litestar.get("/healthz")
     async def healthz() -> dict[str, str]:
--- a/tillerlane/operators/changes.py
+++ b/tillerlane/operators/changes.py
@@ -1,4 +1,4 @@
-"""Changes of configuration: checked here, agreed on by the keepers."""
+"""Changes of the configuration: validated here, committed by the keepers."""
 
 import asyncio
 import time
@@ -25,7 +25,7 @@
     "submit_evacuation",
 ]
 
-CATCH_UP_SECONDS = 2.0
+CATCH_UP_TIMEOUT_SECONDS = 2.0
 
 
 class ChangeBody(pydantic.BaseModel):
@@ -34,9 +34,9 @@
     model_config = pydantic.ConfigDict(extra="forbid")
 
     against: int
-    """Version that the change was made against."""
+    """Version that the change is based on."""
     change_id: str = pydantic.Field(min_length=8, max_length=100)
-    """The same when the change is sent again."""
+    """Idempotency key: the same if the change is sent again."""
     document: dict[str, Any]
     note: str = pydantic.Field("", max_length=500)
 
@@ -58,13 +58,13 @@
 
     data_hall: documents.Name
     evacuated: bool = True
-    """False takes the data hall back."""
+    """False ends the evacuation of the data hall."""
 
 
 def check_document(
     data: dict[str, Any], source: str
 ) -> result.Result[documents.Document, faults.Fault]:
-    """Check a document and every policy in it."""
+    """Validate a document and every policy in it."""
     checked = reader.validate(documents.Document, data, source)
     if isinstance(checked, result.Err):
         return checked
@@ -77,19 +77,19 @@
 
 
 async def _catch_up(store: stores.Store, version: int) -> None:
-    """Wait until this daemon has a version that the operator has seen elsewhere."""
+    """Wait until this daemon has a version that the operator has seen on another daemon."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + CATCH_UP_SECONDS
-    while store.version < version and loop.time() < until:
+    deadline = loop.time() + CATCH_UP_TIMEOUT_SECONDS
+    while store.version < version and loop.time() < deadline:
         await asyncio.sleep(0.02)
 
 
 def _build_change(
     store: stores.Store, body: ChangeBody, document: documents.Document, actor: str
 ) -> commands.Change:
-    """The command; against any other than the present version it carries no entities.
+    """Build the command; against a version that is not in force here it carries no entities.
 
-    It will then be answered as its first arrival was, or with the conflict.
+    The reply is then that of the first submission, or a version conflict.
     """
     puts: dict[stores.Key, str] = {}
     deletes: list[stores.Key] = []
@@ -107,41 +107,41 @@
 
 
 async def submit_change(daemon: daemons.Daemon, body: ChangeBody, actor: str) -> dict[str, Any]:
-    """Check a change and have the keepers agree on it.
+    """Validate a change and propose it to the keepers.
 
     Raises
     ------
     faults.FaultError
         ``invalid_config`` or ``invalid_policy`` before anything is proposed,
-        ``version_conflict`` if another change was first, ``no_quorum`` with ``ran: unknown`` if
-        the fate is not known.
+        ``version_conflict`` if another change was accepted first, ``no_quorum`` with
+        ``ran: unknown`` if the outcome is unknown.
     """
     checked = check_document(body.document, "document")
     if isinstance(checked, result.Err):
         raise faults.FaultError(checked.err_value)
     await _catch_up(daemon.store, body.against)
     command = _build_change(daemon.store, body, checked.ok_value, actor)
-    answer = await daemon.client.propose(command)
+    reply = await daemon.client.propose(command)
     daemon.timeline.record(
         "config.change",
         change_id=body.change_id,
         actor=actor,
-        accepted=answer["accepted"],
-        version=answer["version"],
-        resent=answer.get("resent", False),
+        accepted=reply["accepted"],
+        version=reply["version"],
+        resent=reply.get("resent", False),
     )
-    if not answer["accepted"]:
-        message = f"made against version {body.against}, version {answer['version']} is in force"
+    if not reply["accepted"]:
+        message = f"based on version {body.against}, but version {reply['version']} is in force"
         raise faults.FaultError(
             faults.new_fault(
-                kinds.ErrorKind.VERSION_CONFLICT, message, detail={"version": answer["version"]}
+                kinds.ErrorKind.VERSION_CONFLICT, message, detail={"version": reply["version"]}
             )
         )
-    return answer
+    return reply
 
 
 async def submit_drain(daemon: daemons.Daemon, body: DrainBody, actor: str) -> dict[str, Any]:
-    """Have a target leave, or come back.
+    """Drain a target, or end its drain.
 
     Raises
     ------
@@ -163,13 +163,13 @@
 async def submit_evacuation(
     daemon: daemons.Daemon, body: EvacuateBody, actor: str
 ) -> dict[str, Any]:
-    """Have nothing new go to the targets of a data hall, or take the hall back.
+    """Stop sending new requests to the targets of a data hall, or end that.
 
     Raises
     ------
     faults.FaultError
         ``not_found`` if no daemon is known to be in the data hall, ``no_quorum`` with ``ran:
-        unknown`` if the fate is not known.
+        unknown`` if the outcome is unknown.
     """
     known = {member.data_hall for member in daemon.members.list_all()}
     if body.evacuated and body.data_hall not in known:
@@ -179,15 +179,15 @@
     while True:
         at_ms = int(time.time() * 1000)
         command = commands.Evacuate(body.data_hall, body.evacuated, against, actor, at_ms)
-        answer = await daemon.client.propose(command)
+        reply = await daemon.client.propose(command)
         daemon.timeline.record(
             "evacuation.order",
             data_hall=body.data_hall,
             evacuated=body.evacuated,
             against=against,
             actor=actor,
-            answer=answer,
+            answer=reply,
         )
-        if answer["accepted"]:
-            return answer
-        against = answer["version"]
+        if reply["accepted"]:
+            return reply
+        against = reply["version"]
--- a/tillerlane/operators/queries.py
+++ b/tillerlane/operators/queries.py
@@ -1,4 +1,4 @@
-"""Queries that any daemon answers for another: its part of the time line, status, history."""
+"""Queries between daemons: events, status, history, demand, orders and placement."""
 
 import asyncio
 import time
@@ -14,21 +14,21 @@
 
 __all__ = ["gather_status", "gather_timeline", "query_all", "register_queries"]
 
-MAX_QUERIES_AT_ONCE = 64
+MAX_CONCURRENT_QUERIES = 64
 
 
 def register_queries(daemon: daemons.Daemon) -> None:
-    """Have the daemon answer the queries of this module."""
-    daemon.queries["timeline"] = lambda arguments: _read_timeline(daemon, arguments)
+    """Register the queries of this module with the daemon."""
+    daemon.queries["timeline"] = lambda arguments: _get_timeline(daemon, arguments)
     daemon.queries["status"] = lambda arguments: get_status(daemon)
     daemon.queries["cancel"] = lambda arguments: _cancel(daemon, arguments)
-    daemon.queries["demand"] = lambda arguments: _read_demand(daemon)
-    daemon.queries["order"] = lambda arguments: _obey(daemon, arguments)
-    daemon.queries["placement"] = lambda arguments: _read_placement(daemon)
-    daemon.queries["history"] = lambda arguments: _read_history(daemon)
+    daemon.queries["demand"] = lambda arguments: _get_demand(daemon)
+    daemon.queries["order"] = lambda arguments: _execute_order(daemon, arguments)
+    daemon.queries["placement"] = lambda arguments: _get_placement(daemon)
+    daemon.queries["history"] = lambda arguments: _get_history(daemon)
 
 
-def _read_timeline(daemon: daemons.Daemon, arguments: dict[str, Any]) -> list[dict[str, Any]]:
+def _get_timeline(daemon: daemons.Daemon, arguments: dict[str, Any]) -> list[dict[str, Any]]:
     events = timelines.select_events(
         daemon.timeline.read(),
         request_id=arguments.get("request_id", ""),
@@ -38,22 +38,22 @@
     return [event.to_json() for event in events]
 
 
-def _read_demand(daemon: daemons.Daemon) -> dict[str, Any]:
+def _get_demand(daemon: daemons.Daemon) -> dict[str, Any]:
     return {
         "targets": daemon.agent.read_demand() if daemon.agent else [],
         "unserved": daemon.callers.dispatcher.read_unserved() if daemon.callers else [],
     }
 
 
-async def _obey(daemon: daemons.Daemon, arguments: dict[str, Any]) -> dict[str, str]:
+async def _execute_order(daemon: daemons.Daemon, arguments: dict[str, Any]) -> dict[str, str]:
     if daemon.agent is None:
-        fault = faults.new_fault(kinds.ErrorKind.NOT_FOUND, "this daemon is no agent")
+        fault = faults.new_fault(kinds.ErrorKind.NOT_FOUND, "this daemon is not an agent")
         raise faults.FaultError(fault)
     return await daemon.agent.obey(arguments)
 
 
-async def _read_placement(daemon: daemons.Daemon) -> dict[str, Any]:
-    """Placement as the leader sees it; other keepers ask the leader."""
+async def _get_placement(daemon: daemons.Daemon) -> dict[str, Any]:
+    """Return the placement known to the leader; other keepers query the leader."""
     if daemon.keeper is None or daemon.placement is None:
         return {}
     own = daemon.keeper.replica
@@ -63,7 +63,7 @@
     return await daemon.query_daemon(leader, "placement", {})
 
 
-def _read_history(daemon: daemons.Daemon) -> list[dict[str, Any]]:
+def _get_history(daemon: daemons.Daemon) -> list[dict[str, Any]]:
     return list(daemon.keeper.replica.state_machine.history) if daemon.keeper else []
 
 
@@ -80,7 +80,7 @@
 
 
 def get_status(daemon: daemons.Daemon) -> dict[str, Any]:
-    """State of one daemon, as operators see it."""
+    """Return the state of one daemon as shown to operators."""
     own = daemon.settings
     status: dict[str, Any] = {
         "daemon": own.daemon,
@@ -91,18 +91,18 @@
         "ready": daemon.is_ready,
         "home_keeper": daemon.client.home_name if daemon.client.home else None,
         "uptime_s": round(time.time() - daemon.started_at, 1),
-        "links": _read_links(daemon),
+        "links": _get_link_counters(daemon),
     }
     if daemon.callers is not None:
         status["requests"] = daemon.callers.dispatcher.active
     if daemon.keeper is not None:
         status["keeper"] = daemon.keeper.get_status()
     if daemon.agent is not None:
-        status["targets"] = _read_targets(daemon)
+        status["targets"] = _get_targets(daemon)
     return status
 
 
-def _read_links(daemon: daemons.Daemon) -> dict[str, int]:
+def _get_link_counters(daemon: daemons.Daemon) -> dict[str, int]:
     found = daemon.node.get_links()
     return {
         "open": len(found),
@@ -113,7 +113,7 @@
     }
 
 
-def _read_targets(daemon: daemons.Daemon) -> list[dict[str, Any]]:
+def _get_targets(daemon: daemons.Daemon) -> list[dict[str, Any]]:
     assert daemon.agent is not None
     now = asyncio.get_running_loop().time()
     targets = []
@@ -144,13 +144,13 @@
 async def query_all(
     daemon: daemons.Daemon, subject: str, arguments: dict[str, Any]
 ) -> tuple[dict[str, Any], list[str]]:
-    """Ask every daemon at once; what each said, and who did not answer."""
-    gate = asyncio.Semaphore(MAX_QUERIES_AT_ONCE)
+    """Query all daemons concurrently; return the replies and the daemons that did not reply."""
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
     members = {member.daemon_id: member for member in daemon.members.list_all()}
     members.setdefault(daemon.settings.daemon, daemon.announcer.member)
 
-    async def ask_one(member: messages.Member) -> Any:
-        async with gate:
+    async def query_one(member: messages.Member) -> Any:
+        async with semaphore:
             if member.state == views.GONE:
                 return None
             try:
@@ -158,14 +158,14 @@
             except (links.LinkLost, OSError):
                 return None
 
-    answers = await asyncio.gather(*(ask_one(member) for member in members.values()))
-    said = dict(zip(members, answers, strict=True))
-    missing = sorted(name for name, answer in said.items() if answer is None)
-    return {name: answer for name, answer in said.items() if answer is not None}, missing
+    replies = await asyncio.gather(*(query_one(member) for member in members.values()))
+    reply_by_daemon = dict(zip(members, replies, strict=True))
+    missing = sorted(name for name, reply in reply_by_daemon.items() if reply is None)
+    return {name: reply for name, reply in reply_by_daemon.items() if reply is not None}, missing
 
 
 async def gather_timeline(daemon: daemons.Daemon, arguments: dict[str, Any]) -> dict[str, Any]:
-    """All daemons' events in causal order, and which daemons are missing."""
+    """Collect all daemons' events in causal order, and the names of missing daemons."""
     rings, missing = await query_all(daemon, "timeline", arguments)
     parsed = [[timelines.Event(**event) for event in ring] for ring in rings.values()]
     events = timelines.merge_events(parsed)
@@ -173,17 +173,17 @@
 
 
 async def gather_status(daemon: daemons.Daemon) -> dict[str, Any]:
-    """State of the whole fleet."""
-    answers, missing = await query_all(daemon, "status", {})
+    """Collect the state of the entire fleet."""
+    replies, missing = await query_all(daemon, "status", {})
     leaders = [
-        (answer["keeper"]["term"], answer["daemon"])
-        for answer in answers.values()
-        if answer.get("keeper", {}).get("has_lease")
+        (reply["keeper"]["term"], reply["daemon"])
+        for reply in replies.values()
+        if reply.get("keeper", {}).get("has_lease")
     ]
     return {
         "fleet": daemon.settings.fleet,
         "version": daemon.store.version,
         "leader": max(leaders)[1] if leaders else None,
-        "daemons": sorted(answers.values(), key=lambda answer: answer["daemon"]),
+        "daemons": sorted(replies.values(), key=lambda reply: reply["daemon"]),
         "missing": missing,
     }
