--- a/tillerlane/cli/client.py
+++ b/tillerlane/cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the command line, and the options that all sub-commands share."""
+"""HTTP client of the command line, and the options common to all sub-commands."""
 
 import argparse
 import dataclasses
@@ -19,11 +19,11 @@
 KEY_VARIABLE = "TILLERLANE_KEY"
 AUTHORITY_VARIABLE = "TILLERLANE_AUTHORITY"
 DEFAULT_SERVER = "http://127.0.0.1:8001"
-CALL_SECONDS = 15.0
+CALL_TIMEOUT_SECONDS = 15.0
 
 
 def add_options(parser: argparse.ArgumentParser) -> None:
-    """Add the options that every sub-command has."""
+    """Add the options common to all sub-commands."""
     parser.add_argument(
         "--server",
         default=os.environ.get(SERVER_VARIABLE, DEFAULT_SERVER),
@@ -42,9 +42,9 @@
     parser.add_argument("--json", action="store_true", help="print JSON")
 
 
-def _read_fault(answer: httpx.Response) -> faults.Fault:
+def _parse_fault(response: httpx.Response) -> faults.Fault:
     try:
-        error = answer.json()["error"]
+        error = response.json()["error"]
         return faults.Fault(
             kind=kinds.ErrorKind(error["type"]),
             message=error["message"],
@@ -53,48 +53,48 @@
             detail=error.get("detail", {}),
         )
     except (ValueError, KeyError, TypeError):
-        message = f"got status {answer.status_code} and no fault: {answer.text[:200]}"
+        message = f"status {response.status_code} without a fault: {response.text[:200]}"
         return faults.new_fault(kinds.ErrorKind.INTERNAL, message)
 
 
 @dataclasses.dataclass(slots=True)
 class Client:
-    """Calls one daemon's operators' interface."""
+    """Client of one daemon's operators' interface."""
 
     server: str
     http: httpx.Client
 
-    def call(self, method: str, path: str, **extra: Any) -> Any:
-        """Call and give the JSON answer.
+    def call(self, method: str, path: str, **options: Any) -> Any:
+        """Send a request and return the JSON of the response.
 
         Raises
         ------
         faults.FaultError
-            With the daemon's fault, or ``unreachable``.
+            The daemon's fault, or ``unreachable``.
         """
         try:
-            answer = self.http.request(method, path, **extra)
+            response = self.http.request(method, path, **options)
         except httpx.HTTPError as error:
             ran = kinds.Ran.NO if isinstance(error, httpx.ConnectError) else kinds.Ran.UNKNOWN
             message = f"{self.server}: {error}"
             raise faults.FaultError(
                 faults.new_fault(kinds.ErrorKind.UNREACHABLE, message, ran=ran)
             ) from error
-        if answer.status_code >= 400:
-            raise faults.FaultError(_read_fault(answer))
-        return answer.json()
+        if response.status_code >= 400:
+            raise faults.FaultError(_parse_fault(response))
+        return response.json()
 
     def get(self, path: str, **parameters: Any) -> Any:
-        """Read."""
+        """Send a GET request."""
         return self.call("GET", path, params=parameters)
 
     def post(self, path: str, body: dict[str, Any]) -> Any:
-        """Change."""
+        """Send a POST request with a JSON body."""
         return self.call("POST", path, json=body)
 
 
 def connect(arguments: argparse.Namespace) -> Client:
-    """Client by the shared options."""
+    """Build the client from the common options."""
     headers = {"authorization": f"Bearer {arguments.key}"} if arguments.key else {}
     verify: ssl.SSLContext | bool = True
     if arguments.authority:
@@ -102,7 +102,7 @@
     http = httpx.Client(
         base_url=arguments.server,
         headers=headers,
-        timeout=CALL_SECONDS,
+        timeout=CALL_TIMEOUT_SECONDS,
         verify=verify,
         trust_env=False,
     )
@@ -110,13 +110,13 @@
 
 
 def print_json(value: Any) -> None:
-    """Print JSON."""
+    """Print a value as indented JSON."""
     json.dump(value, sys.stdout, indent=2, ensure_ascii=False)
     print()
 
 
 def print_table(titles: list[str], rows: list[list[Any]]) -> None:
-    """Print rows in columns."""
+    """Print rows in aligned columns."""
     cells = [[str(cell) for cell in row] for row in [titles, *rows]]
     widths = [max(len(row[column]) for row in cells) for column in range(len(titles))]
     for row in cells:
--- a/tillerlane/cli/configs.py
+++ b/tillerlane/cli/configs.py
@@ -1,4 +1,4 @@
-"""``tillerlane config``, and the sections of the document as nouns of their own."""
+"""``tillerlane config``, and one noun for each section of the document."""
 
 import argparse
 import difflib
@@ -18,12 +18,12 @@
 
 __all__ = ["add_config", "add_section", "apply_document", "read_document_file"]
 
-POLL_SECONDS = 0.1
-RESEND_TRIES = 5
+POLL_INTERVAL_SECONDS = 0.1
+MAX_ATTEMPTS = 5
 
 
 def read_document_file(path: str) -> dict[str, Any]:
-    """A document from a file, checked as the daemon will check it.
+    """Read a document from a file and validate it as the daemon does.
 
     Raises
     ------
@@ -42,12 +42,12 @@
 def apply_document(
     client: clients.Client, document: dict[str, Any], against: int, note: str, change_id: str = ""
 ) -> dict[str, Any]:
-    """Submit a change; a lost answer is asked for again under the same change id.
+    """Submit a change, and resubmit it under the same change id if the response is lost.
 
     Raises
     ------
     faults.FaultError
-        With the daemon's answer.
+        The daemon's fault.
     """
     body = {
         "against": against,
@@ -55,20 +55,20 @@
         "document": document,
         "note": note,
     }
-    for number in range(RESEND_TRIES):
+    for attempt in range(MAX_ATTEMPTS):
         try:
             return client.post("/admin/config", body)
         except faults.FaultError as error:
             is_lost = error.fault.ran is kinds.Ran.UNKNOWN
-            if not is_lost or number == RESEND_TRIES - 1:
+            if not is_lost or attempt == MAX_ATTEMPTS - 1:
                 raise
             time.sleep(0.5)
     raise AssertionError("unreachable")
 
 
 def wait_in_force(client: clients.Client, version: int, timeout: float) -> tuple[float, list[str]]:
-    """Wait until every live daemon has a version; seconds it took, and who still lacks it."""
-    began = time.monotonic()
+    """Wait until every live daemon has a version; return the seconds and the daemons behind."""
+    started_at = time.monotonic()
     while True:
         status = client.get("/admin/config/status")
         behind = [
@@ -76,10 +76,10 @@
             for name, item in status["daemons"].items()
             if item["state"] == "live" and item["version"] < version
         ]
-        took = time.monotonic() - began
-        if not behind or took > timeout:
-            return took, sorted(behind)
-        time.sleep(POLL_SECONDS)
+        elapsed = time.monotonic() - started_at
+        if not behind or elapsed > timeout:
+            return elapsed, sorted(behind)
+        time.sleep(POLL_INTERVAL_SECONDS)
 
 
 def run_apply(arguments: argparse.Namespace) -> int:
@@ -89,54 +89,56 @@
     against = arguments.against
     if against is None:
         against = client.get("/admin/config")["version"]
-    answer = apply_document(client, document, against, arguments.note, arguments.change_id)
-    answer = {key: answer[key] for key in ("accepted", "version") if key in answer}
+    response = apply_document(client, document, against, arguments.note, arguments.change_id)
+    response = {key: response[key] for key in ("accepted", "version") if key in response}
     if arguments.wait:
-        took, behind = wait_in_force(client, answer["version"], arguments.timeout)
-        answer |= {"in_force_after_s": round(took, 3), "waiting_for": behind}
+        elapsed, behind = wait_in_force(client, response["version"], arguments.timeout)
+        response |= {"in_force_after_s": round(elapsed, 3), "waiting_for": behind}
     if arguments.json:
-        clients.print_json(answer)
+        clients.print_json(response)
     else:
-        print(f"accepted as version {answer['version']}")
-        if arguments.wait and not answer["waiting_for"]:
-            print(f"in force on every live daemon after {answer['in_force_after_s']} s")
+        print(f"accepted as version {response['version']}")
+        if arguments.wait and not response["waiting_for"]:
+            print(f"in force on every live daemon after {response['in_force_after_s']} s")
         elif arguments.wait:
-            print(f"still waiting for {', '.join(answer['waiting_for'])}")
-    return 1 if arguments.wait and answer["waiting_for"] else 0
+            print(f"still waiting for {', '.join(response['waiting_for'])}")
+    return 1 if arguments.wait and response["waiting_for"] else 0
 
 
 def run_check(arguments: argparse.Namespace) -> int:
     """``config check``."""
     read_document_file(arguments.file)
-    answer = {"file": arguments.file, "valid": True}
-    clients.print_json(answer) if arguments.json else print(f"{arguments.file}: valid")
+    response = {"file": arguments.file, "valid": True}
+    clients.print_json(response) if arguments.json else print(f"{arguments.file}: valid")
     return 0
 
 
 def run_show(arguments: argparse.Namespace) -> int:
     """``config show``."""
-    answer = clients.connect(arguments).get("/admin/config")
+    response = clients.connect(arguments).get("/admin/config")
     if arguments.json:
-        clients.print_json(answer)
+        clients.print_json(response)
     else:
-        print(f"// version {answer['version']}")
-        clients.print_json(answer["document"])
+        print(f"// version {response['version']}")
+        clients.print_json(response["document"])
     return 0
 
 
 def run_diff(arguments: argparse.Namespace) -> int:
-    """``config diff``: what a file would change."""
-    answer = clients.connect(arguments).get("/admin/config")
+    """``config diff``: the changes that a file would make."""
+    response = clients.connect(arguments).get("/admin/config")
     checked = changes.check_document(read_document_file(arguments.file), arguments.file)
-    wanted = checked.unwrap().model_dump(mode="json", exclude_defaults=True)
-    wanted.setdefault("fleet", {})
-    old = json.dumps(answer["document"], indent=2, sort_keys=True).splitlines()
-    new = json.dumps(wanted, indent=2, sort_keys=True).splitlines()
+    desired = checked.unwrap().model_dump(mode="json", exclude_defaults=True)
+    desired.setdefault("fleet", {})
+    old = json.dumps(response["document"], indent=2, sort_keys=True).splitlines()
+    new = json.dumps(desired, indent=2, sort_keys=True).splitlines()
     lines = list(
-        difflib.unified_diff(old, new, f"version {answer['version']}", arguments.file, lineterm="")
+        difflib.unified_diff(
+            old, new, f"version {response['version']}", arguments.file, lineterm=""
+        )
     )
     if arguments.json:
-        clients.print_json({"version": answer["version"], "diff": lines})
+        clients.print_json({"version": response["version"], "diff": lines})
     else:
         print("\n".join(lines) if lines else "no difference")
     return 0
@@ -163,14 +165,14 @@
 
 
 def run_status(arguments: argparse.Namespace) -> int:
-    """``config status``: which daemon has which version in force."""
-    answer = clients.connect(arguments).get("/admin/config/status")
+    """``config status``: the version in force on each daemon."""
+    response = clients.connect(arguments).get("/admin/config/status")
     if arguments.json:
-        clients.print_json(answer)
+        clients.print_json(response)
         return 0
-    print(f"version {answer['version']}")
+    print(f"version {response['version']}")
     rows = [
-        [name, item["version"], item["state"]] for name, item in sorted(answer["daemons"].items())
+        [name, item["version"], item["state"]] for name, item in sorted(response["daemons"].items())
     ]
     clients.print_table(["DAEMON", "VERSION", "STATE"], rows)
     return 0
@@ -181,30 +183,34 @@
     noun = nouns.add_parser("config", help="the fleet's configuration")
     verbs = noun.add_subparsers(required=True, metavar="VERB")
 
-    def add(name: str, run: Callable[[argparse.Namespace], int], text: str) -> Any:
+    def add_verb(name: str, run: Callable[[argparse.Namespace], int], text: str) -> Any:
         verb = verbs.add_parser(name, help=text)
         clients.add_options(verb)
         verb.set_defaults(run=run)
         return verb
 
-    apply = add("apply", run_apply, "submit a whole configuration")
+    apply = add_verb("apply", run_apply, "submit a complete configuration")
     apply.add_argument("file", metavar="FILE")
-    apply.add_argument("--against", type=int, help="version that it was made against")
-    apply.add_argument("--change-id", default="", help="to send a change again")
-    apply.add_argument("--note", default="", help="for the history")
+    apply.add_argument("--against", type=int, help="version that it is based on")
+    apply.add_argument("--change-id", default="", help="id for resubmitting a change")
+    apply.add_argument("--note", default="", help="note for the history")
     apply.add_argument("--wait", action="store_true", help="wait until it is in force everywhere")
-    apply.add_argument("--timeout", type=float, default=14.0, help="seconds to wait at most")
-    add("check", run_check, "check a file without a daemon").add_argument("file", metavar="FILE")
-    add("show", run_show, "the configuration in force")
-    add("diff", run_diff, "what a file would change").add_argument("file", metavar="FILE")
-    add("history", run_history, "accepted changes")
-    add("status", run_status, "which daemon has which version")
+    apply.add_argument("--timeout", type=float, default=14.0, help="maximum seconds to wait")
+    add_verb("check", run_check, "check a file without a daemon").add_argument(
+        "file", metavar="FILE"
+    )
+    add_verb("show", run_show, "the configuration in force")
+    add_verb("diff", run_diff, "changes that a file would make").add_argument(
+        "file", metavar="FILE"
+    )
+    add_verb("history", run_history, "accepted changes")
+    add_verb("status", run_status, "version in force on each daemon")
 
 
 # Sections of the document
 
 
-def _find(document: dict[str, Any], section: str, name: str) -> Any:
+def _find_entity(document: dict[str, Any], section: str, name: str) -> Any:
     found = document.get(section, {}).get(name)
     if found is None:
         known = sorted(document.get(section, {}))
@@ -213,35 +219,35 @@
     return found
 
 
-def _edit(
+def _edit_section(
     arguments: argparse.Namespace, section: str, change: Callable[[dict[str, Any]], None], note: str
 ) -> int:
-    """Change one section against the version just read."""
+    """Edit one section, based on the version in force."""
     client = clients.connect(arguments)
     current = client.get("/admin/config")
     document = current["document"]
     change(document.setdefault(section, {}))
-    answer = apply_document(client, document, current["version"], note)
+    response = apply_document(client, document, current["version"], note)
     if arguments.json:
-        clients.print_json({"accepted": True, "version": answer["version"]})
+        clients.print_json({"accepted": True, "version": response["version"]})
     else:
-        print(f"accepted as version {answer['version']}")
+        print(f"accepted as version {response['version']}")
     return 0
 
 
 def add_section(nouns: Any, name: str, section: str) -> Any:
-    """Add a noun for a section: list, show, put and delete; gives its verbs for more."""
+    """Add a noun for a section with list, show, put and delete; return its verbs."""
     noun = nouns.add_parser(name, help=f"the section {section!r} of the configuration")
     verbs = noun.add_subparsers(required=True, metavar="VERB")
 
     def run_list(arguments: argparse.Namespace) -> int:
-        items = clients.connect(arguments).get("/admin/config")["document"].get(section, {})
-        clients.print_json(items) if arguments.json else print("\n".join(sorted(items)))
+        entities = clients.connect(arguments).get("/admin/config")["document"].get(section, {})
+        clients.print_json(entities) if arguments.json else print("\n".join(sorted(entities)))
         return 0
 
     def run_show(arguments: argparse.Namespace) -> int:
         document = clients.connect(arguments).get("/admin/config")["document"]
-        clients.print_json(_find(document, section, arguments.name))
+        clients.print_json(_find_entity(document, section, arguments.name))
         return 0
 
     def run_put(arguments: argparse.Namespace) -> int:
@@ -251,18 +257,18 @@
         checked = reader.validate(documents.KINDS[section], data.ok_value, arguments.file)
         if isinstance(checked, result.Err):
             raise faults.FaultError(checked.err_value)
-        return _edit(
+        return _edit_section(
             arguments,
             section,
-            lambda items: items.update({arguments.name: data.ok_value}),
+            lambda entities: entities.update({arguments.name: data.ok_value}),
             f"put {name} {arguments.name}",
         )
 
     def run_delete(arguments: argparse.Namespace) -> int:
-        return _edit(
+        return _edit_section(
             arguments,
             section,
-            lambda items: items.pop(arguments.name, None),
+            lambda entities: entities.pop(arguments.name, None),
             f"delete {name} {arguments.name}",
         )
 
--- a/tillerlane/cli/fleets.py
+++ b/tillerlane/cli/fleets.py
@@ -1,4 +1,4 @@
-"""``tillerlane status | runner | request | keeper | timeline``."""
+"""``tillerlane status | runner | evacuate | request | keeper | placement | timeline``."""
 
 import argparse
 import re
@@ -24,22 +24,24 @@
     "add_timeline",
 ]
 
-_SPAN = re.compile(r"^(\d+(?:\.\d+)?)(ms|s|m|h)?$")
+_DURATION = re.compile(r"^(\d+(?:\.\d+)?)(ms|s|m|h)?$")
 _UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, None: 1.0}
-WATCH_SECONDS = 1.0
+WATCH_INTERVAL_SECONDS = 1.0
 
 
 def parse_duration(text: str) -> float:
-    """Seconds of a span such as ``30s``.
+    """Parse a duration such as ``30s`` to seconds.
 
     Examples
     --------
     >>> parse_duration("2m")
     120.0
     """
-    found = _SPAN.match(text)
+    found = _DURATION.match(text)
     if not found:
-        raise argparse.ArgumentTypeError(f"got {text!r}, expected such as 30s, 500ms, 2m")
+        raise argparse.ArgumentTypeError(
+            f"got {text!r}, expected a duration such as 30s, 500ms, 2m"
+        )
     return float(found.group(1)) * _UNITS[found.group(2)]
 
 
@@ -47,7 +49,7 @@
 
 
 def print_status(status: dict[str, Any]) -> None:
-    """Print the fleet at a glance."""
+    """Print an overview of the fleet."""
     print(
         f"fleet {status['fleet']}  version {status['version']}  leader {status['leader'] or 'none'}"
     )
@@ -108,12 +110,12 @@
             print_status(status)
         if not arguments.watch:
             return 0
-        time.sleep(WATCH_SECONDS)
+        time.sleep(WATCH_INTERVAL_SECONDS)
 
 
 def add_status(nouns: Any) -> None:
     """Add ``status``."""
-    noun = nouns.add_parser("status", help="the fleet at a glance")
+    noun = nouns.add_parser("status", help="overview of the fleet")
     clients.add_options(noun)
     noun.add_argument("--watch", action="store_true", help="refresh until interrupted")
     noun.set_defaults(run=run_status)
@@ -129,12 +131,12 @@
         "name": arguments.name,
         "leaving": arguments.leaving,
     }
-    answer = clients.connect(arguments).post("/admin/drain", body)
+    response = clients.connect(arguments).post("/admin/drain", body)
     if arguments.json:
-        clients.print_json(answer)
+        clients.print_json(response)
     else:
         verb = "takes no new work" if arguments.leaving else "takes work again"
-        print(f"{arguments.name} {verb}, as of version {answer['version']}")
+        print(f"{arguments.name} {verb}, as of version {response['version']}")
     return 0
 
 
@@ -184,28 +186,28 @@
 def run_evacuate(arguments: argparse.Namespace) -> int:
     """``evacuate start`` and ``evacuate end``."""
     body = {"data_hall": arguments.hall, "evacuated": arguments.evacuated}
-    answer = clients.connect(arguments).post("/admin/evacuate", body)
+    response = clients.connect(arguments).post("/admin/evacuate", body)
     if arguments.json:
-        clients.print_json(answer)
+        clients.print_json(response)
     else:
         verb = "get nothing new" if arguments.evacuated else "take work again"
-        print(f"targets of {arguments.hall} {verb}, as of version {answer['version']}")
+        print(f"targets of {arguments.hall} {verb}, as of version {response['version']}")
     return 0
 
 
 def run_evacuations(arguments: argparse.Namespace) -> int:
     """``evacuate list``."""
-    answer = clients.connect(arguments).get("/admin/evacuations")
+    response = clients.connect(arguments).get("/admin/evacuations")
     if arguments.json:
-        clients.print_json(answer)
+        clients.print_json(response)
     else:
-        clients.print_table(["HALL"], [[name] for name in answer["data_halls"]])
+        clients.print_table(["HALL"], [[name] for name in response["data_halls"]])
     return 0
 
 
 def add_evacuate(nouns: Any) -> None:
     """Add ``evacuate``."""
-    verbs = nouns.add_parser("evacuate", help="data halls without new work").add_subparsers(
+    verbs = nouns.add_parser("evacuate", help="data halls that get no new requests").add_subparsers(
         required=True, metavar="VERB"
     )
     listing = verbs.add_parser("list")
@@ -223,18 +225,18 @@
 
 def run_request_show(arguments: argparse.Namespace) -> int:
     """``request show``."""
-    answer = clients.connect(arguments).get("/admin/timeline", request_id=arguments.id)
-    clients.print_json(answer) if arguments.json else print_events(answer)
-    return 0 if answer["events"] else kinds.RESPONSES[kinds.ErrorKind.NOT_FOUND].exit_code
+    response = clients.connect(arguments).get("/admin/timeline", request_id=arguments.id)
+    clients.print_json(response) if arguments.json else print_events(response)
+    return 0 if response["events"] else kinds.RESPONSES[kinds.ErrorKind.NOT_FOUND].exit_code
 
 
 def run_cancel(arguments: argparse.Namespace) -> int:
     """``request cancel``."""
-    answer = clients.connect(arguments).post("/admin/cancel", {"generation_id": arguments.id})
-    if not answer["found"]:
+    response = clients.connect(arguments).post("/admin/cancel", {"generation_id": arguments.id})
+    if not response["found"]:
         message = f"no agent holds generation {arguments.id!r}"
         raise faults.FaultError(faults.new_fault(kinds.ErrorKind.NOT_FOUND, message))
-    clients.print_json(answer) if arguments.json else print(f"{arguments.id} is cancelled")
+    clients.print_json(response) if arguments.json else print(f"{arguments.id} is cancelled")
     return 0
 
 
@@ -243,9 +245,9 @@
     verbs = nouns.add_parser("request", help="single requests").add_subparsers(
         required=True, metavar="VERB"
     )
-    show = verbs.add_parser("show", help="what happened to a request")
+    show = verbs.add_parser("show", help="events of a request")
     show.add_argument("id", metavar="REQUEST")
-    cancel = verbs.add_parser("cancel", help="end a generation early")
+    cancel = verbs.add_parser("cancel", help="cancel a generation")
     cancel.add_argument("id", metavar="GENERATION")
     for verb, run in ((show, run_request_show), (cancel, run_cancel)):
         clients.add_options(verb)
@@ -286,9 +288,9 @@
 def run_change_keepers(arguments: argparse.Namespace) -> int:
     """``keeper add`` and ``keeper remove``."""
     body = {"name": arguments.name, "address": getattr(arguments, "address", None)}
-    answer = clients.connect(arguments).post("/admin/keepers", body)
+    response = clients.connect(arguments).post("/admin/keepers", body)
     if arguments.json:
-        clients.print_json(answer)
+        clients.print_json(response)
     elif body["address"]:
         print(f"{arguments.name} learns and will vote once it has caught up")
     else:
@@ -303,11 +305,11 @@
     )
     listing = verbs.add_parser("list")
     listing.set_defaults(run=run_keepers)
-    add = verbs.add_parser("add", help="bring a keeper up to date and give it a vote")
+    add = verbs.add_parser("add", help="add a keeper, which votes once it has caught up")
     add.add_argument("name", metavar="NAME")
     add.add_argument("address", metavar="IP:PORT")
     add.set_defaults(run=run_change_keepers)
-    remove = verbs.add_parser("remove", help="take a keeper's vote away")
+    remove = verbs.add_parser("remove", help="remove a keeper from the voters")
     remove.add_argument("name", metavar="NAME")
     remove.set_defaults(run=run_change_keepers)
     for verb in (listing, add, remove):
@@ -348,9 +350,9 @@
 def run_pin(arguments: argparse.Namespace) -> int:
     """``placement pin`` and ``placement unpin``."""
     body = {"target": arguments.name, "model": arguments.model, "pinned": arguments.pinned}
-    answer = clients.connect(arguments).post("/admin/pin", body)
+    response = clients.connect(arguments).post("/admin/pin", body)
     verb = "stays on" if arguments.pinned else "may leave"
-    clients.print_json(answer) if arguments.json else print(
+    clients.print_json(response) if arguments.json else print(
         f"{arguments.model} {verb} {arguments.name}"
     )
     return 0
@@ -358,7 +360,7 @@
 
 def add_placement(nouns: Any) -> None:
     """Add ``placement``."""
-    verbs = nouns.add_parser("placement", help="which runner has which model").add_subparsers(
+    verbs = nouns.add_parser("placement", help="models loaded on each runner").add_subparsers(
         required=True, metavar="VERB"
     )
     for name in ("show", "plan"):
@@ -376,9 +378,9 @@
 # Time line
 
 
-def print_events(answer: dict[str, Any]) -> None:
-    """Print events as lines: time, daemon, name, ids, facts."""
-    for event in answer["events"]:
+def print_events(response: dict[str, Any]) -> None:
+    """Print events as lines: time, daemon, name, ids, fields."""
+    for event in response["events"]:
         stamp = clocks.get_milliseconds(event["stamp"])
         at = time.strftime("%H:%M:%S", time.gmtime(stamp / 1000)) + f".{stamp % 1000:03d}"
         fields = " ".join(
@@ -388,23 +390,23 @@
         )
         ids = " ".join(item for item in (event["request_id"], event["generation_id"]) if item)
         print(f"{at}  {event['daemon']:<14} {event['name']:<20} {ids} {fields}".rstrip())
-    if answer["missing"]:
-        print(f"missing: {', '.join(answer['missing'])} did not answer")
+    if response["missing"]:
+        print(f"missing: {', '.join(response['missing'])} did not answer")
 
 
 def run_timeline(arguments: argparse.Namespace) -> int:
     """``timeline``."""
-    answer = _read_logs(arguments) if arguments.log else _ask_timeline(arguments)
+    response = _read_logs(arguments) if arguments.log else _query_timeline(arguments)
     if arguments.trace:
-        drawing.write_trace(answer["events"], arguments.trace)
+        drawing.write_trace(response["events"], arguments.trace)
     if arguments.picture:
-        drawing.write_picture(answer["events"], arguments.picture)
-    clients.print_json(answer) if arguments.json else print_events(answer)
+        drawing.write_picture(response["events"], arguments.picture)
+    clients.print_json(response) if arguments.json else print_events(response)
     return 0
 
 
 def _read_logs(arguments: argparse.Namespace) -> dict[str, Any]:
-    """Events of log files in the form of a fleet's answer."""
+    """Read events from log files, in the form of the fleet's response."""
     found = loglines.read_files(arguments.log)
     since_ms = int((time.time() - arguments.last) * 1000) if arguments.last else 0
     events = timelines.select_events(
@@ -419,7 +421,7 @@
     return {"events": [event.to_json() for event in events], "missing": []}
 
 
-def _ask_timeline(arguments: argparse.Namespace) -> dict[str, Any]:
+def _query_timeline(arguments: argparse.Namespace) -> dict[str, Any]:
     parameters: dict[str, Any] = {}
     if arguments.request:
         parameters["request_id"] = arguments.request
@@ -438,8 +440,11 @@
     noun.add_argument("--generation", metavar="ID")
     noun.add_argument("--last", type=parse_duration, metavar="SPAN", help="such as 30s or 2m")
     noun.add_argument(
-        "--log", nargs="+", metavar="FILE", help="read log lines in place of the fleet; - is stdin"
+        "--log",
+        nargs="+",
+        metavar="FILE",
+        help="read log files instead of querying the fleet; - is stdin",
     )
-    noun.add_argument("--trace", metavar="FILE", help="write a trace that trace viewers open")
+    noun.add_argument("--trace", metavar="FILE", help="write a trace for trace viewers")
     noun.add_argument("--picture", metavar="FILE", help="write an SVG picture")
     noun.set_defaults(run=run_timeline)
--- a/tillerlane/cli/loglines.py
+++ b/tillerlane/cli/loglines.py
@@ -1,4 +1,4 @@
-"""Events read back from the log lines of processes: files, or standard input."""
+"""Parses events from log lines of processes, in files or from standard input."""
 
 import dataclasses
 import json
@@ -10,24 +10,24 @@
 
 __all__ = ["LogEvents", "parse_line", "read_files"]
 
-_OWN = frozenset(
+_COMMON_FIELDS = frozenset(
     ("daemon", "stamp", "event", "request_id", "generation_id", "level", "timestamp", "left_out")
 )
-"""Fields of a line that are no facts of the event itself."""
+"""Fields common to all lines, which are not fields of the event itself."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogEvents:
-    """What was found in logs.
+    """Events parsed from logs.
 
     Attributes
     ----------
     events : list of timelines.Event
         In causal order, over all files.
     other_lines : int
-        Lines that hold no event.
+        Number of lines without an event.
     left_out : int
-        Events that the processes left out to bound their logs.
+        Number of events that the processes omitted to bound their logs.
     """
 
     events: list[timelines.Event]
@@ -35,28 +35,28 @@
     left_out: int
 
 
-def _parse(line: str) -> dict[str, Any] | None:
-    """The JSON object of a line, behind whatever a collector put before it."""
-    begin = line.find("{")
-    if begin < 0:
+def _parse_object(line: str) -> dict[str, Any] | None:
+    """Parse the JSON object of a line, skipping any prefix added by a log collector."""
+    start = line.find("{")
+    if start < 0:
         return None
     try:
-        values = json.loads(line[begin:])
+        values = json.loads(line[start:])
     except ValueError:
         return None
     return values if isinstance(values, dict) else None
 
 
 def parse_line(line: str) -> timelines.Event | None:
-    """The event that a line tells of; None if it tells of none."""
-    values = _parse(line)
+    """Parse the event of a line; return None if there is none."""
+    values = _parse_object(line)
     return _build_event(values) if values is not None else None
 
 
 def _build_event(values: dict[str, Any]) -> timelines.Event | None:
     if not isinstance(values.get("stamp"), int) or "event" not in values:
         return None
-    fields = {name: value for name, value in values.items() if name not in _OWN}
+    fields = {name: value for name, value in values.items() if name not in _COMMON_FIELDS}
     return timelines.Event(
         stamp=values["stamp"],
         daemon=str(values.get("daemon", "")),
@@ -68,26 +68,26 @@
 
 
 def read_files(paths: Iterable[str]) -> LogEvents:
-    """All events of files of log lines; ``-`` is standard input.
+    """Read all events of log files; ``-`` is standard input.
 
     Raises
     ------
     OSError
         If a file cannot be read.
     """
-    found: list[timelines.Event] = []
+    events: list[timelines.Event] = []
     other_lines = left_out = 0
     for path in paths:
         for line in _read_lines(path):
-            values = _parse(line) or {}
+            values = _parse_object(line) or {}
             event = _build_event(values)
             if event is None:
                 other_lines += 1
                 continue
-            found.append(event)
+            events.append(event)
             left_out += int(values.get("left_out") or 0)
-    found.sort(key=lambda event: (event.stamp, event.daemon))
-    return LogEvents(found, other_lines, left_out)
+    events.sort(key=lambda event: (event.stamp, event.daemon))
+    return LogEvents(events, other_lines, left_out)
 
 
 def _read_lines(path: str) -> Iterable[str]:
--- a/tillerlane/cli/main.py
+++ b/tillerlane/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of ``tillerlane``; the exit status tells the kind of a fault."""
+"""Entry point of ``tillerlane``; the exit status gives the kind of a fault."""
 
 import argparse
 import sys
@@ -12,7 +12,7 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """All nouns and verbs."""
+    """Build the parser with all nouns and verbs."""
     parser = argparse.ArgumentParser(prog="tillerlane", description="Operate a tillerlane fleet.")
     parser.add_argument("--version", action="version", version=__version__)
     nouns = parser.add_subparsers(required=True, metavar="NOUN")
--- a/tillerlane/cli/policies.py
+++ b/tillerlane/cli/policies.py
@@ -23,7 +23,7 @@
     return checked.ok_value
 
 
-def _compile(path: str) -> programs.Program:
+def _compile_policy(path: str) -> programs.Program:
     checked = programs.check_policy(path, _read_policy(path))
     if isinstance(checked, result.Err):
         raise faults.FaultError(checked.err_value)
@@ -31,8 +31,8 @@
 
 
 def run_check(arguments: argparse.Namespace) -> int:
-    """``policy check``: parse, facts, types, bounds and the examples it carries."""
-    program = _compile(arguments.file)
+    """``policy check``: check syntax, facts, types, bounds and the policy's examples."""
+    program = _compile_policy(arguments.file)
     names = sorted(program.expressions)
     if arguments.json:
         clients.print_json({"file": arguments.file, "valid": True, "expressions": names})
@@ -42,20 +42,20 @@
 
 
 def run_try(arguments: argparse.Namespace) -> int:
-    """``policy try``: the value of each expression for some facts."""
-    program = _compile(arguments.file)
+    """``policy try``: evaluate each expression on given facts."""
+    program = _compile_policy(arguments.file)
     data = reader.read_file(arguments.facts)
     if isinstance(data, result.Err):
         raise faults.FaultError(data.err_value)
-    given = programs.convert_facts(data.ok_value)
+    facts = programs.convert_facts(data.ok_value)
     values: dict[str, Any] = {}
     for name, compiled in program.expressions.items():
-        missing = [fact for fact in compiled.fact_names if fact not in given]
+        missing = [fact for fact in compiled.fact_names if fact not in facts]
         if missing:
             values[name] = {"missing": missing}
             continue
         try:
-            values[name] = {"value": compiled.program.execute(given)}
+            values[name] = {"value": compiled.program.execute(facts)}
         except Exception as error:
             message = f"{name}: {error}"
             fault = faults.new_fault(kinds.ErrorKind.INVALID_POLICY, message)
@@ -72,10 +72,10 @@
 
 
 def run_explain(arguments: argparse.Namespace) -> int:
-    """``policy explain``: which expression with which facts decided on a request."""
-    answer = clients.connect(arguments).get("/admin/timeline", request_id=arguments.request)
+    """``policy explain``: show the expressions and facts that decided on a request."""
+    response = clients.connect(arguments).get("/admin/timeline", request_id=arguments.request)
     decisions = []
-    for event in answer["events"]:
+    for event in response["events"]:
         fields = event["fields"]
         explained = {
             name: value
@@ -98,40 +98,40 @@
     for decision in decisions:
         print(f"{decision['event']} on {decision['daemon']} ({decision['generation']})")
         for name, item in decision["expressions"].items():
-            given = ", ".join(f"{key}={value}" for key, value in item.get("facts", {}).items())
-            print(f"  {name} = {item['value']}" + (f"  from {given}" if given else ""))
+            facts = ", ".join(f"{key}={value}" for key, value in item.get("facts", {}).items())
+            print(f"  {name} = {item['value']}" + (f"  from {facts}" if facts else ""))
     if not decisions:
         print(f"no decision on {arguments.request} is remembered")
     return 0
 
 
 def add_policy_verbs(verbs: Any) -> None:
-    """Add the verbs that only policies have."""
+    """Add the verbs specific to policies."""
     check = verbs.add_parser("check", help="check a program without a daemon")
     check.add_argument("file", metavar="FILE")
-    attempt = verbs.add_parser("try", help="evaluate a program on facts")
-    attempt.add_argument("file", metavar="FILE")
-    attempt.add_argument("--facts", required=True, metavar="FILE")
-    explain = verbs.add_parser("explain", help="why a request was treated as it was")
+    evaluate = verbs.add_parser("try", help="evaluate a program on facts")
+    evaluate.add_argument("file", metavar="FILE")
+    evaluate.add_argument("--facts", required=True, metavar="FILE")
+    explain = verbs.add_parser("explain", help="show the decisions on a request")
     explain.add_argument("--request", required=True, metavar="ID")
-    for verb, run in ((check, run_check), (attempt, run_try), (explain, run_explain)):
+    for verb, run in ((check, run_check), (evaluate, run_try), (explain, run_explain)):
         clients.add_options(verb)
         verb.set_defaults(run=run)
 
 
 def run_key(arguments: argparse.Namespace) -> int:
-    """``workspace key``: a new key and the hash that the configuration stores."""
+    """``workspace key``: generate a key and the hash to store in the configuration."""
     key = documents.new_key()
-    answer = {"key": key, "hash": documents.hash_key(key)}
+    response = {"key": key, "hash": documents.hash_key(key)}
     if arguments.json:
-        clients.print_json(answer)
+        clients.print_json(response)
     else:
-        print(f"key   {answer['key']}\nhash  {answer['hash']}")
+        print(f"key   {response['key']}\nhash  {response['hash']}")
     return 0
 
 
 def add_workspace_verbs(verbs: Any) -> None:
-    """Add the verbs that only workspaces have."""
-    key = verbs.add_parser("key", help="make a new key; the configuration stores its hash")
+    """Add the verbs specific to workspaces."""
+    key = verbs.add_parser("key", help="generate a key; the configuration stores its hash")
     clients.add_options(key)
     key.set_defaults(run=run_key)
--- a/tillerlane/cli/tests/test_loglines.py
+++ b/tillerlane/cli/tests/test_loglines.py
@@ -1,4 +1,4 @@
-"""Log lines of several processes read back as a time line."""
+"""Parsing log lines of several processes as a time line."""
 
 import contextlib
 import io
@@ -11,7 +11,7 @@
 
 
 def build_line(stamp: int, daemon: str, name: str, request_id: str = "", **fields: object) -> str:
-    """A log line as the daemons write it."""
+    """Build a log line as daemons write it."""
     values = {
         "daemon": daemon,
         "stamp": stamp,
@@ -26,7 +26,7 @@
 
 
 class LogLinesTest(unittest.TestCase):
-    """Reading lines, and the command that does it."""
+    """Parsing lines, and the ``timeline`` command."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -38,11 +38,11 @@
             build_line(50 << 16, "entry-1", "stream.break", "r1", left_out=7),
         ]
         keeper = [build_line(40 << 16, "keeper-1", "target.state", target="t1", phase="gone")]
-        (self.path / "entry").write_text("\n".join(entry) + "\n{torn")
+        (self.path / "entry").write_text("\n".join(entry) + "\n{truncated")
         (self.path / "keeper").write_text("  12.5 host-7 " + keeper[0] + "\n")
 
     def run_command(self, *arguments: str) -> tuple[str, str]:
-        """Run ``tillerlane timeline`` on both files; gives its output and errors."""
+        """Run ``tillerlane timeline`` on both files; return its output and errors."""
         files = [str(self.path / name) for name in ("entry", "keeper")]
         out, errors = io.StringIO(), io.StringIO()
         command = main.build_parser().parse_args(["timeline", "--log", *files, *arguments])
--- a/tillerlane/config/settings.py
+++ b/tillerlane/config/settings.py
@@ -80,7 +80,10 @@
     """Initial voters: daemon id to peer address.  Later changes are made through the log."""
     data_folder: str | None = None
     near_halls: list[documents.Name] | None = None
-    """Data halls whose agents an entry stays linked to; None is all.  Others are dialed if needed."""
+    """Data halls whose agents an entry keeps links to; None is all.
+
+    Agents of other data halls are dialed on demand.
+    """
     targets: dict[documents.Name, Target] = {}
     operators: dict[documents.Name, documents.Operator] = {}
     """Operators that may act before a configuration exists."""
