--- a/tillerlane/timeline/__init__.py
+++ b/tillerlane/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""The time line: what every daemon did, stamped so that all of it can be put in causal order."""
+"""The time line: events of all daemons, with stamps that allow causal ordering."""
--- a/tillerlane/timeline/clock.py
+++ b/tillerlane/timeline/clock.py
@@ -1,4 +1,4 @@
-"""Hybrid logical clock: wall time that never runs backwards and follows what it has heard.
+"""Hybrid logical clock: monotonic wall time that is ahead of all received stamps.
 
 References
 ----------
@@ -13,18 +13,18 @@
 _COUNTER_BITS = 16
 _COUNTER_LIMIT = 1 << _COUNTER_BITS
 _MAX_LEAD_MS = 60_000
-"""A peer's stamp further ahead than this (ms) is not followed: its clock is wrong."""
+"""A peer's stamp further ahead than this (ms) is ignored, since its clock must be wrong."""
 
 
 def get_milliseconds(stamp: int) -> int:
-    """Wall-clock part of a stamp, in milliseconds since 1970."""
+    """Return the wall-clock part of a stamp, in milliseconds since 1970."""
     return stamp >> _COUNTER_BITS
 
 
 class HybridClock:
-    """Gives stamps that rise on one daemon and exceed every stamp heard from another.
+    """Issues strictly increasing stamps that exceed every stamp received from another daemon.
 
-    A stamp is one integer of 64 bits: 48 of milliseconds since 1970, 16 of a counter.
+    A stamp is a 64-bit integer: 48 bits of milliseconds since 1970 and a counter of 16 bits.
 
     Parameters
     ----------
@@ -36,16 +36,16 @@
         self._now = now
         self._last = 0
 
-    def _read_wall(self) -> int:
+    def _get_wall_stamp(self) -> int:
         return int(self._now() * 1000) << _COUNTER_BITS
 
     def tick(self) -> int:
-        """Stamp for a local event or a message to be sent."""
-        self._last = max(self._last + 1, self._read_wall())
+        """Return the stamp for a local event or an outgoing message."""
+        self._last = max(self._last + 1, self._get_wall_stamp())
         return self._last
 
     def update(self, stamp: int) -> None:
-        """Take note of a stamp that came with a message."""
+        """Update the clock with the stamp of a received message."""
         lead_ms = get_milliseconds(stamp) - int(self._now() * 1000)
         if lead_ms <= _MAX_LEAD_MS:
             self._last = max(self._last, stamp)
--- a/tillerlane/timeline/core.py
+++ b/tillerlane/timeline/core.py
@@ -1,4 +1,4 @@
-"""Events, the bounded ring that each daemon keeps of them, and their merge."""
+"""Events, each daemon's bounded ring buffer of them, and their merge."""
 
 import collections
 import dataclasses
@@ -13,25 +13,25 @@
 __all__ = ["Event", "Timeline", "merge_events", "select_events"]
 
 DEFAULT_RING_EVENTS = 20_000
-"""Events that a daemon keeps; the oldest goes first."""
+"""Events that a daemon keeps; the oldest are dropped first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One thing that happened on one daemon.
+    """One event on one daemon.
 
     Attributes
     ----------
     stamp : int
         Hybrid logical clock, see `tillerlane.timeline.clock`.
     daemon : str
-        Id of the daemon it happened on.
+        Id of the daemon on which it occurred.
     name : str
-        What happened, a stable word such as ``generation.start``.
+        Stable name of the event, such as ``generation.start``.
     request_id, generation_id : str
-        What it happened to; empty where it does not apply.
+        Ids of the request and generation concerned; empty where not applicable.
     fields : dict
-        Further facts, JSON values only; never keys or prompt text.
+        Further fields, JSON values only; never keys or prompt text.
     """
 
     stamp: int
@@ -42,21 +42,21 @@
     fields: dict[str, Any] = dataclasses.field(default_factory=dict)
 
     def to_json(self) -> dict[str, Any]:
-        """Event as JSON values."""
+        """Return the event as JSON values."""
         return dataclasses.asdict(self)
 
 
 class Timeline:
-    """Ring of one daemon's latest events; each is also a log line.
+    """Ring buffer of one daemon's latest events, which are also logged.
 
     Parameters
     ----------
     daemon : str
         Id of the daemon.
     clock : clocks.HybridClock
-        Gives the stamps.
+        Issues the stamps.
     limit : int
-        Events kept.
+        Maximum number of events kept.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         return event
 
     def read(self) -> list[Event]:
-        """All events still held, oldest first."""
+        """Return all events kept, oldest first."""
         return list(self._ring)
 
 
@@ -96,9 +96,9 @@
     since_ms: int = 0,
     limit: int = 5_000,
 ) -> list[Event]:
-    """Pick the events of a request, a generation or a span of time.
+    """Select the events of a request, of a generation or since a time.
 
-    A generation's events also name its request, so asking for the request gives all attempts.
+    A generation's events also carry its request id, so the request id selects all attempts.
     At most `limit` events are returned, the latest ones.
     """
     found = [
@@ -114,6 +114,6 @@
 def merge_events(rings: Iterable[Iterable[Event]]) -> list[Event]:
     """Merge several daemons' events in causal order.
 
-    Stamps follow messages, so an event that could have caused another sorts before it.
+    Messages propagate stamps, so an event that could have caused another sorts before it.
     """
     return list(heapq.merge(*rings, key=lambda event: (event.stamp, event.daemon)))
--- a/tillerlane/timeline/loops.py
+++ b/tillerlane/timeline/loops.py
@@ -1,14 +1,14 @@
-"""The event loop of our processes: its clock counts the time for which the host was suspended.
+"""Event loop whose clock includes the time for which the host was suspended.
 
-Leases, ages, deadlines and silences are all reckoned in the loop's time.  The steady clock that
-event loops use stands still while a host is suspended (clock_gettime(2), CLOCK_MONOTONIC), so a
-process would wake with leases that have long ended elsewhere and trust them.  CLOCK_BOOTTIME goes
-on and is as steady otherwise; the time of day may jump.  So whatever is asked first after a
-suspension, before any timer has run, has its true age.
+Leases, ages, deadlines and heartbeat timeouts are all measured in the loop's time.  The monotonic
+clock that event loops use by default stops while the host is suspended (clock_gettime(2),
+CLOCK_MONOTONIC), so a process would resume with leases that have long expired elsewhere and still
+trust them.  CLOCK_BOOTTIME continues and is otherwise as steady, whereas the time of day may jump.
+Ages are therefore correct directly after a suspension, before any timer has run.
 
-Guards: suspended for 6 s and woken without a way to the others, an entry served a key withdrawn
-meanwhile, and a former leader answered with a configuration that was not the newest
-(`platform.tests.test_suspension`).  The ways weighed are in ``docs/design/suspension.md``.
+Without this, after a suspension of 6 s and without connections to other processes, an entry served
+a key that had been withdrawn meanwhile, and a former leader replied with an outdated configuration
+(`platform.tests.test_suspension`).  ``docs/design/suspension.md`` compares the alternatives.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 
 
 read_clock = functools.partial(time.clock_gettime, time.CLOCK_BOOTTIME)
-"""Reads the seconds of a clock that never jumps and counts suspended time."""
+"""Reads a clock, in seconds, that never jumps and includes suspended time."""
 
 
 class _Loop(asyncio.SelectorEventLoop):
-    """A loop that goes by a clock of its own.
+    """An event loop with a custom clock.
 
-    The kernel measures its waits for events in steady time, so timers that came due in a suspension
-    run after what is left of the present wait: a tenth of a second at most in these processes.
+    The kernel measures waits for events in CLOCK_MONOTONIC, so timers that became due during a
+    suspension run when the current wait ends, at most a tenth of a second later in these processes.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -39,5 +39,5 @@
 
 
 def new_loop(clock: Callable[[], float] = read_clock) -> asyncio.AbstractEventLoop:
-    """An event loop, as `asyncio.Runner` takes it."""
+    """Create an event loop; a loop factory for `asyncio.Runner`."""
     return _Loop(clock)
--- a/tillerlane/timeline/sink.py
+++ b/tillerlane/timeline/sink.py
@@ -1,7 +1,7 @@
-"""Where log lines go: a descriptor that is never waited for, with bounds on rate and memory.
+"""Non-blocking output of log lines to a descriptor, with bounds on rate and memory.
 
-Lines of one name share a rate; what is over it is counted and told by the next line of that name.
-Failures have names of their own and so are not crowded out by what is frequent.
+Lines of one event name share a token bucket; dropped lines are counted, and the next line of that
+name reports their number.  Failures have their own names, so frequent events don't displace them.
 """
 
 import collections
@@ -17,19 +17,19 @@
 __all__ = ["BoundedOutput", "LineRate", "set_up"]
 
 MAX_PENDING_BYTES = 256 * 1024
-"""Lines that wait for a reader that has stalled; the rest is dropped and counted."""
+"""Bound on buffered lines while the reader stalls; further lines are dropped and counted."""
 LINES_PER_SECOND = 50.0
-"""Lines of one name; at some 250 bytes a line that is 12 kB/s a name at the most."""
+"""Rate of lines of one name; at some 250 bytes a line, at most 12 kB/s for each name."""
 BURST_LINES = 200.0
 
 
 class BoundedOutput:
-    """A descriptor that lines are written to without ever waiting.
+    """Writes lines to a descriptor without blocking.
 
     Parameters
     ----------
     descriptor : int
-        A pipe, file or terminal; it is made non-blocking.
+        A pipe, file or terminal, which is set to non-blocking mode.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -40,7 +40,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, line: bytes) -> None:
-        """Write a line now, keep it for later, or drop it if too much waits."""
+        """Write a line, buffer it, or drop it if the buffer is full."""
         if self._size + len(line) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
@@ -56,7 +56,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more: there is no place left to say so.
+                # The reader is gone and nothing else can be logged to: drop the buffer.
                 self._pending.clear()
                 self._size = 0
                 return
@@ -68,39 +68,39 @@
 
 
 class LineRate:
-    """A processor that lets a bounded number of lines of each name through.
+    """A structlog processor that limits the rate of lines of each name.
 
     Parameters
     ----------
     now : callable
-        A steady clock in seconds.
+        A monotonic clock in seconds.
     """
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
         self._now = now
-        self._levels: dict[str, tuple[float, float]] = {}
+        self._buckets: dict[str, tuple[float, float]] = {}
         self._left_out: dict[str, int] = collections.defaultdict(int)
 
     def __call__(
         self, logger: Any, method: str, values: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        """Pass a line on, with the number of those left out before it, or drop it."""
+        """Pass a line on with the number of lines dropped before it, or drop it."""
         name = str(values.get("event", ""))
         now = self._now()
-        level, at = self._levels.get(name, (BURST_LINES, now))
-        level = min(BURST_LINES, level + (now - at) * LINES_PER_SECOND)
-        if level < 1:
-            self._levels[name] = (level, now)
+        tokens, at = self._buckets.get(name, (BURST_LINES, now))
+        tokens = min(BURST_LINES, tokens + (now - at) * LINES_PER_SECOND)
+        if tokens < 1:
+            self._buckets[name] = (tokens, now)
             self._left_out[name] += 1
             raise structlog.DropEvent
-        self._levels[name] = (level - 1, now)
+        self._buckets[name] = (tokens - 1, now)
         if self._left_out[name]:
             values["left_out"] = self._left_out.pop(name)
         return values
 
 
 class _Logger:
-    """What structlog hands finished lines to."""
+    """Logger to which structlog passes rendered lines."""
 
     def __init__(self, output: BoundedOutput) -> None:
         self._output = output
@@ -112,7 +112,7 @@
 
 
 def set_up(descriptor: int) -> BoundedOutput:
-    """Write log lines as JSON to a descriptor."""
+    """Configure structlog to write log lines as JSON to a descriptor."""
     output = BoundedOutput(descriptor)
     encode = msgspec.json.Encoder(enc_hook=str).encode
 
--- a/tillerlane/timeline/tests/test_loops.py
+++ b/tillerlane/timeline/tests/test_loops.py
@@ -1,4 +1,4 @@
-"""The event loop whose clock counts the time for which the host was suspended."""
+"""The event loop's clock includes the time for which the host was suspended."""
 
 import asyncio
 import time
@@ -8,21 +8,21 @@
 
 
 class _Host:
-    """A host whose steady clock is the machine's, and which can have been suspended."""
+    """Simulates a host that can be suspended, based on the real monotonic clock."""
 
     def __init__(self) -> None:
-        self._away = 0.0
+        self._suspended_seconds = 0.0
 
     def read_clock(self) -> float:
-        return time.monotonic() + self._away
+        return time.monotonic() + self._suspended_seconds
 
     def suspend(self, seconds: float) -> None:
-        """Have been suspended for so long."""
-        self._away += seconds
+        """Simulate a suspension."""
+        self._suspended_seconds += seconds
 
 
 class LoopTest(unittest.TestCase):
-    """Times that are reckoned in the loop's time."""
+    """Ages, timers and timeouts after a suspension."""
 
     def test_age_is_true_before_any_timer_has_run(self) -> None:
         host = _Host()
@@ -41,13 +41,13 @@
 
         async def run() -> list[str]:
             loop = asyncio.get_running_loop()
-            done: list[str] = []
-            loop.call_later(5.0, done.append, "lease ended")
-            loop.call_later(7.0, done.append, "too early")
+            calls: list[str] = []
+            loop.call_later(5.0, calls.append, "lease ended")
+            loop.call_later(7.0, calls.append, "too early")
             host.suspend(6.0)
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            return done
+            return calls
 
         with asyncio.Runner(loop_factory=lambda: loops.new_loop(host.read_clock)) as runner:
             self.assertEqual(runner.run(run()), ["lease ended"])
--- a/tillerlane/timeline/tests/test_sink.py
+++ b/tillerlane/timeline/tests/test_sink.py
@@ -1,4 +1,4 @@
-"""Log lines never wait and never grow without bound."""
+"""Log output doesn't block, and its buffer and rate are bounded."""
 
 import json
 import os
@@ -10,7 +10,7 @@
 
 
 class BoundedOutputTest(unittest.TestCase):
-    """A pipe whose reader stalls."""
+    """Output to a pipe whose reader stalls or is gone."""
 
     def test_stalled_reader_costs_nothing_and_gets_whole_lines_later(self) -> None:
         reader, writer = os.pipe()
@@ -38,7 +38,7 @@
 
 
 class LineRateTest(unittest.TestCase):
-    """Lines of one name share a rate."""
+    """Lines of one name share a rate limit."""
 
     def test_frequent_lines_are_counted_and_do_not_crowd_out_others(self) -> None:
         now = [0.0]
--- a/tillerlane/timeline/tests/test_timeline.py
+++ b/tillerlane/timeline/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""Clock, ring, merge, exports."""
+"""Clock, ring buffer, merge and exports."""
 
 import json
 import logging
