--- a/tillerlane/faults/__init__.py
+++ b/tillerlane/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Errors as callers and operators meet them: one closed list of kinds, one table of answers."""
+"""Errors reported to callers and operators: a closed list of kinds with their responses."""
--- a/tillerlane/faults/core.py
+++ b/tillerlane/faults/core.py
@@ -1,4 +1,4 @@
-"""A fault: one error as a value, and the exception that carries it."""
+"""Faults: errors as values, and the exception that carries them."""
 
 import dataclasses
 from typing import Any
@@ -9,29 +9,29 @@
 
 
 class TillerlaneError(Exception):
-    """Base of every exception that tillerlane raises on purpose."""
+    """Base class of all exceptions defined by tillerlane."""
 
 
 class TillerlaneWarning(UserWarning):
-    """Base of every warning that tillerlane gives."""
+    """Base class of all warnings defined by tillerlane."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """One error of a listed kind.
+    """One error of a kind listed in `kinds.ErrorKind`.
 
     Attributes
     ----------
     kind : kinds.ErrorKind
-        Row of the table in `tillerlane.faults.kinds`.
+        Kind of the error.
     message : str
-        What was got and what was expected, for a person.
+        Description for people, with the actual and the expected value.
     ran : kinds.Ran
         Whether the request reached its target.
     retry_after : float or None
-        Seconds after which another try may succeed.
+        Seconds after which a retry may succeed.
     detail : dict
-        Further facts, such as ``{"version": 7}`` of a conflict.  JSON values only.
+        Further details, such as ``{"version": 7}`` for a conflict.  JSON values only.
     """
 
     kind: kinds.ErrorKind
@@ -42,11 +42,11 @@
 
     @property
     def response(self) -> kinds.FaultResponse:
-        """Row of the table for this fault's kind."""
+        """Response for this fault's kind."""
         return kinds.RESPONSES[self.kind]
 
     def to_json(self) -> dict[str, Any]:
-        """Body that callers and operators get, in the form text-generation clients read."""
+        """Return the response body, in the format that text-generation clients expect."""
         error: dict[str, Any] = {
             "type": self.kind.value,
             "code": self.kind.value,
@@ -62,12 +62,12 @@
 
 
 class FaultError(TillerlaneError):
-    """Carries a `Fault` up to the border that answers with it.
+    """Carries a `Fault` to the interface that responds with it.
 
     Parameters
     ----------
     fault : Fault
-        The error to answer with.
+        The error to respond with.
     """
 
     def __init__(self, fault: Fault) -> None:
@@ -83,7 +83,7 @@
     retry_after: float | None = None,
     detail: dict[str, Any] | None = None,
 ) -> Fault:
-    """Build a fault, with ``ran`` from the table unless it is given.
+    """Build a fault, with the kind's default of ``ran`` unless it is given.
 
     Examples
     --------
