--- a/tillerlane/runners/__init__.py
+++ b/tillerlane/runners/__init__.py
@@ -1,1 +1,1 @@
-"""How an agent speaks to what stands behind it: one adapter module for each dialect."""
+"""Clients that agents use for their targets: one adapter module for each protocol."""
--- a/tillerlane/runners/core.py
+++ b/tillerlane/runners/core.py
@@ -1,4 +1,4 @@
-"""What an agent needs of a target, as a set of functions that an adapter fills in."""
+"""Interface between an agent and a target: a set of functions that each adapter provides."""
 
 import dataclasses
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -19,7 +19,7 @@
 
 
 class TargetError(faults.TillerlaneError):
-    """The target did not answer, broke off or answered with an error.
+    """The target didn't respond, disconnected or responded with an error.
 
     Attributes
     ----------
@@ -33,7 +33,7 @@
 
 
 class UnknownGeneration(faults.TillerlaneError):
-    """The target holds no generation of this id."""
+    """The target holds no generation with this id."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """Tokens as the target sent them, the first at `offset`."""
+    """Consecutive tokens sent by the target, the first at `offset`."""
 
     offset: int
     texts: list[str]
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerLoad:
-    """A target's own report; memory in tokens, times in milliseconds."""
+    """A target's load report; memory in tokens, times in milliseconds."""
 
     memory_total: int
     memory_used: int
@@ -83,7 +83,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """A prefix was stored or dropped; `number` rises by one, unless events were lost."""
+    """A prefix was stored or evicted; `number` increases by one unless events were lost."""
 
     number: int
     stored: bool
@@ -104,29 +104,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunnerClient:
-    """Functions of one target.
+    """Client functions for one target.
 
     Attributes
     ----------
     start : callable
-        (job) gives the stream of a new generation.
+        (job) returns the stream of a new generation.
     resume : callable
-        (generation id, offset) gives the rest of a stream, the prompt's owner first known to the
-        target; raises `UnknownGeneration`.
+        (generation id, offset) returns the rest of the stream of a generation that the target
+        already holds together with its owner; otherwise raises `UnknownGeneration`.
     read_owner : callable
-        (generation id) gives owner and prompt tokens, or raises `UnknownGeneration`.
+        (generation id) returns owner and prompt tokens, or raises `UnknownGeneration`.
     pause, unpause : callable
-        (generation id) gives whether it was done.
+        (generation id) returns whether the target did it.
     cancel : callable
-        (generation id) gives whether it had started; None if the target does not know it.
+        (generation id) returns whether it had started; None if the target does not know it.
     read_load : callable
-        () gives a `RunnerLoad`.
+        () returns a `RunnerLoad`.
     read_cache_events : callable
-        (number of the last event seen) gives a stream of `CacheEvent`.
+        (number of the last event received) returns a stream of `CacheEvent`.
     give_order : callable
-        (order) gives the models that are loaded afterwards.
+        (order) returns the models loaded after the order.
     close : callable
-        () frees the connections.
+        () closes the connections.
     """
 
     start: Callable[[Job], Stream]
--- a/tillerlane/runners/http_service.py
+++ b/tillerlane/runners/http_service.py
@@ -1,7 +1,7 @@
-"""Adapter for plain services: one HTTP call is a stream of one head and pieces of body.
+"""Adapter for plain services: an HTTP call is a stream of the response head and body chunks.
 
-The first token is the head (status and headers) as JSON, the others are pieces of the body in
-base64.  A call that has begun cannot be resumed: services know no generation ids.
+The first token is the head (status and headers) as JSON, the others are chunks of the body in
+base64.  A started call cannot be resumed, since services have no generation ids.
 """
 
 import base64
@@ -14,48 +14,48 @@
 
 __all__ = ["connect", "decode_call", "encode_call"]
 
-CONNECT_SECONDS = 2.0
-_PASSED_HEADERS = ("content-type", "accept", "accept-language", "idempotency-key")
-_ANSWERED_HEADERS = ("content-type", "location", "cache-control", "etag", "retry-after")
+CONNECT_TIMEOUT_SECONDS = 2.0
+_FORWARDED_HEADERS = ("content-type", "accept", "accept-language", "idempotency-key")
+_RETURNED_HEADERS = ("content-type", "location", "cache-control", "etag", "retry-after")
 
 
 def encode_call(method: str, path: str, headers: dict[str, str], body: bytes) -> bytes:
-    """Write a call as the payload of a job; only harmless headers are passed on."""
-    passed = {name: headers[name] for name in _PASSED_HEADERS if name in headers}
+    """Encode a call as the payload of a job; only headers that are safe to forward are kept."""
+    forwarded = {name: headers[name] for name in _FORWARDED_HEADERS if name in headers}
     call = {
         "method": method,
         "path": path,
-        "headers": passed,
+        "headers": forwarded,
         "body": base64.b64encode(body).decode(),
     }
     return json.dumps(call).encode()
 
 
 def decode_call(payload: bytes) -> tuple[str, str, dict[str, str], bytes]:
-    """Read method, path, headers and body from a payload."""
+    """Decode method, path, headers and body from a payload."""
     call = json.loads(payload)
     return call["method"], call["path"], call["headers"], base64.b64decode(call["body"])
 
 
 def connect(base_url: str) -> core.RunnerClient:
-    """Functions of the plain service at `base_url`."""
-    timeout = httpx.Timeout(None, connect=CONNECT_SECONDS)
+    """Build the client for the plain service at `base_url`."""
+    timeout = httpx.Timeout(None, connect=CONNECT_TIMEOUT_SECONDS)
     client = httpx.AsyncClient(base_url=base_url, timeout=timeout, trust_env=False)
 
     async def start(job: core.Job) -> AsyncIterator[core.Chunk | core.Finish]:
         method, path, headers, body = decode_call(job.payload)
         count = 0
         try:
-            async with client.stream(method, path, headers=headers, content=body) as answer:
-                kept = {
-                    name: answer.headers[name]
-                    for name in _ANSWERED_HEADERS
-                    if name in answer.headers
+            async with client.stream(method, path, headers=headers, content=body) as response:
+                returned = {
+                    name: response.headers[name]
+                    for name in _RETURNED_HEADERS
+                    if name in response.headers
                 }
-                head = json.dumps({"status": answer.status_code, "headers": kept})
+                head = json.dumps({"status": response.status_code, "headers": returned})
                 yield core.Chunk(0, [head])
                 count = 1
-                async for piece in answer.aiter_raw():
+                async for piece in response.aiter_raw():
                     yield core.Chunk(count, [base64.b64encode(piece).decode()])
                     count += 1
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
@@ -71,7 +71,7 @@
     async def read_owner(generation_id: str) -> tuple[str, int]:
         raise core.UnknownGeneration(generation_id)
 
-    async def change(generation_id: str) -> bool:
+    async def refuse_change(generation_id: str) -> bool:
         return False
 
     async def cancel(generation_id: str) -> bool | None:
@@ -85,14 +85,14 @@
         yield core.CacheEvent(0, False, 0)
 
     async def give_order(order: core.Order) -> list[str]:
-        raise core.TargetError("plain services take no orders", reached=False)
+        raise core.TargetError("plain services accept no orders", reached=False)
 
     return core.RunnerClient(
         start=start,
         resume=resume,
         read_owner=read_owner,
-        pause=change,
-        unpause=change,
+        pause=refuse_change,
+        unpause=refuse_change,
         cancel=cancel,
         read_load=read_load,
         read_cache_events=read_cache_events,
--- a/tillerlane/runners/sse_runner.py
+++ b/tillerlane/runners/sse_runner.py
@@ -1,11 +1,11 @@
 """Adapter for runners that speak HTTP with server-sent events.
 
-Every function opens its own request; streams end with `core.Finish` or raise.
+Every function sends its own request; streams end with `core.Finish` or an exception.
 
 Notes
 -----
-`aiohttp` stands here in place of `httpx`: reading one event of 50 streams cost 219 us of processor
-time with `httpx` and 41 us with `aiohttp` (one machine, same run; ``docs/design/relay.md``).
+This uses `aiohttp` instead of `httpx`: reading one event of 50 streams takes 219 us of CPU time
+with `httpx` and 41 us with `aiohttp` (one host, same run; ``docs/design/relay.md``).
 """
 
 import contextlib
@@ -20,13 +20,13 @@
 
 __all__ = ["connect"]
 
-CONNECT_SECONDS = 2.0
-CALL_SECONDS = 5.0
+CONNECT_TIMEOUT_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 5.0
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 class _Event(msgspec.Struct):
-    """One event of a generation's stream: tokens, or its end."""
+    """One event of a generation's stream: tokens, or the end of the stream."""
 
     offset: int = 0
     texts: list[str] = []
@@ -38,7 +38,7 @@
 
 
 async def read_events(chunks: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
-    """Split a server-sent event stream into the data of its events."""
+    """Split a stream of server-sent events into the data of each event."""
     rest = b""
     async for chunk in chunks:
         rest += chunk
@@ -51,63 +51,65 @@
 
 
 async def _read_stream(
-    answer: aiohttp.ClientResponse,
+    response: aiohttp.ClientResponse,
 ) -> AsyncIterator[core.Chunk | core.Finish]:
-    async for data in read_events(answer.content.iter_any()):
+    async for data in read_events(response.content.iter_any()):
         event = _decode_event(data)
         if event.end:
             yield core.Finish(event.end, event.tokens)
             return
         yield core.Chunk(event.offset, event.texts)
-    raise core.TargetError("stream broke off without an end", reached=True)
+    raise core.TargetError("stream ended without an end event", reached=True)
 
 
 def connect(base_url: str) -> core.RunnerClient:
-    """Functions of the runner at `base_url`."""
+    """Build the client for the runner at `base_url`."""
     sessions: list[aiohttp.ClientSession] = []
 
     def get_session() -> aiohttp.ClientSession:
         if not sessions:
-            timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
+            timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS)
             connector = aiohttp.TCPConnector(limit=0)
             sessions.append(aiohttp.ClientSession(base_url, timeout=timeout, connector=connector))
         return sessions[0]
 
     @contextlib.asynccontextmanager
     async def open_stream(
-        method: str, path: str, **extra: Any
+        method: str, path: str, **options: Any
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        # A redirect is no answer of a runner: followed, a start would go on to another place, and
-        # what became of it there would be taken for what became of it here.
+        # Redirects aren't followed: a start would be sent to another server, whose result would be
+        # taken for the result of this runner.
         try:
             async with get_session().request(
-                method, path, allow_redirects=False, **extra
-            ) as answer:
-                if answer.status == 404:
+                method, path, allow_redirects=False, **options
+            ) as response:
+                if response.status == 404:
                     raise core.UnknownGeneration(path)
-                if answer.status != 200:
-                    message = f"{method} {path}: got status {answer.status}, expected 200"
+                if response.status != 200:
+                    message = f"{method} {path}: got status {response.status}, expected 200"
                     raise core.TargetError(message, reached=True)
-                yield answer
+                yield response
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise core.TargetError(f"cannot connect: {error!r}", reached=False) from error
         except (aiohttp.ClientError, OSError, TimeoutError, msgspec.MsgspecError) as error:
-            raise core.TargetError(f"broke off: {error!r}", reached=True) from error
+            raise core.TargetError(f"connection broken: {error!r}", reached=True) from error
 
-    async def call(method: str, path: str, **extra: Any) -> tuple[int, bytes]:
-        """Status and body of a short call."""
-        timeout = aiohttp.ClientTimeout(total=CALL_SECONDS, sock_connect=CONNECT_SECONDS)
+    async def call(method: str, path: str, **options: Any) -> tuple[int, bytes]:
+        """Make a short call; return status and body."""
+        timeout = aiohttp.ClientTimeout(
+            total=CALL_TIMEOUT_SECONDS, sock_connect=CONNECT_TIMEOUT_SECONDS
+        )
         try:
             async with get_session().request(
-                method, path, timeout=timeout, allow_redirects=False, **extra
-            ) as answer:
-                return answer.status, await answer.read()
+                method, path, timeout=timeout, allow_redirects=False, **options
+            ) as response:
+                return response.status, await response.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise core.TargetError(f"cannot connect: {error!r}", reached=False) from error
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise core.TargetError(f"{method} {path}: {error!r}", reached=True) from error
 
-    def read_json(path: str, body: bytes) -> Any:
+    def decode_json(path: str, body: bytes) -> Any:
         try:
             return msgspec.json.decode(body)
         except msgspec.MsgspecError as error:
@@ -125,36 +127,36 @@
             "prefix_hash": job.prefix_hash,
             "prefix_tokens": job.prefix_tokens,
         }
-        async with open_stream("POST", "/v1/generations", json=body) as answer:
-            async for item in _read_stream(answer):
+        async with open_stream("POST", "/v1/generations", json=body) as response:
+            async for item in _read_stream(response):
                 yield item
 
     async def resume(generation_id: str, offset: int) -> AsyncIterator[core.Chunk | core.Finish]:
         path = f"/v1/generations/{generation_id}"
-        async with open_stream("GET", path, params={"offset": offset}) as answer:
-            async for item in _read_stream(answer):
+        async with open_stream("GET", path, params={"offset": offset}) as response:
+            async for item in _read_stream(response):
                 yield item
 
     async def read_owner(generation_id: str) -> tuple[str, int]:
-        async with open_stream("GET", f"/v1/generations/{generation_id}") as answer:
-            headers = answer.headers
+        async with open_stream("GET", f"/v1/generations/{generation_id}") as response:
+            headers = response.headers
             return headers.get("x-owner", ""), int(headers.get("x-prompt-tokens", "0"))
 
-    async def change(generation_id: str, verb: str) -> bool:
-        path = f"/v1/generations/{generation_id}/{verb}"
+    async def post_action(generation_id: str, action: str) -> bool:
+        path = f"/v1/generations/{generation_id}/{action}"
         status, body = await call("POST", path)
-        return status == 200 and bool(read_json(path, body).get("done"))
+        return status == 200 and bool(decode_json(path, body).get("done"))
 
     async def pause(generation_id: str) -> bool:
-        return await change(generation_id, "pause")
+        return await post_action(generation_id, "pause")
 
     async def unpause(generation_id: str) -> bool:
-        return await change(generation_id, "unpause")
+        return await post_action(generation_id, "unpause")
 
     async def cancel(generation_id: str) -> bool | None:
         path = f"/v1/generations/{generation_id}"
         status, body = await call("DELETE", path)
-        return bool(read_json(path, body)["started"]) if status == 200 else None
+        return bool(decode_json(path, body)["started"]) if status == 200 else None
 
     async def read_load() -> core.RunnerLoad:
         _, body = await call("GET", "/v1/load")
@@ -164,8 +166,8 @@
             raise core.TargetError(f"load report: {error}", reached=True) from error
 
     async def read_cache_events(after: int) -> AsyncIterator[core.CacheEvent]:
-        async with open_stream("GET", "/v1/cache-events", params={"after": after}) as answer:
-            async for data in read_events(answer.content.iter_any()):
+        async with open_stream("GET", "/v1/cache-events", params={"after": after}) as response:
+            async for data in read_events(response.content.iter_any()):
                 event = json.loads(data)
                 yield core.CacheEvent(event["number"], event["what"] == "stored", event["prefix"])
 
@@ -174,7 +176,7 @@
         status, body = await call("POST", "/v1/orders", json=fields)
         if status != 200:
             raise core.TargetError(f"order refused with status {status}", reached=True)
-        return list(read_json("/v1/orders", body)["models"])
+        return list(decode_json("/v1/orders", body)["models"])
 
     async def close() -> None:
         for session in sessions:
--- a/tillerlane/runners/tests/test_http_service.py
+++ b/tillerlane/runners/tests/test_http_service.py
@@ -1,4 +1,4 @@
-"""What the adapter of plain services says of a call that went wrong."""
+"""Errors that the adapter of plain services reports for failed calls."""
 
 import asyncio
 import unittest
@@ -10,17 +10,19 @@
 
 
 class CallTest(unittest.IsolatedAsyncioTestCase):
-    """A service that answers a call in ways of its own."""
+    """Calls of a service that fails or redirects in various ways."""
 
-    async def call_at(self, answer: bytes) -> tuple[list[object], core.TargetError | None, int]:
-        """Call a service; what came, the error, and how many calls reached the service."""
+    async def call_service(
+        self, response: bytes
+    ) -> tuple[list[object], core.TargetError | None, int]:
+        """Call a service; return the items, the error, and the number of calls that reached it."""
         calls = 0
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal calls
             await reader.readuntil(b"order")
             calls += 1
-            writer.write(answer)
+            writer.write(response)
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -38,19 +40,19 @@
         return items, broken, calls
 
     async def test_closed_without_an_answer_may_have_run(self) -> None:
-        items, broken, calls = await self.call_at(b"")
+        items, broken, calls = await self.call_service(b"")
         self.assertEqual((items, calls), ([], 1))
         self.assertTrue(broken.reached)
 
     async def test_answer_that_breaks_off_may_have_run(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf"
-        _, broken, calls = await self.call_at(head)
+        _, broken, calls = await self.call_service(head)
         self.assertEqual(calls, 1)
         self.assertTrue(broken.reached)
 
     async def test_redirect_is_the_callers_to_follow(self) -> None:
         head = b"HTTP/1.1 307 Elsewhere\r\nLocation: /\r\nContent-Length: 0\r\n\r\n"
-        items, broken, calls = await self.call_at(head)
+        items, broken, calls = await self.call_service(head)
         self.assertEqual((broken, calls), (None, 1))
         self.assertIn("307", items[0].texts[0])
 
--- a/tillerlane/runners/tests/test_sse_runner.py
+++ b/tillerlane/runners/tests/test_sse_runner.py
@@ -1,4 +1,4 @@
-"""What the adapter of model runners says of a start that went wrong."""
+"""Errors that the adapter of model runners reports for failed starts."""
 
 import asyncio
 import unittest
@@ -11,12 +11,12 @@
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
-    """A target that answers a start in ways of its own."""
+    """Starts at a target that fails or redirects in various ways."""
 
-    async def start_at(self, answer: Callable[[int], bytes]) -> tuple[core.TargetError, int]:
-        """Start a job at a server; the error, and how many starts reached the server.
+    async def start_job(self, response: Callable[[int], bytes]) -> tuple[core.TargetError, int]:
+        """Start a job at a server; return the error and the number of starts that reached it.
 
-        `answer` is given the server's port.
+        `response` is called with the server's port.
         """
         starts = 0
 
@@ -24,7 +24,7 @@
             nonlocal starts
             await reader.readuntil(REQUEST_END)
             starts += 1
-            writer.write(answer(server.sockets[0].getsockname()[1]))
+            writer.write(response(server.sockets[0].getsockname()[1]))
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -38,9 +38,9 @@
             server.close()
         return caught.exception, starts
 
-    async def check_reached(self, answer: Callable[[int], bytes]) -> None:
-        """One start went out, and the error does not say that none did."""
-        error, starts = await self.start_at(answer)
+    async def check_reached(self, response: Callable[[int], bytes]) -> None:
+        """Check that one start was sent and that the error reports the target as reached."""
+        error, starts = await self.start_job(response)
         self.assertEqual(starts, 1)
         self.assertTrue(error.reached, str(error))
 
