--- a/tillerlane/cli/fleets.py
+++ b/tillerlane/cli/fleets.py
@@ -292,9 +292,9 @@
     if arguments.json:
         clients.print_json(response)
     elif body["address"]:
-        print(f"{arguments.name} learns and will vote once it has caught up")
+        print(f"{arguments.name} is added and will vote once it has caught up")
     else:
-        print(f"{arguments.name} votes no more")
+        print(f"{arguments.name} is no longer a voter")
     return 0
 
 
--- a/tillerlane/cli/tests/test_loglines.py
+++ b/tillerlane/cli/tests/test_loglines.py
@@ -62,7 +62,7 @@
         self.assertEqual([event["name"] for event in events], ["request.send", "stream.break"])
         self.assertEqual(events[0]["fields"], {"target": "t1"})
 
-    def test_lines_that_hold_no_event(self) -> None:
+    def test_lines_without_an_event(self) -> None:
         for line in ("", "{}", "[1]", '{"event": "x"}', '{"stamp": "1", "event": "x"}', "{bad"):
             self.assertIsNone(loglines.parse_line(line), line)
 
--- a/tillerlane/config/tests/test_changes.py
+++ b/tillerlane/config/tests/test_changes.py
@@ -20,7 +20,7 @@
 class ChangesTest(scenes.SceneCase):
     """Concurrent and resent changes, network partitions and restarts."""
 
-    def test_racing_changes(self) -> None:
+    def test_concurrent_changes(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             attempts = [
                 stage.apply(build_document(2.0 + n), 1, f"change-{n}", f"entry-{1 + n % 2}")
@@ -36,15 +36,15 @@
 
         self.play(scene, keepers=3)
 
-    def test_resend_gets_the_first_answer_after_hundreds_of_changes(self) -> None:
+    def test_resent_change_gets_the_first_reply_after_hundreds_of_changes(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for number in range(1, 301):
                 await stage.apply(build_document(1 + number / 1000), number, f"change-{number}")
             for name in ("keeper-1", "keeper-2", "keeper-3"):
                 await stage.restart(name)
             await asyncio.sleep(5)
-            again = await stage.apply(build_document(1.001), 1, "change-1", "entry-2")
-            self.assertEqual((again["accepted"], again["version"]), (True, 2))
+            resent = await stage.apply(build_document(1.001), 1, "change-1", "entry-2")
+            self.assertEqual((resent["accepted"], resent["version"]), (True, 2))
             self.assertEqual(stage.daemons["entry-1"].store.version, 301)
 
         self.play(scene, keepers=3)
@@ -59,7 +59,7 @@
 
         self.play(scene, keepers=3)
 
-    def test_daemon_cut_off_from_keepers_learns_over_the_data_path(self) -> None:
+    def test_daemon_partitioned_from_keepers_updates_over_the_data_path(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             for keeper in stage.list_role("keeper"):
                 stage.network.cut(keeper, "agent-hall-a")
@@ -71,7 +71,7 @@
 
         self.play(scene, keepers=3)
 
-    def test_missed_hundreds_of_changes(self) -> None:
+    def test_daemon_catches_up_after_hundreds_of_changes(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             await stage.kill("entry-2")
             for number in range(1, 251):
@@ -84,7 +84,7 @@
 
         self.play(scene, keepers=3)
 
-    def test_cut_off_leader_accepts_nothing(self) -> None:
+    def test_partitioned_leader_accepts_no_change(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             leader = next(
                 name
@@ -95,8 +95,8 @@
             await asyncio.sleep(1.2)
             replica = stage.daemons[leader].keeper.replica
             self.assertFalse(replica.has_lease)
-            answer = await stage.apply(build_document(4), 1, "change-four")
-            self.assertEqual(answer["version"], 2)
+            response = await stage.apply(build_document(4), 1, "change-four")
+            self.assertEqual(response["version"], 2)
             stage.network.heal()
             await asyncio.sleep(3)
             versions = {item.store.version for item in stage.daemons.values()}
@@ -104,7 +104,7 @@
 
         self.play(scene, keepers=3)
 
-    def test_bad_document_changes_nothing(self) -> None:
+    def test_invalid_document_changes_nothing(self) -> None:
         async def scene(stage: lab.Lab) -> None:
             document = copy.deepcopy(scenes.DOCUMENT)
             document["classes"]["record"]["pol"] = "pool"
@@ -120,7 +120,7 @@
 
     def test_policy_is_replaced_while_generations_run(self) -> None:
         async def scene(stage: lab.Lab) -> None:
-            answer, task = await self.begin_record(stage)
+            response, task = await self.begin_record(stage)
             document = copy.deepcopy(scenes.DOCUMENT)
             document["policies"] = {"new": {"rank": "priority * 2.0"}}
             document["pools"]["pool"]["policy"] = "new"
@@ -131,7 +131,7 @@
                 for executor in executors.values():
                     self.assertEqual(executor.state.program.name, "new")
             await task
-            self.check_whole(answer)
+            self.check_whole(response)
 
         self.play(scene)
 
--- a/tillerlane/daemon/core.py
+++ b/tillerlane/daemon/core.py
@@ -91,7 +91,7 @@
     ----------
     own : settings.Settings
         Its settings.
-    dependencies : Surroundings, optional
+    dependencies : Dependencies, optional
         Its external dependencies.
     """
 
--- a/tillerlane/daemon/tests/test_http.py
+++ b/tillerlane/daemon/tests/test_http.py
@@ -44,7 +44,7 @@
         self.addCleanup(client.close)
         return client
 
-    def test_public_client_whole_answers_and_models(self) -> None:
+    def test_public_client_complete_responses_and_models(self) -> None:
         client = self.open_client()
         chat = client.chat.completions.create(
             model="record-large", messages=[{"role": "user", "content": "hello"}]
@@ -55,7 +55,7 @@
         names = {model.id for model in client.models.list()}
         self.assertEqual(names, {"record", "record-large", "short", "once", "late"})
 
-    def test_public_client_reads_errors(self) -> None:
+    def test_public_client_parses_errors(self) -> None:
         with self.assertRaises(openai.NotFoundError) as raised:
             self.open_client().completions.create(model="nothing", prompt="x")
         self.assertEqual(raised.exception.code, "unknown_model")
@@ -64,26 +64,28 @@
 
     def test_resume_at_another_entry(self) -> None:
         body = {"model": "record", "stream": True, "prompt": "a page"}
-        answer = self.post("/v1/completions", body)
-        events = [line for line in answer.text.split("\n\n") if line.startswith("id: ")]
-        some = events[3].split("\n")[0].removeprefix("id: ")
+        response = self.post("/v1/completions", body)
+        events = [line for line in response.text.split("\n\n") if line.startswith("id: ")]
+        event_id = events[3].split("\n")[0].removeprefix("id: ")
         url = self.fleet.plan.get_http("entry-2") + "/v1/completions"
-        headers = {"authorization": f"Bearer {KEY}", "last-event-id": some}
-        rest = httpx.post(url, json=body, headers=headers, timeout=20, trust_env=False)
+        headers = {"authorization": f"Bearer {KEY}", "last-event-id": event_id}
+        remaining = httpx.post(url, json=body, headers=headers, timeout=20, trust_env=False)
 
         def read(lines: list[str]) -> str:
             data = [json.loads(line.split("data: ", 1)[1]) for line in lines]
             return "".join(item["choices"][0]["text"] for item in data)
 
-        later = [line for line in rest.text.split("\n\n") if line.startswith("id: ")]
-        self.assertEqual(read(events), read(events[:4]) + read(later))
+        remaining_events = [
+            line for line in remaining.text.split("\n\n") if line.startswith("id: ")
+        ]
+        self.assertEqual(read(events), read(events[:4]) + read(remaining_events))
 
     def test_plain_service_call_runs_once(self) -> None:
         for _ in range(3):
-            answer = self.post(
+            response = self.post(
                 "/services/orders/orders", {"reference": "o-1"}, idempotency_key="order-1"
             )
-            self.assertEqual((answer.status_code, answer.json()["times_run"]), (201, 1))
+            self.assertEqual((response.status_code, response.json()["times_run"]), (201, 1))
         record = httpx.get(self.fleet.plan.urls["orders-1"] + "/test/record", trust_env=False)
         self.assertEqual(record.json()["o-1"], 1)
 
@@ -103,10 +105,10 @@
         ]
         for body, kind, text in cases:
             with self.subTest(kind=kind, body=str(body)[:40]):
-                answer = self.post("/v1/completions", body)
-                self.assertIn(text, self.check_fault(answer, kind))
+                response = self.post("/v1/completions", body)
+                self.assertIn(text, self.check_fault(response, kind))
 
-    def test_body_without_end_is_cut_off_while_reading(self) -> None:
+    def test_unbounded_body_is_refused_while_reading(self) -> None:
         host, _, port = self.fleet.plan.daemons["entry-1"]["http_address"].rpartition(":")
         with socket.create_connection((host, int(port)), timeout=20) as connection:
             connection.sendall(
@@ -119,30 +121,30 @@
                     connection.sendall(block)
             except OSError:
                 pass
-            answer = connection.recv(4096)
-        self.assertIn(b"413", answer.split(b"\r\n")[0])
+            response = connection.recv(4096)
+        self.assertIn(b"413", response.split(b"\r\n")[0])
 
     def test_keys_and_paths(self) -> None:
         body = {"model": "record", "prompt": "x"}
         self.check_fault(self.post("/v1/completions", body, key="wrong"), "unauthenticated")
         self.check_fault(self.post("/v1/completions", body, key=OTHER_KEY), "forbidden")
         self.check_fault(self.post("/v1/nothing", body), "not_found")
-        answer = self.post("/v1/completions", body, last_event_id="x")
-        self.check_fault(answer, "bad_request")
-        answer = self.post("/v1/completions", body, last_event_id="r-9~record~00:3")
-        self.check_fault(answer, "generation_lost", "yes")
-        answer = self.post("/services/nothing/x", {})
-        self.check_fault(answer, "not_found")
+        response = self.post("/v1/completions", body, last_event_id="x")
+        self.check_fault(response, "bad_request")
+        response = self.post("/v1/completions", body, last_event_id="r-9~record~00:3")
+        self.check_fault(response, "generation_lost", "yes")
+        response = self.post("/services/nothing/x", {})
+        self.check_fault(response, "not_found")
 
     def test_limits_and_deadline(self) -> None:
         body = {"model": "short", "prompt": "x"}
-        answers = [self.post("/v1/completions", body, key=OTHER_KEY) for _ in range(4)]
-        refused = [answer for answer in answers if answer.status_code == 429]
+        responses = [self.post("/v1/completions", body, key=OTHER_KEY) for _ in range(4)]
+        refused = [response for response in responses if response.status_code == 429]
         self.assertTrue(refused)
         self.check_fault(refused[0], "over_limit")
         self.assertGreaterEqual(int(refused[0].headers["retry-after"]), 1)
-        answer = self.post("/v1/completions", {"model": "late", "prompt": "x"})
-        self.check_fault(answer, "deadline_expired", "yes")
+        response = self.post("/v1/completions", {"model": "late", "prompt": "x"})
+        self.check_fault(response, "deadline_expired", "yes")
 
     def test_reused_key(self) -> None:
         first = {"model": "once", "prompt": "one"}
@@ -157,8 +159,8 @@
         path.write_text(text)
         return str(path)
 
-    def test_command_line_reads(self) -> None:
-        for words in (
+    def test_command_line_queries(self) -> None:
+        for arguments in (
             ("status",),
             ("config", "show"),
             ("config", "status"),
@@ -169,13 +171,13 @@
             ("workspace", "list"),
             ("class", "show", "record"),
         ):
-            with self.subTest(words=words):
-                status, output = self.run_cli(*words, "--json")
+            with self.subTest(arguments=arguments):
+                status, output = self.run_cli(*arguments, "--json")
                 self.assertEqual(status, 0, output)
                 json.loads(output)
         self.assertEqual(self.run_cli("status")[0], 0)
 
-    def test_command_line_exit_status_tells_the_kind(self) -> None:
+    def test_command_line_exit_status_gives_the_kind(self) -> None:
         bad = self.write('{"workspaces": {"a": {"wieght": 2}}}')
         status, output = self.run_cli("config", "apply", bad)
         self.assertEqual(status, 26)
@@ -194,9 +196,11 @@
     def test_daemon_checks_settings(self) -> None:
         path = self.write('{"daemon": "x", "roles": ["entry"], "data_hal": "a"}')
         command = [sys.executable, "-m", "tillerlane.daemon.main", "--settings", path, "--check"]
-        done = subprocess.run(command, capture_output=True, text=True, check=False)
-        self.assertEqual(done.returncode, 26)
-        self.assertIn("$.data_hal: got an unknown key, expected perhaps 'data_hall'", done.stderr)
+        process = subprocess.run(command, capture_output=True, text=True, check=False)
+        self.assertEqual(process.returncode, 26)
+        self.assertIn(
+            "$.data_hal: got an unknown key, expected perhaps 'data_hall'", process.stderr
+        )
 
     def test_cancel_by_an_operator(self) -> None:
         async def scene() -> str:
@@ -205,16 +209,16 @@
             body = {"model": "record", "prompt": "x", "stream": True}
             async with (
                 httpx.AsyncClient(trust_env=False, timeout=20) as client,
-                client.stream("POST", url, json=body, headers=headers) as answer,
+                client.stream("POST", url, json=body, headers=headers) as response,
             ):
-                lines = answer.aiter_lines()
+                lines = response.aiter_lines()
                 first = await anext(lines)
                 generation_id = first.removeprefix("id: ").rpartition(":")[0]
                 await asyncio.to_thread(self.run_cli, "request", "cancel", generation_id)
                 return "\n".join([line async for line in lines])
 
-        rest = asyncio.run(scene())
-        self.assertTrue("cancelled" in rest or "[DONE]" in rest, rest[-500:])
+        remaining = asyncio.run(scene())
+        self.assertTrue("cancelled" in remaining or "[DONE]" in remaining, remaining[-500:])
 
 
 if __name__ == "__main__":
--- a/tillerlane/daemon/tests/test_orders.py
+++ b/tillerlane/daemon/tests/test_orders.py
@@ -18,12 +18,12 @@
         while "leaving" not in self.run_cli("runner", "list")[1]:
             time.sleep(0.1)
         for _ in range(5):
-            answer = self.post("/v1/completions", {"model": "record", "prompt": "x"})
-            self.assertTrue(answer.json()["id"].startswith("r-2~"), answer.text)
+            response = self.post("/v1/completions", {"model": "record", "prompt": "x"})
+            self.assertTrue(response.json()["id"].startswith("r-2~"), response.text)
         self.assertEqual(self.run_cli("runner", "undrain", "r-1")[0], 0)
         self.assertEqual(self.run_cli("runner", "drain", "nothing")[0], 14)
 
-    def test_evacuate_and_take_back(self) -> None:
+    def test_evacuate_and_end_evacuation(self) -> None:
         status, output = self.run_cli("runner", "list", "--json")
         halls = {item["target"]: item["data_hall"] for item in json.loads(output)}
         hall = halls["r-1"]
@@ -34,8 +34,8 @@
         self.assertIn(hall, self.run_cli("evacuate", "list")[1])
         time.sleep(0.5)
         for _ in range(8):
-            answer = self.post("/v1/completions", {"model": "record", "prompt": "x"})
-            self.assertTrue(answer.json()["id"].startswith("r-2~"), answer.text)
+            response = self.post("/v1/completions", {"model": "record", "prompt": "x"})
+            self.assertTrue(response.json()["id"].startswith("r-2~"), response.text)
         self.assertEqual(self.run_cli("evacuate", "end", hall)[0], 0)
         self.assertNotIn(hall, self.run_cli("evacuate", "list")[1])
         self.assertEqual(self.run_cli("evacuate", "start", "nowhere")[0], 14)
--- a/tillerlane/daemon/tests/test_protocol.py
+++ b/tillerlane/daemon/tests/test_protocol.py
@@ -9,7 +9,7 @@
 from tillerlane.daemon import protocol
 
 
-async def answer(scope: dict[str, object], receive: object, send: object) -> None:
+async def respond(scope: dict[str, object], receive: object, send: object) -> None:
     """Respond with an empty body."""
     await send({"type": "http.response.start", "status": 200, "headers": []})
     await send({"type": "http.response.body", "body": b""})
@@ -23,7 +23,7 @@
         timeout.start()
         self.addCleanup(timeout.stop)
         config = uvicorn.Config(
-            answer, http=protocol.BoundedProtocol, port=0, lifespan="off", log_config=None
+            respond, http=protocol.BoundedProtocol, port=0, lifespan="off", log_config=None
         )
         self.server = uvicorn.Server(config)
         config.load()
@@ -32,14 +32,14 @@
         self.port = self.server.servers[0].sockets[0].getsockname()[1]
         self.addAsyncCleanup(self.server.shutdown)
 
-    async def test_silent_and_slow_heads(self) -> None:
+    async def test_missing_and_slow_heads_time_out(self) -> None:
         for part in (b"", b"GET / HTTP/1.1\r\nHost: x\r\nX-Slow: "):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(part)
             self.assertEqual(await reader.read(), b"")
             writer.close()
 
-    async def test_whole_heads_are_answered_again_and_again(self) -> None:
+    async def test_complete_heads_get_responses_repeatedly(self) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         for _ in range(3):
             writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tillerlane/daemon/tests/test_trust.py
+++ b/tillerlane/daemon/tests/test_trust.py
@@ -31,7 +31,7 @@
         self.addCleanup(self.folder.cleanup)
         path = pathlib.Path(self.folder.name)
         self.authority = certificates.Authority(path, "fleet-authority")
-        self.other = certificates.Authority(path, "other-authority")
+        self.other_authority = certificates.Authority(path, "other-authority")
         port, http_port = deployment.free_ports(2)
         self.address = f"127.0.0.1:{port}"
         values: dict[str, Any] = {
@@ -52,15 +52,15 @@
         self.addAsyncCleanup(loop.shutdown_default_executor)
         self.addAsyncCleanup(self.keeper.stop)
 
-    async def link_as(
+    async def try_link(
         self,
         daemon: str,
-        own: settings.Tls | None,
+        own_tls: settings.Tls | None,
         open_connection: nodes.Open = asyncio.open_connection,
     ) -> bool:
         """Dial the keeper until it accepts or refuses the link; return whether it accepted."""
         local = self.keeper.node.local
-        _, client = tls.build_contexts(own)
+        _, client = tls.build_contexts(own_tls)
         changed_local = type(local)(
             **{
                 name: getattr(local, name)
@@ -71,7 +71,7 @@
         )
         node = nodes.Node(changed_local, None, client, open_connection)
         node.dial(self.address)
-        while not (self.has_link(daemon) or self.read_refusals()):
+        while not (self.has_link(daemon) or self.get_refusals()):
             await asyncio.sleep(0.02)
         linked = self.has_link(daemon)
         await node.close()
@@ -81,7 +81,7 @@
         """Return whether the keeper has a link to a daemon."""
         return any(link.peer_id == daemon for link in self.keeper.node.get_links())
 
-    def read_refusals(self) -> list[str]:
+    def get_refusals(self) -> list[str]:
         return [
             event.fields["reason"]
             for event in self.keeper.timeline.read()
@@ -89,10 +89,10 @@
         ]
 
     async def test_named_peer_with_the_fleets_certificate(self) -> None:
-        self.assertTrue(await self.link_as("entry-1", self.authority.issue("entry-1")))
-        self.assertEqual(self.read_refusals(), [])
+        self.assertTrue(await self.try_link("entry-1", self.authority.issue("entry-1")))
+        self.assertEqual(self.get_refusals(), [])
 
-    async def test_link_comes_about_though_the_first_dial_times_out(self) -> None:
+    async def test_link_is_established_after_the_first_dial_times_out(self) -> None:
         dials = 0
 
         async def open_late(*arguments: Any, **options: Any) -> Any:
@@ -102,9 +102,9 @@
                 raise TimeoutError("no connection in time")
             return await asyncio.open_connection(*arguments, **options)
 
-        linked = await self.link_as("entry-1", self.authority.issue("entry-1"), open_late)
+        linked = await self.try_link("entry-1", self.authority.issue("entry-1"), open_late)
         self.assertTrue(linked)
-        self.assertEqual((dials, self.read_refusals()), (2, []))
+        self.assertEqual((dials, self.get_refusals()), (2, []))
 
     async def test_peer_without_certificate(self) -> None:
         context = ssl.create_default_context(cafile=str(self.authority.path))
@@ -115,41 +115,41 @@
             writer.write(b"\0\0\0\0")
             await reader.readexactly(1)
         writer.close()
-        while not self.read_refusals():
+        while not self.get_refusals():
             await asyncio.sleep(0.02)
-        self.assertIn("certificate", self.read_refusals()[0])
+        self.assertIn("certificate", self.get_refusals()[0])
 
-    async def test_peer_that_speaks_no_tls(self) -> None:
-        self.assertFalse(await self.link_as("entry-1", None))
-        self.assertTrue(any("certificate" in item for item in self.read_refusals()))
+    async def test_peer_without_tls(self) -> None:
+        self.assertFalse(await self.try_link("entry-1", None))
+        self.assertTrue(any("certificate" in item for item in self.get_refusals()))
 
     async def test_peer_of_another_fleet(self) -> None:
-        foreign = self.other.issue("entry-1")
-        trusting = foreign.model_copy(update={"peer_authority": str(self.authority.path)})
-        self.assertFalse(await self.link_as("entry-1", trusting))
-        self.assertTrue(any("certificate" in item for item in self.read_refusals()))
+        foreign = self.other_authority.issue("entry-1")
+        other_tls = foreign.model_copy(update={"peer_authority": str(self.authority.path)})
+        self.assertFalse(await self.try_link("entry-1", other_tls))
+        self.assertTrue(any("certificate" in item for item in self.get_refusals()))
 
-    async def test_peer_under_anothers_name(self) -> None:
-        self.assertFalse(await self.link_as("entry-1", self.authority.issue("agent-1")))
-        self.assertTrue(any("'agent-1'" in item for item in self.read_refusals()))
+    async def test_peer_with_the_certificate_of_another_daemon(self) -> None:
+        self.assertFalse(await self.try_link("entry-1", self.authority.issue("agent-1")))
+        self.assertTrue(any("'agent-1'" in item for item in self.get_refusals()))
 
-    async def test_peer_that_the_settings_do_not_name(self) -> None:
-        self.assertFalse(await self.link_as("stranger", self.authority.issue("stranger")))
-        self.assertTrue(any("do not name" in item for item in self.read_refusals()))
+    async def test_peer_not_named_in_the_settings(self) -> None:
+        self.assertFalse(await self.try_link("stranger", self.authority.issue("stranger")))
+        self.assertTrue(any("do not name" in item for item in self.get_refusals()))
 
     async def test_certificate_is_replaced_without_restart(self) -> None:
-        own = self.keeper.settings.tls
-        before = read_file(own.certificate)
+        own_tls = self.keeper.settings.tls
+        before = read_file(own_tls.certificate)
         self.authority.issue("keeper-1")
-        self.assertNotEqual(before, read_file(own.certificate))
-        tls.reload_contexts(own, *self.keeper.node.tls_contexts)
-        self.assertTrue(await self.link_as("agent-1", self.authority.issue("agent-1")))
+        self.assertNotEqual(before, read_file(own_tls.certificate))
+        tls.reload_contexts(own_tls, *self.keeper.node.tls_contexts)
+        self.assertTrue(await self.try_link("agent-1", self.authority.issue("agent-1")))
 
 
 class HelloTest(unittest.TestCase):
     """Contents of a ``Hello``."""
 
-    def test_protocol_is_named(self) -> None:
+    def test_protocol_version(self) -> None:
         hello = messages.Hello("a", 1, "fleet", "127.0.0.1:1")
         self.assertEqual(hello.protocol, messages.PROTOCOL)
 
--- a/tillerlane/peers/link.py
+++ b/tillerlane/peers/link.py
@@ -206,7 +206,7 @@
         Whether this side opened the connection.
     on_ready : callable or None
         Called with the link once both sides have sent ``Hello``.
-    pace : float
+    heartbeat_seconds : float
         Maximum time between two sends of this side, in seconds.
     """
 
--- a/tillerlane/runners/tests/test_http_service.py
+++ b/tillerlane/runners/tests/test_http_service.py
@@ -39,24 +39,24 @@
             server.close()
         return items, broken, calls
 
-    async def test_closed_without_an_answer_may_have_run(self) -> None:
+    async def test_connection_closed_without_a_response_may_have_run(self) -> None:
         items, broken, calls = await self.call_service(b"")
         self.assertEqual((items, calls), ([], 1))
         self.assertTrue(broken.reached)
 
-    async def test_answer_that_breaks_off_may_have_run(self) -> None:
+    async def test_truncated_response_may_have_run(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf"
         _, broken, calls = await self.call_service(head)
         self.assertEqual(calls, 1)
         self.assertTrue(broken.reached)
 
-    async def test_redirect_is_the_callers_to_follow(self) -> None:
+    async def test_redirect_is_returned_to_the_caller(self) -> None:
         head = b"HTTP/1.1 307 Elsewhere\r\nLocation: /\r\nContent-Length: 0\r\n\r\n"
         items, broken, calls = await self.call_service(head)
         self.assertEqual((broken, calls), (None, 1))
         self.assertIn("307", items[0].texts[0])
 
-    async def test_nobody_listens(self) -> None:
+    async def test_connection_refused(self) -> None:
         client = http_service.connect("http://127.0.0.1:1")
         with self.assertRaises(core.TargetError) as caught:
             async for _ in client.start(JOB):
--- a/tillerlane/runners/tests/test_sse_runner.py
+++ b/tillerlane/runners/tests/test_sse_runner.py
@@ -44,7 +44,7 @@
         self.assertEqual(starts, 1)
         self.assertTrue(error.reached, str(error))
 
-    async def test_start_is_not_sent_on_to_another_place(self) -> None:
+    async def test_redirected_start_is_not_followed(self) -> None:
         await self.check_reached(
             lambda port: (
                 f"HTTP/1.1 307 Elsewhere\r\nLocation: http://127.0.0.1:{port}/v1/generations\r\n"
@@ -52,7 +52,7 @@
             ).encode()
         )
 
-    async def test_place_that_can_not_be_reached_says_nothing_of_the_first(self) -> None:
+    async def test_redirect_to_an_unreachable_server_counts_as_reached(self) -> None:
         await self.check_reached(
             lambda port: (
                 b"HTTP/1.1 307 Elsewhere\r\nLocation: http://127.0.0.1:1/v1/generations\r\n"
@@ -60,15 +60,15 @@
             )
         )
 
-    async def test_closed_without_an_answer(self) -> None:
+    async def test_connection_closed_without_a_response(self) -> None:
         await self.check_reached(lambda port: b"")
 
-    async def test_status_of_its_own(self) -> None:
+    async def test_error_status(self) -> None:
         await self.check_reached(
             lambda port: b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         )
 
-    async def test_nobody_listens(self) -> None:
+    async def test_connection_refused(self) -> None:
         client = sse_runner.connect("http://127.0.0.1:1")
         with self.assertRaises(core.TargetError) as caught:
             async for _ in client.start(JOB):
--- a/tillerlane/timeline/tests/test_loops.py
+++ b/tillerlane/timeline/tests/test_loops.py
@@ -24,7 +24,7 @@
 class LoopTest(unittest.TestCase):
     """Ages, timers and timeouts after a suspension."""
 
-    def test_age_is_true_before_any_timer_has_run(self) -> None:
+    def test_age_is_correct_before_any_timer_has_run(self) -> None:
         host = _Host()
 
         async def run() -> float:
@@ -36,7 +36,7 @@
         with asyncio.Runner(loop_factory=lambda: loops.new_loop(host.read_clock)) as runner:
             self.assertGreaterEqual(runner.run(run()), 6.0)
 
-    def test_timers_that_came_due_meanwhile_run_with_the_next_event(self) -> None:
+    def test_timers_due_during_suspension_run_with_the_next_event(self) -> None:
         host = _Host()
 
         async def run() -> list[str]:
@@ -52,7 +52,7 @@
         with asyncio.Runner(loop_factory=lambda: loops.new_loop(host.read_clock)) as runner:
             self.assertEqual(runner.run(run()), ["lease ended"])
 
-    def test_time_limit_that_ended_meanwhile_holds(self) -> None:
+    def test_timeout_that_expired_during_suspension_is_raised(self) -> None:
         host = _Host()
 
         async def run() -> None:
@@ -63,7 +63,7 @@
         with asyncio.Runner(loop_factory=lambda: loops.new_loop(host.read_clock)) as runner:
             self.assertRaises(TimeoutError, runner.run, run())
 
-    def test_clock_by_default_is_the_one_that_counts_suspensions(self) -> None:
+    def test_default_clock_includes_suspended_time(self) -> None:
         loop = loops.new_loop()
         try:
             before = time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/tillerlane/timeline/tests/test_sink.py
+++ b/tillerlane/timeline/tests/test_sink.py
@@ -12,7 +12,7 @@
 class BoundedOutputTest(unittest.TestCase):
     """Output to a pipe whose reader stalls or is gone."""
 
-    def test_stalled_reader_costs_nothing_and_gets_whole_lines_later(self) -> None:
+    def test_stalled_reader_does_not_block_and_gets_complete_lines_later(self) -> None:
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
@@ -28,7 +28,7 @@
         for item in got.split(b"\n")[:15]:
             json.loads(item)
 
-    def test_reader_that_is_gone_raises_nothing(self) -> None:
+    def test_closed_reader_raises_nothing(self) -> None:
         reader, writer = os.pipe()
         output = sink.BoundedOutput(writer)
         os.close(reader)
@@ -40,7 +40,7 @@
 class LineRateTest(unittest.TestCase):
     """Lines of one name share a rate limit."""
 
-    def test_frequent_lines_are_counted_and_do_not_crowd_out_others(self) -> None:
+    def test_frequent_lines_are_counted_and_do_not_displace_others(self) -> None:
         now = [0.0]
         rate = sink.LineRate(lambda: now[0])
         passed = 0
--- a/tillerlane/timeline/tests/test_timeline.py
+++ b/tillerlane/timeline/tests/test_timeline.py
@@ -17,13 +17,13 @@
     def setUp(self) -> None:
         structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
 
-    def test_clock_rises_though_the_wall_falls(self) -> None:
+    def test_clock_increases_when_wall_time_decreases(self) -> None:
         times = iter([100.0, 90.0, 90.0, 101.0])
         clock = clocks.HybridClock(lambda: next(times))
         stamps = [clock.tick() for _ in range(4)]
         self.assertEqual(stamps, sorted(set(stamps)))
 
-    def test_effect_sorts_after_cause_despite_clocks(self) -> None:
+    def test_effect_sorts_after_cause_despite_clock_skew(self) -> None:
         fast = core.Timeline("fast", clocks.HybridClock(lambda: 1_010.0))
         slow = core.Timeline("slow", clocks.HybridClock(lambda: 1_000.0))
         cause = fast.record("cause")
@@ -32,12 +32,12 @@
         merged = core.merge_events([slow.read(), fast.read()])
         self.assertEqual([event.name for event in merged], ["cause", "effect"])
 
-    def test_a_clock_that_is_wrong_is_not_followed(self) -> None:
+    def test_stamp_far_ahead_is_ignored(self) -> None:
         clock = clocks.HybridClock(lambda: 1_000.0)
         clock.update(clocks.HybridClock(lambda: 9e9).tick())
         self.assertLess(clocks.get_milliseconds(clock.tick()), 2_000_000)
 
-    def test_ring_is_bounded_and_selected(self) -> None:
+    def test_ring_is_bounded_and_events_are_selected(self) -> None:
         timeline = core.Timeline("d", clocks.HybridClock(lambda: 1.0), limit=50)
         for number in range(200):
             timeline.record("n", request_id=f"r{number % 2}", number=number)
