--- a/tillerlane/operators/changes.py
+++ b/tillerlane/operators/changes.py
@@ -131,7 +131,7 @@
         resent=reply.get("resent", False),
     )
     if not reply["accepted"]:
-        message = f"based on version {body.against}, but version {reply['version']} is in force"
+        message = f"made against version {body.against}, version {reply['version']} is in force"
         raise faults.FaultError(
             faults.new_fault(
                 kinds.ErrorKind.VERSION_CONFLICT, message, detail={"version": reply["version"]}
