--- a/tillerlane/runners/core.py
+++ b/tillerlane/runners/core.py
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """A generation, or with `service_call` a call of a plain service, for a target."""
+    """A generation for a runner, or a call for a plain service."""
 
     generation_id: str
     owner: str
