--- a/tillerlane/daemon/tests/test_protocol.py
+++ b/tillerlane/daemon/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""A request's head that does not come in time ends its connection, and no other."""
+"""A request head that times out closes its own connection only."""
 
 import asyncio
 import unittest
@@ -9,21 +9,21 @@
 from tillerlane.daemon import protocol
 
 
-async def answer(scope: dict[str, object], receive: object, send: object) -> None:
-    """Answer with an empty body."""
+async def respond(scope: dict[str, object], receive: object, send: object) -> None:
+    """Respond with an empty body."""
     await send({"type": "http.response.start", "status": 200, "headers": []})
     await send({"type": "http.response.body", "body": b""})
 
 
 class ProtocolTest(unittest.IsolatedAsyncioTestCase):
-    """Connections of a server with a short patience."""
+    """Connections of a server with a short head timeout."""
 
     async def asyncSetUp(self) -> None:
-        patience = mock.patch.object(protocol, "HEAD_SECONDS", 0.2)
-        patience.start()
-        self.addCleanup(patience.stop)
+        timeout = mock.patch.object(protocol, "HEAD_TIMEOUT_SECONDS", 0.2)
+        timeout.start()
+        self.addCleanup(timeout.stop)
         config = uvicorn.Config(
-            answer, http=protocol.BoundedProtocol, port=0, lifespan="off", log_config=None
+            respond, http=protocol.BoundedProtocol, port=0, lifespan="off", log_config=None
         )
         self.server = uvicorn.Server(config)
         config.load()
@@ -32,14 +32,14 @@
         self.port = self.server.servers[0].sockets[0].getsockname()[1]
         self.addAsyncCleanup(self.server.shutdown)
 
-    async def test_silent_and_slow_heads(self) -> None:
+    async def test_missing_and_slow_heads_time_out(self) -> None:
         for part in (b"", b"GET / HTTP/1.1\r\nHost: x\r\nX-Slow: "):
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(part)
             self.assertEqual(await reader.read(), b"")
             writer.close()
 
-    async def test_whole_heads_are_answered_again_and_again(self) -> None:
+    async def test_complete_heads_get_responses_repeatedly(self) -> None:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         for _ in range(3):
             writer.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/tillerlane/entry/fleet.py
+++ b/tillerlane/entry/fleet.py
@@ -181,7 +181,7 @@
         """Close links to agents that no target uses any more."""
         used = {record.peer.address for record in self.targets.values()}
         for address in self._node.get_dialed() - used - self._members.keeper_addresses:
-            self._node.hang_up(address)
+            self._node.disconnect(address)
 
     def handle_loads(self, link: links.Link, loads: messages.Loads, now: float) -> None:
         """Apply the load reports that an agent sent."""
--- a/tillerlane/entry/relay.py
+++ b/tillerlane/entry/relay.py
@@ -229,7 +229,7 @@
 
     def _handle_end(self, end: messages.End) -> Ending:
         if end.fault:
-            raise faults.FaultError(links.read_fault(end.fault))
+            raise faults.FaultError(links.parse_fault(end.fault))
         if end.tokens != self.offset:
             raise _Gap
         return Ending(self.generation_id, end.reason, end.tokens, end.prompt_tokens)
@@ -241,7 +241,7 @@
         class: that is no evidence of what the target, or a previous process of the agent, did
         with it.
         """
-        fault = links.read_fault(refusal.fault)
+        fault = links.parse_fault(refusal.fault)
         if not self.attach:
             return fault
         if fault.kind in _REQUESTER_FAULTS:
--- a/tillerlane/entry/tests/test_at_most_once.py
+++ b/tillerlane/entry/tests/test_at_most_once.py
@@ -226,7 +226,7 @@
             async def lose_cancel(generation_id: str) -> bool | None:
                 nonlocal lost
                 lost += 1
-                raise runners.TargetBroken("connection lost", reached=False)
+                raise runners.TargetError("connection lost", reached=False)
 
             states = [executor.state for executor in self.list_executors(stage)]
             clients = [state.client for state in states]
--- a/tillerlane/gateway/suspects.py
+++ b/tillerlane/gateway/suspects.py
@@ -133,7 +133,7 @@
         [target_exit.target_id for target_exit in rows],
         [target_exit.is_cleared for target_exit in rows],
     )
-    return messages.TargetEnds(codec.write_table(table))
+    return messages.TargetEnds(codec.encode_table(table))
 
 
 def decode_exits(message: messages.TargetEnds) -> list[TargetExit]:
@@ -144,7 +144,7 @@
     faults.FaultError
         Of kind ``bad_request`` if it can't be decoded.
     """
-    table = codec.read_table(message.table, messages.EndTable)
+    table = codec.decode_table(message.table, messages.EndTable)
     rows = zip(table.fingerprints, table.target_ids, table.cleared, strict=True)
     return [
         TargetExit(fingerprint, target_id, is_cleared)
--- a/tillerlane/keeper/client.py
+++ b/tillerlane/keeper/client.py
@@ -124,12 +124,14 @@
         previous = self._keepers[self.home_name]
         self._position = (self._position + 1) % len(self._order)
         if self._keepers[self.home_name] != previous:
-            self._node.hang_up(previous)
+            self._node.disconnect(previous)
         self._dial(now)
 
     def _dial(self, now: float) -> None:
         address = self._keepers[self.home_name]
-        self._peer = self._node.dial(address, pace=links.SLOW_PACE_SECONDS)
+        self._peer = self._node.dial(
+            address, heartbeat_seconds=links.SLOW_HEARTBEAT_INTERVAL_SECONDS
+        )
         self._unlinked_since = now
 
     async def propose(self, command: commands.Command) -> dict[str, Any]:
--- a/tillerlane/keeper/formation.py
+++ b/tillerlane/keeper/formation.py
@@ -166,7 +166,7 @@
         """Stop dialing keepers that are neither seeds nor voters and have expired."""
         self._known_keepers.expire()
         for address in self._node.get_dialed() - self.list_addresses():
-            self._node.hang_up(address)
+            self._node.disconnect(address)
 
     def _build_announcement(self) -> messages.KeeperAnnounce:
         assert self._replica is not None
--- a/tillerlane/platform/programs.py
+++ b/tillerlane/platform/programs.py
@@ -132,4 +132,4 @@
             )
     except faults.FaultError as error:
         print(f"tillerlane: {error.fault.kind}: {error.fault.message}", file=sys.stderr)
-        sys.exit(error.fault.answer.exit_code)
+        sys.exit(error.fault.response.exit_code)
--- a/tillerlane/runners/tests/test_sse_runner.py
+++ b/tillerlane/runners/tests/test_sse_runner.py
@@ -1,4 +1,4 @@
-"""What the adapter of model runners says of a start that went wrong."""
+"""Errors that the adapter of model runners reports for failed starts."""
 
 import asyncio
 import unittest
@@ -11,12 +11,12 @@
 
 
 class StartTest(unittest.IsolatedAsyncioTestCase):
-    """A target that answers a start in ways of its own."""
+    """Starts at a target that fails or redirects in various ways."""
 
-    async def start_at(self, answer: Callable[[int], bytes]) -> tuple[core.TargetBroken, int]:
-        """Start a job at a server; the error, and how many starts reached the server.
+    async def start_job(self, response: Callable[[int], bytes]) -> tuple[core.TargetError, int]:
+        """Start a job at a server; return the error and the number of starts that reached it.
 
-        `answer` is given the server's port.
+        `response` is called with the server's port.
         """
         starts = 0
 
@@ -24,13 +24,13 @@
             nonlocal starts
             await reader.readuntil(REQUEST_END)
             starts += 1
-            writer.write(answer(server.sockets[0].getsockname()[1]))
+            writer.write(response(server.sockets[0].getsockname()[1]))
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         client = sse_runner.connect(f"http://127.0.0.1:{server.sockets[0].getsockname()[1]}")
         try:
-            with self.assertRaises(core.TargetBroken) as caught:
+            with self.assertRaises(core.TargetError) as caught:
                 async for _ in client.start(JOB):
                     pass
         finally:
@@ -38,13 +38,13 @@
             server.close()
         return caught.exception, starts
 
-    async def check_reached(self, answer: Callable[[int], bytes]) -> None:
-        """One start went out, and the error does not say that none did."""
-        error, starts = await self.start_at(answer)
+    async def check_reached(self, response: Callable[[int], bytes]) -> None:
+        """Check that one start was sent and that the error reports the target as reached."""
+        error, starts = await self.start_job(response)
         self.assertEqual(starts, 1)
         self.assertTrue(error.reached, str(error))
 
-    async def test_start_is_not_sent_on_to_another_place(self) -> None:
+    async def test_redirected_start_is_not_followed(self) -> None:
         await self.check_reached(
             lambda port: (
                 f"HTTP/1.1 307 Elsewhere\r\nLocation: http://127.0.0.1:{port}/v1/generations\r\n"
@@ -52,7 +52,7 @@
             ).encode()
         )
 
-    async def test_place_that_can_not_be_reached_says_nothing_of_the_first(self) -> None:
+    async def test_redirect_to_an_unreachable_server_counts_as_reached(self) -> None:
         await self.check_reached(
             lambda port: (
                 b"HTTP/1.1 307 Elsewhere\r\nLocation: http://127.0.0.1:1/v1/generations\r\n"
@@ -60,17 +60,17 @@
             )
         )
 
-    async def test_closed_without_an_answer(self) -> None:
+    async def test_connection_closed_without_a_response(self) -> None:
         await self.check_reached(lambda port: b"")
 
-    async def test_status_of_its_own(self) -> None:
+    async def test_error_status(self) -> None:
         await self.check_reached(
             lambda port: b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         )
 
-    async def test_nobody_listens(self) -> None:
+    async def test_connection_refused(self) -> None:
         client = sse_runner.connect("http://127.0.0.1:1")
-        with self.assertRaises(core.TargetBroken) as caught:
+        with self.assertRaises(core.TargetError) as caught:
             async for _ in client.start(JOB):
                 pass
         await client.close()
